--- a/crates/stairward-failover/src/duty.rs
+++ b/crates/stairward-failover/src/duty.rs
@@ -11,7 +11,7 @@
 use stairward_types::{BackendId, BackendRole, NodeId, ServiceName, Time};
 
 use crate::attempt::{Attempt, Stage};
-use crate::event::{Action, Effect, Event, GroupState, LeaderEvidence};
+use crate::event::{Effect, Event, FailoverStep, GroupState, LeaderEvidence};
 use crate::evidence::EvidenceLedger;
 use crate::options::FailoverOptions;
 use crate::records::Records;
@@ -31,7 +31,7 @@
 
 /// The failover duty of one node.
 #[derive(Debug)]
-pub struct FailoverDuty {
+pub struct FailoverController {
     options: FailoverOptions,
     groups: BTreeMap<ServiceName, GroupState>,
     /// The service of each member.
@@ -69,7 +69,7 @@
     effects: Vec<Effect>,
 }
 
-impl FailoverDuty {
+impl FailoverController {
     /// A duty that knows nothing yet. It acts only once it has learnt the record.
     #[must_use]
     pub fn new(options: FailoverOptions) -> Self {
@@ -343,7 +343,7 @@
         }
     }
 
-    fn log(&mut self, service: &ServiceName, action: Action) {
+    fn log(&mut self, service: &ServiceName, action: FailoverStep) {
         self.effects.push(Effect::Log(service.clone(), action));
     }
 
--- a/crates/stairward-failover/src/duty/asking.rs
+++ b/crates/stairward-failover/src/duty/asking.rs
@@ -2,11 +2,11 @@
 
 use stairward_types::{BackendId, BackendRole, MemberStatus, ServiceName, Term, Time};
 
-use super::FailoverDuty;
+use super::FailoverController;
 use crate::attempt::Stage;
 use crate::event::{Effect, Via};
 
-impl FailoverDuty {
+impl FailoverController {
     /// A replica that comes while the others are on hold would let the old primary acknowledge again.
     pub(super) fn hold_late_members(&mut self, service: &ServiceName) {
         let (Some(group), Some(attempt)) =
--- a/crates/stairward-failover/src/duty/claim.rs
+++ b/crates/stairward-failover/src/duty/claim.rs
@@ -4,13 +4,13 @@
 
 use stairward_types::{ServiceName, Term, Time};
 
-use super::FailoverDuty;
+use super::FailoverController;
 use super::trigger::Trigger;
 use crate::attempt::{Attempt, Stage};
-use crate::event::{Action, DutyRecord, Effect, FencingToken, RecordVersion};
+use crate::event::{Effect, FailoverRecord, FailoverStep, FencingToken, RecordVersion};
 use crate::turn::turn;
 
-impl FailoverDuty {
+impl FailoverController {
     /// How many nodes most likely have the same reason. Who finds a leader silent by use tells a few others, so the
     /// reports that reach this node tell how many there are; what others found when they looked makes them no
     /// contenders. With all nodes for contenders, a leader that one node uses waited 1.2 s longer among 100.
@@ -68,7 +68,7 @@
         }
         self.attempts.insert(service.clone(), attempt);
         let reason = trigger.reason();
-        self.log(service, Action::Began { reason });
+        self.log(service, FailoverStep::Began { reason });
         self.claim(now, service);
     }
 
@@ -119,7 +119,7 @@
         let Some(version) = self.records.version(service) else {
             return;
         };
-        let record = DutyRecord {
+        let record = FailoverRecord {
             holder: self.options.node.clone(),
             term,
         };
@@ -133,7 +133,7 @@
         &mut self,
         now: Time,
         era: u64,
-        records: BTreeMap<ServiceName, (RecordVersion, DutyRecord)>,
+        records: BTreeMap<ServiceName, (RecordVersion, FailoverRecord)>,
     ) {
         if self.records.listed(now, era) {
             self.abandon_claims(now);
@@ -154,7 +154,7 @@
         now: Time,
         service: &ServiceName,
         version: RecordVersion,
-        record: DutyRecord,
+        record: FailoverRecord,
     ) {
         let noted = record.term;
         let is_new = self
--- a/crates/stairward-failover/src/duty/ending_steps.rs
+++ b/crates/stairward-failover/src/duty/ending_steps.rs
@@ -2,12 +2,12 @@
 
 use stairward_types::{BackendId, BackendRole, Freshness, NodeId, ServiceName, Term, Time};
 
-use super::FailoverDuty;
+use super::FailoverController;
 use crate::attempt::Stage;
-use crate::ending::{EndProof, Ending};
-use crate::event::{Action, Effect, Reach, Via};
+use crate::ending::{DemotionProof, Ending};
+use crate::event::{Effect, FailoverStep, MemberCallResult, Via};
 
-impl FailoverDuty {
+impl FailoverController {
     /// Has the old primary give way, before another is promoted.
     pub(super) fn begin_ending(&mut self, now: Time, service: &ServiceName) {
         let is_synchronous = self
@@ -35,7 +35,7 @@
         attempt.ending = Some(ending);
         attempt.asked.clear();
         attempt.enter(Stage::Ending, now);
-        let began = Action::Ending {
+        let began = FailoverStep::Ending {
             old: old.clone(),
             token,
             term,
@@ -78,7 +78,7 @@
         ending.ask_users(self.users.clone());
         let revoke = Effect::Revoke(service.clone(), term, self.users.clone());
         self.effects.push(revoke);
-        self.log(service, Action::Holding { replicas, term });
+        self.log(service, FailoverStep::Holding { replicas, term });
     }
 
     pub(super) fn user_revoked(
@@ -103,7 +103,13 @@
         ending.user_revoked(term, user);
     }
 
-    pub(super) fn take_reach(&mut self, now: Time, backend: &BackendId, via: &Via, reach: Reach) {
+    pub(super) fn take_reach(
+        &mut self,
+        now: Time,
+        backend: &BackendId,
+        via: &Via,
+        reach: MemberCallResult,
+    ) {
         for attempt in self.attempts.values_mut() {
             let Some(ending) = &mut attempt.ending else {
                 continue;
@@ -142,9 +148,9 @@
             return self.press_ending(now, service);
         };
         let is_certain = match proof {
-            EndProof::SteppedDown(status) => self.has_caught_up(now, service, status.received),
-            EndProof::Revoked => true,
-            EndProof::Lapsed | EndProof::Unknown => self.are_holds_verified(now, service),
+            DemotionProof::SteppedDown(status) => self.has_caught_up(now, service, status.received),
+            DemotionProof::Revoked => true,
+            DemotionProof::Lapsed | DemotionProof::Unknown => self.are_holds_verified(now, service),
         };
         if is_certain {
             self.ended(now, service, proof);
@@ -254,7 +260,7 @@
     }
 
     /// The old primary's lead is over: the best replica is promoted.
-    pub(super) fn ended(&mut self, now: Time, service: &ServiceName, proof: EndProof) {
+    pub(super) fn ended(&mut self, now: Time, service: &ServiceName, proof: DemotionProof) {
         let (Some(group), Some(attempt)) = (self.groups.get(service), self.attempts.get(service))
         else {
             return;
@@ -266,12 +272,12 @@
             return self.give_up(now, service, "no replica answered");
         };
         let old_had = match proof {
-            EndProof::SteppedDown(status) => Some(status.received.position.0),
-            EndProof::Revoked | EndProof::Lapsed | EndProof::Unknown => None,
+            DemotionProof::SteppedDown(status) => Some(status.received.position.0),
+            DemotionProof::Revoked | DemotionProof::Lapsed | DemotionProof::Unknown => None,
         };
         let received = chosen.received.map(|received| received.position.0);
         let began = attempt.ending.as_ref().map_or(now, Ending::began);
-        let ended = Action::Ended {
+        let ended = FailoverStep::Ended {
             proof,
             after: now.since(began),
             behind: old_had
--- a/crates/stairward-failover/src/duty/promotion.rs
+++ b/crates/stairward-failover/src/duty/promotion.rs
@@ -2,11 +2,11 @@
 
 use stairward_types::{BackendId, Freshness, ServiceName, Time};
 
-use super::FailoverDuty;
+use super::FailoverController;
 use crate::attempt::{Attempt, Stage};
-use crate::event::{Action, Effect, FencingToken, PromotionOutcome};
+use crate::event::{Effect, FailoverStep, FencingToken, PromotionOutcome};
 
-impl FailoverDuty {
+impl FailoverController {
     pub(super) fn promote(
         &mut self,
         now: Time,
@@ -23,7 +23,7 @@
         let answers = attempt.answers.len();
         attempt.target = Some(target.clone());
         attempt.enter(Stage::Promoting, now);
-        let chose = Action::Chose {
+        let chose = FailoverStep::Chose {
             target: target.clone(),
             token,
             received,
@@ -78,7 +78,7 @@
         token: FencingToken,
         outcome: PromotionOutcome,
     ) {
-        self.log(service, Action::Answered { token, outcome });
+        self.log(service, FailoverStep::Answered { token, outcome });
         let Some(attempt) = self.attempts.get_mut(service) else {
             return;
         };
@@ -174,7 +174,7 @@
             // An earlier promotion may still be carried out: go on until a later one is answered.
             attempt.enter(Stage::Queued, now);
             attempt.not_before = now + self.options.pause;
-            return self.log(service, Action::GaveUp { reason });
+            return self.log(service, FailoverStep::GaveUp { reason });
         }
         // Only whoever has the duty lets replicas go: another one may have put them on hold since. And they stay
         // on hold where a promotion may still be carried out: that tells the next holder.
@@ -188,6 +188,6 @@
         self.attempts.remove(service);
         self.pauses
             .insert(service.clone(), now + self.options.pause);
-        self.log(service, Action::GaveUp { reason });
+        self.log(service, FailoverStep::GaveUp { reason });
     }
 }
--- a/crates/stairward-failover/src/duty/trigger.rs
+++ b/crates/stairward-failover/src/duty/trigger.rs
@@ -2,7 +2,7 @@
 
 use stairward_types::{BackendId, ServiceName, Time};
 
-use super::FailoverDuty;
+use super::FailoverController;
 use crate::event::GroupState;
 
 /// Why a primary is to be replaced.
@@ -54,7 +54,7 @@
 /// So many entries at the least must be listed for the loss of half of them to count as a lapse: a group's.
 const FEWEST_THAT_LAPSE: usize = 3;
 
-impl FailoverDuty {
+impl FailoverController {
     /// Entries that go together have lapsed: the store was away, and their members most likely are not.
     pub(super) fn note_lapse(&mut self, now: Time, listed_before: usize) {
         if listed_before >= FEWEST_THAT_LAPSE && self.listed_members * 2 <= listed_before {
--- a/crates/stairward-failover/src/ending.rs
+++ b/crates/stairward-failover/src/ending.rs
@@ -12,14 +12,14 @@
 
 use stairward_types::{BackendId, MemberStatus, NodeId, Term, Time};
 
-use crate::event::{Reach, Via};
+use crate::event::{MemberCallResult, Via};
 
 /// Clocks of two machines run alike to this part, with much to spare.
 const CLOCK_MARGIN_DIVISOR: u32 = 20;
 
 /// How an old leader's lead was proved to be over.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum EndProof {
+pub enum DemotionProof {
     /// It led until it was asked, and answered as a replica, with what its log had come to.
     SteppedDown(MemberStatus),
     /// The replicas are on hold, and every node that may use a leader believes the old one no more.
@@ -158,10 +158,10 @@
     }
 
     /// Takes in what came of a question to a member.
-    pub fn take(&mut self, now: Time, member: &BackendId, via: Via, reach: Reach) {
+    pub fn take(&mut self, now: Time, member: &BackendId, via: Via, reach: MemberCallResult) {
         if self.old.as_ref() == Some(member) {
             self.asked_old.due.remove(&via);
-            if let Reach::GaveWay(status) = reach {
+            if let MemberCallResult::GaveWay(status) = reach {
                 self.stepped_down.get_or_insert((status, now));
             }
         }
@@ -189,14 +189,14 @@
 
     /// The proof that the old lead is over, if there is one. `lease` is how long a node goes on after it was
     /// last told that no hold stands. `is_sole` says that no other member can lead, so that the end of the old leader is all that is needed.
-    pub fn proof(&self, now: Time, lease: Duration, is_sole: bool) -> Option<EndProof> {
+    pub fn proof(&self, now: Time, lease: Duration, is_sole: bool) -> Option<DemotionProof> {
         if let Some((status, _)) = self.stepped_down
             && is_sole
         {
-            return Some(EndProof::SteppedDown(status));
+            return Some(DemotionProof::SteppedDown(status));
         }
         if is_sole && self.is_revoked_everywhere() {
-            return Some(EndProof::Revoked);
+            return Some(DemotionProof::Revoked);
         }
         let lease = lease + lease / CLOCK_MARGIN_DIVISOR;
         let is_each_settled = self
@@ -208,9 +208,9 @@
         let is_any_held = !self.held.is_empty();
         let has_lapsed = self.last_hold_at.is_some_and(|at| now >= at + lease);
         (is_each_settled && is_any_held && has_lapsed).then_some(if self.old.is_some() {
-            EndProof::Lapsed
+            DemotionProof::Lapsed
         } else {
-            EndProof::Unknown
+            DemotionProof::Unknown
         })
     }
 }
--- a/crates/stairward-failover/src/event.rs
+++ b/crates/stairward-failover/src/event.rs
@@ -8,7 +8,7 @@
     BackendId, BackendRole, Freshness, MemberStatus, NodeId, ServiceName, StoreRevision, Term,
 };
 
-use crate::ending::EndProof;
+use crate::ending::DemotionProof;
 use crate::placement::Placement;
 
 /// The version of a service's record: the revision of the store at which it was written. Where there is none yet, the
@@ -19,7 +19,7 @@
 impl RecordVersion {
     /// That a copy of the store shows no record.
     #[must_use]
-    pub const fn none_in(era: u64) -> Self {
+    pub const fn absent_in_era(era: u64) -> Self {
         Self(StoreRevision::new(era, 0))
     }
 }
@@ -30,7 +30,7 @@
 
 /// A service's record in the store: who acts on its failover.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct DutyRecord {
+pub struct FailoverRecord {
     /// The node that wrote it.
     pub holder: String,
     /// The newest term that a promotion was accepted for, as far as its holders noted it. Its leader may be out of
@@ -126,7 +126,7 @@
 
 /// What came of a question to a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reach {
+pub enum MemberCallResult {
     /// It answered.
     Answered(MemberStatus),
     /// It led until it was asked to give way, and no longer does.
@@ -137,7 +137,7 @@
     Silent,
 }
 
-impl Reach {
+impl MemberCallResult {
     /// The answer, if there is one.
     #[must_use]
     pub const fn answer(self) -> Option<MemberStatus> {
@@ -187,27 +187,27 @@
         /// Which copy of the store shows them.
         era: u64,
         /// The records.
-        records: BTreeMap<ServiceName, (RecordVersion, DutyRecord)>,
+        records: BTreeMap<ServiceName, (RecordVersion, FailoverRecord)>,
     },
     /// A service's record, as the answer to a write shows it.
-    Record(ServiceName, RecordVersion, Option<DutyRecord>),
+    Record(ServiceName, RecordVersion, Option<FailoverRecord>),
     /// A service's record was written: its version now, and what it says.
-    RecordWritten(ServiceName, RecordVersion, DutyRecord),
+    RecordWritten(ServiceName, RecordVersion, FailoverRecord),
     /// A service's record was not written, or that is not known.
     RecordFailed(ServiceName),
     /// A member that was asked for its status, or put on hold, answered, or did not.
     Status(BackendId, Option<MemberStatus>),
     /// What came of asking a member to step down or to hold, by one way.
-    Reached(BackendId, Via, Reach),
+    Reached(BackendId, Via, MemberCallResult),
     /// A promotion was answered, or was not.
     Promotion(ServiceName, FencingToken, PromotionOutcome),
-    /// Time has passed; see [`crate::FailoverDuty::next_wake`].
+    /// Time has passed; see [`crate::FailoverController::next_wake`].
     Tick,
 }
 
 /// A step of the duty, for the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Action {
+pub enum FailoverStep {
     /// A primary is to be replaced.
     Began {
         /// Why.
@@ -250,7 +250,7 @@
     /// The old primary's lead is over.
     Ended {
         /// What proves it.
-        proof: EndProof,
+        proof: DemotionProof,
         /// How long that took.
         after: Duration,
         /// Commits that its log has and the chosen replica's lacks, where both are known.
@@ -270,7 +270,7 @@
 pub enum Effect {
     /// Write a service's record if its version is still this one, and answer with [`Event::RecordWritten`],
     /// [`Event::Record`] and [`Event::RecordFailed`] or the latter alone.
-    WriteRecord(ServiceName, RecordVersion, DutyRecord),
+    WriteRecord(ServiceName, RecordVersion, FailoverRecord),
     /// Tell some other nodes which back ends this node finds silent, whole.
     Report(BTreeSet<BackendId>),
     /// Look whether a back end that another node finds silent accepts connections. If it gives no sign of life either,
@@ -304,5 +304,5 @@
     /// Promote a back end.
     Promote(ServiceName, BackendId, FencingToken),
     /// A step for the log.
-    Log(ServiceName, Action),
+    Log(ServiceName, FailoverStep),
 }
--- a/crates/stairward-failover/src/leader_memory.rs
+++ b/crates/stairward-failover/src/leader_memory.rs
@@ -9,13 +9,13 @@
 /// Remembers primaries, so that one that discovery no longer lists stays known as missing until another
 /// member leads.
 #[derive(Debug, Default)]
-pub struct LeaderMemory {
+pub struct LastKnownPrimaries {
     last: BTreeMap<ServiceName, (BackendId, MemberState)>,
 }
 
-impl LeaderMemory {
+impl LastKnownPrimaries {
     /// Remembers the primaries of the listed members, and adds those that are missing.
-    pub fn keep_missing(&mut self, groups: &mut BTreeMap<ServiceName, GroupState>) {
+    pub fn add_missing_primaries(&mut self, groups: &mut BTreeMap<ServiceName, GroupState>) {
         for (service, group) in groups {
             let primaries = group
                 .members
--- a/crates/stairward-failover/src/records.rs
+++ b/crates/stairward-failover/src/records.rs
@@ -4,13 +4,13 @@
 
 use stairward_types::{Duration, ServiceName, Term, Time};
 
-use crate::event::{DutyRecord, RecordVersion};
+use crate::event::{FailoverRecord, RecordVersion};
 
 /// A service's record, and when this node learnt of it.
 #[derive(Debug)]
 struct Known {
     version: RecordVersion,
-    record: Option<DutyRecord>,
+    record: Option<FailoverRecord>,
     learnt_at: Time,
 }
 
@@ -68,7 +68,7 @@
         now: Time,
         service: ServiceName,
         version: RecordVersion,
-        record: Option<DutyRecord>,
+        record: Option<FailoverRecord>,
     ) -> bool {
         if version.0.era() != self.era.unwrap_or_default() {
             return false;
@@ -92,7 +92,7 @@
 
     /// The version of a service's record; none before the store has shown the records.
     pub fn version(&self, service: &ServiceName) -> Option<RecordVersion> {
-        let none = self.era.map(RecordVersion::none_in);
+        let none = self.era.map(RecordVersion::absent_in_era);
         self.known.get(service).map(|known| known.version).or(none)
     }
 
--- a/crates/stairward-failover/tests/duty.rs
+++ b/crates/stairward-failover/tests/duty.rs
@@ -4,7 +4,9 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use stairward_failover::{Action, Effect, Event, FencingToken, LeaderEvidence, PromotionOutcome};
+use stairward_failover::{
+    Effect, Event, FailoverStep, FencingToken, LeaderEvidence, PromotionOutcome,
+};
 use stairward_types::{BackendRole, NodeId, StoreRevision};
 
 mod support;
@@ -272,9 +274,9 @@
             _ => None,
         })
         .collect();
-    assert!(matches!(logged[0], Action::Began { .. }));
-    assert!(matches!(logged[1], Action::Chose { .. }));
-    assert!(matches!(logged[2], Action::Answered { .. }));
+    assert!(matches!(logged[0], FailoverStep::Began { .. }));
+    assert!(matches!(logged[1], FailoverStep::Chose { .. }));
+    assert!(matches!(logged[2], FailoverStep::Answered { .. }));
 }
 
 #[test]
--- a/crates/stairward-failover/tests/ending.rs
+++ b/crates/stairward-failover/tests/ending.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use stairward_failover::{
-    Action, DutyRecord, Effect, EndProof, Event, FailoverDuty, FailoverOptions, FencingToken,
-    GroupState, LeaderEvidence, MemberState, MemberStatus, Placement, PromotionOutcome, Reach,
-    RecordVersion, Via,
+    DemotionProof, Effect, Event, FailoverController, FailoverOptions, FailoverRecord,
+    FailoverStep, FencingToken, GroupState, LeaderEvidence, MemberCallResult, MemberState,
+    MemberStatus, Placement, PromotionOutcome, RecordVersion, Via,
 };
 use stairward_types::{
     BackendId, BackendRole, Freshness, LogPosition, NodeId, ServiceName, StoreRevision, Term, Time,
@@ -65,7 +65,7 @@
 
 /// The store wrote the record of this node.
 fn written(version: u64, term: Term) -> Event {
-    let record = DutyRecord {
+    let record = FailoverRecord {
         holder: "a".to_owned(),
         term,
     };
@@ -78,7 +78,7 @@
 
 /// One node's duty in an attempt, with what it wanted done.
 struct Attempt {
-    duty: FailoverDuty,
+    duty: FailoverController,
     now: Time,
     effects: Vec<Effect>,
 }
@@ -96,7 +96,7 @@
             ..FailoverOptions::new("a")
         };
         let mut attempt = Self {
-            duty: FailoverDuty::new(options),
+            duty: FailoverController::new(options),
             now: Time::from_millis(60_000),
             effects: Vec::new(),
         };
@@ -145,7 +145,7 @@
         self.tell(Event::Status(backend(name), Some(status)));
     }
 
-    fn reach(&mut self, name: &str, via: Via, reach: Reach) {
+    fn reach(&mut self, name: &str, via: Via, reach: MemberCallResult) {
         self.tell(Event::Reached(backend(name), via, reach));
     }
 
@@ -193,19 +193,19 @@
         self.effects.iter().filter(is_resume).count()
     }
 
-    fn proof(&self) -> Option<EndProof> {
+    fn proof(&self) -> Option<DemotionProof> {
         self.effects.iter().find_map(|effect| match effect {
-            Effect::Log(_, Action::Ended { proof, .. }) => Some(*proof),
+            Effect::Log(_, FailoverStep::Ended { proof, .. }) => Some(*proof),
             _ => None,
         })
     }
 
     /// Both replicas say that they are on hold.
     fn hold_both(&mut self) {
-        self.reach(NEXT, Via::Direct, Reach::Answered(held(50)));
-        self.reach(OTHER, Via::Direct, Reach::Answered(held(40)));
-        self.reach(OLD, Via::Direct, Reach::Silent);
-        self.reach(OLD, Via::Peer(PEER), Reach::Silent);
+        self.reach(NEXT, Via::Direct, MemberCallResult::Answered(held(50)));
+        self.reach(OTHER, Via::Direct, MemberCallResult::Answered(held(40)));
+        self.reach(OLD, Via::Direct, MemberCallResult::Silent);
+        self.reach(OLD, Via::Peer(PEER), MemberCallResult::Silent);
     }
 }
 
@@ -214,7 +214,7 @@
     let mut attempt = Attempt::planned();
     assert!(attempt.asks_to_step_down(&Via::Direct));
     assert!(attempt.promotions().is_empty(), "the old one still leads");
-    attempt.reach(OLD, Via::Direct, Reach::GaveWay(replica(63)));
+    attempt.reach(OLD, Via::Direct, MemberCallResult::GaveWay(replica(63)));
     assert!(
         attempt.promotions().is_empty(),
         "three commits are not received yet"
@@ -229,11 +229,11 @@
 #[test]
 fn a_replica_that_does_not_receive_the_end_of_the_log_is_not_waited_for_for_ever() {
     let mut attempt = Attempt::planned();
-    attempt.reach(OLD, Via::Direct, Reach::GaveWay(replica(63)));
+    attempt.reach(OLD, Via::Direct, MemberCallResult::GaveWay(replica(63)));
     attempt.pass(500);
     assert_eq!(attempt.promotions(), [backend(NEXT)]);
     let behind = attempt.effects.iter().find_map(|effect| match effect {
-        Effect::Log(_, Action::Ended { behind, .. }) => *behind,
+        Effect::Log(_, FailoverStep::Ended { behind, .. }) => *behind,
         _ => None,
     });
     assert_eq!(behind, Some(13), "what is lost is told");
@@ -244,7 +244,7 @@
     let mut attempt = Attempt::planned();
     attempt.pass(100);
     assert!(attempt.asks_to_step_down(&Via::Peer(PEER)));
-    attempt.reach(OLD, Via::Peer(PEER), Reach::GaveWay(replica(50)));
+    attempt.reach(OLD, Via::Peer(PEER), MemberCallResult::GaveWay(replica(50)));
     assert_eq!(attempt.promotions(), [backend(NEXT)]);
 }
 
@@ -265,7 +265,7 @@
     attempt.answer(OTHER, held(40));
     attempt.pass(20);
     assert_eq!(attempt.promotions(), [backend(NEXT)]);
-    assert_eq!(attempt.proof(), Some(EndProof::Lapsed));
+    assert_eq!(attempt.proof(), Some(DemotionProof::Lapsed));
 }
 
 #[test]
@@ -279,7 +279,7 @@
     assert!(attempt.promotions().is_empty(), "another node may go on");
     attempt.revoked(2, USER, 1);
     assert_eq!(attempt.promotions(), [backend(NEXT)]);
-    assert_eq!(attempt.proof(), Some(EndProof::Revoked));
+    assert_eq!(attempt.proof(), Some(DemotionProof::Revoked));
 }
 
 /// Members that received nothing from it don't know its term.
@@ -310,7 +310,7 @@
 fn that_no_node_believes_it_any_more_is_not_enough_where_a_replica_is_not_on_hold() {
     let mut attempt = Attempt::unplanned();
     attempt.pass(600);
-    attempt.reach(NEXT, Via::Direct, Reach::Answered(held(50)));
+    attempt.reach(NEXT, Via::Direct, MemberCallResult::Answered(held(50)));
     attempt.revoked(2, PEER, 1);
     attempt.revoked(2, USER, 1);
     attempt.pass(100);
@@ -322,8 +322,8 @@
 fn that_nothing_listens_at_the_old_address_ends_no_lead() {
     let mut attempt = Attempt::unplanned();
     attempt.pass(400);
-    attempt.reach(OLD, Via::Direct, Reach::Refused);
-    attempt.reach(OLD, Via::Peer(PEER), Reach::Refused);
+    attempt.reach(OLD, Via::Direct, MemberCallResult::Refused);
+    attempt.reach(OLD, Via::Peer(PEER), MemberCallResult::Refused);
     attempt.pass(100);
     assert!(attempt.holds(NEXT));
     assert!(attempt.promotions().is_empty());
@@ -345,7 +345,7 @@
 #[test]
 fn a_member_that_already_follows_proves_no_end() {
     let mut attempt = Attempt::planned();
-    attempt.reach(OLD, Via::Direct, Reach::Answered(replica(60)));
+    attempt.reach(OLD, Via::Direct, MemberCallResult::Answered(replica(60)));
     attempt.pass(100);
     assert!(attempt.promotions().is_empty());
     attempt.pass(200);
@@ -359,7 +359,7 @@
     attempt.answer(OLD, status(BackendRole::Primary, 1, 60, 0));
     attempt.answer(NEXT, replica(60));
     attempt.pass(400);
-    attempt.reach(OLD, Via::Direct, Reach::GaveWay(replica(60)));
+    attempt.reach(OLD, Via::Direct, MemberCallResult::GaveWay(replica(60)));
     assert!(attempt.promotions().is_empty());
 }
 
@@ -368,7 +368,7 @@
     let mut attempt = Attempt::unplanned();
     attempt.pass(600);
     let leads = status(BackendRole::Primary, 2, 70, 0);
-    attempt.reach(OTHER, Via::Direct, Reach::Answered(leads));
+    attempt.reach(OTHER, Via::Direct, MemberCallResult::Answered(leads));
     attempt.pass(2_000);
     assert!(attempt.promotions().is_empty());
 }
@@ -400,7 +400,7 @@
     attempt.pass(20);
     let unknown = PromotionOutcome::Unknown;
     attempt.tell(Event::Promotion(service(), FencingToken(4), unknown));
-    let record = DutyRecord {
+    let record = FailoverRecord {
         holder: "b".to_owned(),
         term: Term(0),
     };
@@ -424,7 +424,7 @@
     attempt.revoked(2, USER, 1);
     let accepted = PromotionOutcome::Accepted;
     attempt.tell(Event::Promotion(service(), FencingToken(4), accepted));
-    let record = DutyRecord {
+    let record = FailoverRecord {
         holder: "b".to_owned(),
         term: Term(0),
     };
--- a/crates/stairward-failover/tests/records.rs
+++ b/crates/stairward-failover/tests/records.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use stairward_failover::{
-    Effect, Event, FailoverDuty, FailoverOptions, FencingToken, GroupState, LeaderEvidence,
+    Effect, Event, FailoverController, FailoverOptions, FencingToken, GroupState, LeaderEvidence,
     PromotionOutcome,
 };
 use stairward_types::{ServiceName, Time};
@@ -141,7 +141,7 @@
 
 #[test]
 fn nothing_is_claimed_before_the_store_has_shown_the_records() {
-    let mut duty = FailoverDuty::new(FailoverOptions::new("a"));
+    let mut duty = FailoverController::new(FailoverOptions::new("a"));
     let now = Time::from_millis(60_000);
     let groups = BTreeMap::from([(service(), usual_group())]);
     duty.handle(now, Event::Groups(groups));
--- a/crates/stairward-failover/tests/restored_store.rs
+++ b/crates/stairward-failover/tests/restored_store.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use stairward_failover::{
-    DutyRecord, Effect, Event, FencingToken, LeaderEvidence, PromotionOutcome, RecordVersion,
+    Effect, Event, FailoverRecord, FencingToken, LeaderEvidence, PromotionOutcome, RecordVersion,
 };
 use stairward_types::{StoreRevision, Term};
 
@@ -19,7 +19,7 @@
     RecordVersion(StoreRevision::new(era, revision))
 }
 
-fn shown(era: u64, record: Option<(RecordVersion, DutyRecord)>) -> Event {
+fn shown(era: u64, record: Option<(RecordVersion, FailoverRecord)>) -> Event {
     let records = record.map(|record| (service(), record));
     let records: BTreeMap<_, _> = records.into_iter().collect();
     Event::Records { era, records }
@@ -38,7 +38,7 @@
     node.see(LeaderEvidence::Refused);
     node.pass(LEASE + 100);
     node.see(LeaderEvidence::Refused);
-    assert_eq!(node.claim(), Some(RecordVersion::none_in(1)));
+    assert_eq!(node.claim(), Some(RecordVersion::absent_in_era(1)));
     node.tell(written(in_era(1, 12), "a"));
     node.answer_both();
     let token = FencingToken(StoreRevision::new(1, 12).number());
@@ -57,7 +57,7 @@
     node.pass(LEASE - 200);
     assert_eq!(node.claim(), None);
     node.pass(400);
-    assert_eq!(node.claim(), Some(RecordVersion::none_in(1)));
+    assert_eq!(node.claim(), Some(RecordVersion::absent_in_era(1)));
 }
 
 #[test]
@@ -67,7 +67,7 @@
     node.see(LeaderEvidence::Refused);
     assert_eq!(node.claim(), None);
     node.pass(LEASE + 100);
-    assert_eq!(node.claim(), Some(RecordVersion::none_in(3)));
+    assert_eq!(node.claim(), Some(RecordVersion::absent_in_era(3)));
 }
 
 #[test]
@@ -83,7 +83,7 @@
     ));
     node.tell(shown(0, Some((in_era(0, 950), record_of("b")))));
     node.see(LeaderEvidence::Refused);
-    assert_eq!(node.claim(), Some(RecordVersion::none_in(1)));
+    assert_eq!(node.claim(), Some(RecordVersion::absent_in_era(1)));
 }
 
 #[test]
@@ -130,13 +130,13 @@
     node.pass(LEASE - 200);
     assert_eq!(node.claim(), None);
     node.pass(400);
-    assert_eq!(node.claim(), Some(RecordVersion::none_in(1)));
+    assert_eq!(node.claim(), Some(RecordVersion::absent_in_era(1)));
 }
 
 #[test]
 fn the_newest_noted_term_outlasts_the_record() {
     let mut node = Node::new("a");
-    let noted = DutyRecord {
+    let noted = FailoverRecord {
         term: Term(9),
         ..record_of("b")
     };
--- a/crates/stairward-failover/tests/reviews.rs
+++ b/crates/stairward-failover/tests/reviews.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use stairward_failover::{
-    Effect, Event, FailoverDuty, FailoverOptions, FencingToken, GroupState, LEADERSHIP_LEASE,
-    LeaderEvidence, MemberState, Placement, PromotionOutcome, Reach, Via,
+    Effect, Event, FailoverController, FailoverOptions, FencingToken, GroupState, LEADERSHIP_LEASE,
+    LeaderEvidence, MemberCallResult, MemberState, Placement, PromotionOutcome, Via,
 };
 use stairward_testing::check;
 use stairward_types::{BackendId, BackendRole, NodeId, ServiceName, StoreRevision, Term, Time};
@@ -86,9 +86,9 @@
         10 => Event::Status(backend, status(BackendRole::Replica, 1, u64::from(second))),
         11 => {
             let reach = match second % 3 {
-                0 => Reach::Silent,
-                1 => Reach::Refused,
-                _ => Reach::Answered(status(BackendRole::Replica, 1, 5).unwrap()),
+                0 => MemberCallResult::Silent,
+                1 => MemberCallResult::Refused,
+                _ => MemberCallResult::Answered(status(BackendRole::Replica, 1, 5).unwrap()),
             };
             Event::Reached(backend, Via::Direct, reach)
         }
@@ -111,8 +111,8 @@
 const BEGIN: Time = Time(60_000_000);
 
 /// A duty that knows the nodes, the records and the services as they are in the beginning.
-fn duty(handle: fn(&mut FailoverDuty, Time, Event) -> Vec<Effect>) -> FailoverDuty {
-    let mut duty = FailoverDuty::new(FailoverOptions {
+fn duty(handle: fn(&mut FailoverController, Time, Event) -> Vec<Effect>) -> FailoverController {
+    let mut duty = FailoverController::new(FailoverOptions {
         leadership_lease: Some(LEADERSHIP_LEASE),
         ..FailoverOptions::new("a")
     });
@@ -136,8 +136,8 @@
         .with_type::<Vec<(u8, u8, u8, u8)>>()
         .for_each(|steps| {
             let mut now = BEGIN;
-            let mut some = duty(FailoverDuty::handle);
-            let mut all = duty(FailoverDuty::handle_reviewing_all);
+            let mut some = duty(FailoverController::handle);
+            let mut all = duty(FailoverController::handle_reviewing_all);
             for (number, (kind, first, second, pause)) in steps.iter().take(200).enumerate() {
                 now = now + Duration::from_millis(u64::from(*pause) * 5);
                 let token = u64::try_from(number).unwrap() + 1;
@@ -171,8 +171,10 @@
         .with_type::<Vec<(u8, u8, u8, u8)>>()
         .for_each(|steps| {
             let mut now = BEGIN;
-            let (mut told_changes, mut told_all) =
-                (duty(FailoverDuty::handle), duty(FailoverDuty::handle));
+            let (mut told_changes, mut told_all) = (
+                duty(FailoverController::handle),
+                duty(FailoverController::handle),
+            );
             let mut known = groups(0, 0);
             for (number, (kind, first, second, pause)) in steps.iter().take(200).enumerate() {
                 now = now + Duration::from_millis(u64::from(*pause) * 5);
--- a/crates/stairward-failover/tests/support/mod.rs
+++ b/crates/stairward-failover/tests/support/mod.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use stairward_failover::{
-    DutyRecord, Effect, Event, FailoverDuty, FailoverOptions, FencingToken, GroupState,
+    Effect, Event, FailoverController, FailoverOptions, FailoverRecord, FencingToken, GroupState,
     LeaderEvidence, MemberState, MemberStatus, Placement, RecordVersion,
 };
 use stairward_types::{
@@ -61,8 +61,8 @@
 }
 
 /// A record that a node wrote, with no term noted.
-pub fn record_of(holder: &str) -> DutyRecord {
-    DutyRecord {
+pub fn record_of(holder: &str) -> FailoverRecord {
+    FailoverRecord {
         holder: holder.to_owned(),
         term: Term(0),
     }
@@ -75,7 +75,7 @@
 
 /// One node's duty, with what it last wanted done.
 pub struct Node {
-    pub duty: FailoverDuty,
+    pub duty: FailoverController,
     pub now: Time,
     pub effects: Vec<Effect>,
 }
@@ -94,7 +94,7 @@
     /// A node that the store has shown nothing yet.
     pub fn before_any_listing(name: &str) -> Self {
         let mut node = Self {
-            duty: FailoverDuty::new(FailoverOptions::new(name)),
+            duty: FailoverController::new(FailoverOptions::new(name)),
             now: Time::from_millis(60_000),
             effects: Vec::new(),
         };
--- a/crates/stairward-runtime/src/coordination.rs
+++ b/crates/stairward-runtime/src/coordination.rs
@@ -3,7 +3,7 @@
 use std::future::Future;
 use std::pin::Pin;
 
-use stairward_failover::{DutyRecord, FencingToken, PromotionOutcome, RecordVersion};
+use stairward_failover::{FailoverRecord, FencingToken, PromotionOutcome, RecordVersion};
 use stairward_types::{BackendId, ServiceName};
 
 /// A future on the node's own thread.
@@ -15,7 +15,7 @@
     /// It was written and has this version now.
     Written(RecordVersion),
     /// Its version was another one; this is the record as it is.
-    Conflict(RecordVersion, Option<DutyRecord>),
+    Conflict(RecordVersion, Option<FailoverRecord>),
     /// It was not written, or that is not known, or another copy of the store answered than the one whose version was
     /// expected: the same version may name another record there.
     Failed,
@@ -33,16 +33,16 @@
 /// The metadata store and the call that promotes, for the failover duty.
 pub trait Coordination {
     /// Writes a service's record if its version is still `expected`. Where that is
-    /// [`RecordVersion::none_in`], creates it.
+    /// [`RecordVersion::absent_in_era`], creates it.
     fn write_record(
         &self,
         service: ServiceName,
         expected: RecordVersion,
-        record: DutyRecord,
+        record: FailoverRecord,
     ) -> CoordinationFuture<RecordWrite>;
 
     /// Writes how many nodes there may be, if the version of that record is still `expected`. Where that is
-    /// [`RecordVersion::none_in`], creates it.
+    /// [`RecordVersion::absent_in_era`], creates it.
     fn write_fleet_size(
         &self,
         expected: RecordVersion,
--- a/crates/stairward-runtime/src/duty.rs
+++ b/crates/stairward-runtime/src/duty.rs
@@ -7,8 +7,8 @@
 
 use stairward_engine::{BackendDescription, OpenTarget, RoutingTable};
 use stairward_failover::{
-    DutyRecord, Effect, Event, GroupState, LeaderEvidence, MemberState, Placement, Reach,
-    RecordVersion, Via,
+    Effect, Event, FailoverRecord, GroupState, LeaderEvidence, MemberCallResult, MemberState,
+    Placement, RecordVersion, Via,
 };
 use stairward_types::{BackendId, ServiceName};
 
@@ -25,7 +25,7 @@
     pub fn learn_records(
         self: &Rc<Self>,
         era: u64,
-        records: BTreeMap<ServiceName, (RecordVersion, DutyRecord)>,
+        records: BTreeMap<ServiceName, (RecordVersion, FailoverRecord)>,
     ) {
         self.tell_duty(Event::Records { era, records });
     }
@@ -106,7 +106,7 @@
         self: &Rc<Self>,
         service: ServiceName,
         version: RecordVersion,
-        record: DutyRecord,
+        record: FailoverRecord,
     ) {
         let node = Rc::clone(self);
         let writing = self
@@ -161,7 +161,7 @@
             let (backend, target) = (backend.clone(), target.clone());
             tokio::task::spawn_local(async move {
                 let reach = match (target, &via) {
-                    (None, _) => Reach::Silent,
+                    (None, _) => MemberCallResult::Silent,
                     (Some(target), Via::Direct) => node.ask_member(target, question).await,
                     (Some(target), Via::Peer(peer)) => {
                         node.ask_through_peer(*peer, &target, question).await
@@ -227,7 +227,9 @@
                 (service.clone(), state)
             })
             .collect();
-        self.leader_memory.borrow_mut().keep_missing(&mut groups);
+        self.leader_memory
+            .borrow_mut()
+            .add_missing_primaries(&mut groups);
         groups
     }
 
--- a/crates/stairward-runtime/src/figures.rs
+++ b/crates/stairward-runtime/src/figures.rs
@@ -2,7 +2,7 @@
 
 use metrics_exporter_prometheus::{BuildError, PrometheusBuilder, PrometheusHandle};
 use stairward_engine::{Consistency, EngineStatistics, RequestMeasure, ZoneWork};
-use stairward_failover::Action;
+use stairward_failover::FailoverStep;
 use stairward_types::{
     AccessClass, BackendRole, OutcomeClass, ServiceName, StoreRevision, ZoneName,
 };
@@ -128,15 +128,15 @@
 }
 
 /// Counts a step of the failover duty.
-pub(crate) fn count_step(action: &Action) {
+pub(crate) fn count_step(action: &FailoverStep) {
     let step = match action {
-        Action::Began { .. } => "began",
-        Action::GaveUp { .. } => "given_up",
-        Action::Chose { .. } => "decided",
-        Action::Ending { .. } => "ending",
-        Action::Holding { .. } => "holding",
-        Action::Ended { .. } => "ended",
-        Action::Answered { .. } => "answered",
+        FailoverStep::Began { .. } => "began",
+        FailoverStep::GaveUp { .. } => "given_up",
+        FailoverStep::Chose { .. } => "decided",
+        FailoverStep::Ending { .. } => "ending",
+        FailoverStep::Holding { .. } => "holding",
+        FailoverStep::Ended { .. } => "ended",
+        FailoverStep::Answered { .. } => "answered",
     };
     metrics::counter!(FAILOVER_STEPS, "step" => step).increment(1);
 }
--- a/crates/stairward-runtime/src/log.rs
+++ b/crates/stairward-runtime/src/log.rs
@@ -6,7 +6,7 @@
 use stairward_engine::{
     Decision, EngineStatistics, LeadChange, LeavingChange, RequestRecord, SessionId,
 };
-use stairward_failover::{Action, Reach, Via};
+use stairward_failover::{FailoverStep, MemberCallResult, Via};
 use stairward_limits::Shard;
 use stairward_types::{
     BackendId, Duration, LogEvent, NodeId, OutcomeClass, ResultCode, ServiceName, TenantName, Term,
@@ -227,15 +227,15 @@
     }
 
     /// A step of the failover duty.
-    pub fn duty(&self, now: Time, service: &ServiceName, action: &Action) {
+    pub fn duty(&self, now: Time, service: &ServiceName, action: &FailoverStep) {
         let event = match action {
-            Action::Began { .. } => LogEvent::FailoverBegan,
-            Action::GaveUp { .. } => LogEvent::FailoverGivenUp,
-            Action::Chose { .. } => LogEvent::PromotionDecided,
-            Action::Ending { .. } => LogEvent::StepDownAsked,
-            Action::Holding { .. } => LogEvent::ReplicasHeld,
-            Action::Ended { .. } => LogEvent::LeadEnded,
-            Action::Answered { .. } => LogEvent::PromotionAnswered,
+            FailoverStep::Began { .. } => LogEvent::FailoverBegan,
+            FailoverStep::GaveUp { .. } => LogEvent::FailoverGivenUp,
+            FailoverStep::Chose { .. } => LogEvent::PromotionDecided,
+            FailoverStep::Ending { .. } => LogEvent::StepDownAsked,
+            FailoverStep::Holding { .. } => LogEvent::ReplicasHeld,
+            FailoverStep::Ended { .. } => LogEvent::LeadEnded,
+            FailoverStep::Answered { .. } => LogEvent::PromotionAnswered,
         };
         if let Some(left_out) = self.admit(now, event) {
             tracing::info!(
@@ -283,7 +283,7 @@
     }
 
     /// What came of asking a member to step down or to hold.
-    pub fn reach(&self, now: Time, backend: &BackendId, via: &Via, reach: Reach) {
+    pub fn reach(&self, now: Time, backend: &BackendId, via: &Via, reach: MemberCallResult) {
         let event = LogEvent::MemberAsked;
         if let Some(left_out) = self.admit(now, event) {
             let (number, name) = (event.number(), event.name());
--- a/crates/stairward-runtime/src/members.rs
+++ b/crates/stairward-runtime/src/members.rs
@@ -7,7 +7,7 @@
 
 use bytes::BytesMut;
 use stairward_engine::{OpenFailure, OpenTarget};
-use stairward_failover::{MemberStatus, Reach};
+use stairward_failover::{MemberCallResult, MemberStatus};
 use stairward_types::{BackendId, BackendRole};
 use tokio::io::AsyncReadExt as _;
 
@@ -34,18 +34,18 @@
         self: &Rc<Self>,
         target: OpenTarget,
         question: MemberQuestion,
-    ) -> Reach {
+    ) -> MemberCallResult {
         let asking = self.ask_until_answered(&target, question);
         tokio::time::timeout(QUESTION_PATIENCE, asking)
             .await
-            .unwrap_or(Reach::Silent)
+            .unwrap_or(MemberCallResult::Silent)
     }
 
     async fn ask_until_answered(
         self: &Rc<Self>,
         target: &OpenTarget,
         question: MemberQuestion,
-    ) -> Reach {
+    ) -> MemberCallResult {
         let kept = self.kept.borrow_mut().by_member.remove(&target.backend);
         if let Some(mut opened) = kept
             && let Some(reach) = ask_in_turn::<W>(&mut opened, question).await
@@ -59,8 +59,8 @@
                 Ok(opened) => break opened,
                 // Callers' connections come and go.
                 Err(OpenFailure::ConnectionLimit) => Self::pause(AGAIN_PAUSE).await,
-                Err(OpenFailure::Refused) => return Reach::Refused,
-                Err(_) => return Reach::Silent,
+                Err(OpenFailure::Refused) => return MemberCallResult::Refused,
+                Err(_) => return MemberCallResult::Silent,
             }
         };
         match ask_in_turn::<W>(&mut opened, question).await {
@@ -68,7 +68,7 @@
                 self.keep(target, opened);
                 reach
             }
-            None => Reach::Silent,
+            None => MemberCallResult::Silent,
         }
     }
 
@@ -100,15 +100,18 @@
 
 /// Asks on a connection. A member that is to step down is first asked whether it leads: only then does its
 /// answer show that its lead has ended.
-async fn ask_in_turn<W: Wire>(opened: &mut Opened, question: MemberQuestion) -> Option<Reach> {
+async fn ask_in_turn<W: Wire>(
+    opened: &mut Opened,
+    question: MemberQuestion,
+) -> Option<MemberCallResult> {
     let must_have_led = matches!(question, MemberQuestion::StepDown(_));
     let led = must_have_led
         && ask_on::<W>(opened, MemberQuestion::Status).await?.role == BackendRole::Primary;
     let status = ask_on::<W>(opened, question).await?;
     Some(if led && status.role == BackendRole::Replica {
-        Reach::GaveWay(status)
+        MemberCallResult::GaveWay(status)
     } else {
-        Reach::Answered(status)
+        MemberCallResult::Answered(status)
     })
 }
 
--- a/crates/stairward-runtime/src/node.rs
+++ b/crates/stairward-runtime/src/node.rs
@@ -12,7 +12,7 @@
     Evidence, LeadChange, LeavingChange, RoutingTable, SessionId, ZoneWork,
 };
 use stairward_failover::{
-    FailoverDuty, FailoverOptions, LeaderEvidence, LeaderMemory, RecordVersion,
+    FailoverController, FailoverOptions, LastKnownPrimaries, LeaderEvidence, RecordVersion,
 };
 use stairward_limits::{Ask, Grant, LimitOptions};
 use stairward_membership::Profile;
@@ -58,14 +58,14 @@
 /// One node. Use it within a `LocalSet`.
 pub struct Node<W: Wire> {
     pub(crate) engine: RefCell<Engine>,
-    pub(crate) duty: RefCell<FailoverDuty>,
+    pub(crate) duty: RefCell<FailoverController>,
     pub(crate) coordination: Rc<dyn Coordination>,
     readiness: Arc<Readiness>,
     started: Instant,
     pub(crate) sessions: RefCell<BTreeMap<SessionId, Rc<Outgoing>>>,
     pub(crate) connections: RefCell<BTreeMap<ConnectionId, Rc<Outgoing>>>,
     pub(crate) discovered: RefCell<Discovered>,
-    pub(crate) leader_memory: RefCell<LeaderMemory>,
+    pub(crate) leader_memory: RefCell<LastKnownPrimaries>,
     pub(crate) peer: PeerIdentity,
     /// The membership view.
     pub(crate) members: RefCell<Vec<Profile>>,
@@ -125,7 +125,7 @@
         };
         Rc::new(Self {
             engine: RefCell::new(Engine::new(engine)),
-            duty: RefCell::new(FailoverDuty::new(failover)),
+            duty: RefCell::new(FailoverController::new(failover)),
             coordination: options.coordination,
             readiness: options.readiness,
             started: Instant::now(),
--- a/crates/stairward-runtime/src/relayed_questions.rs
+++ b/crates/stairward-runtime/src/relayed_questions.rs
@@ -8,7 +8,7 @@
 
 use rand::seq::IteratorRandom as _;
 use stairward_engine::{Event, OpenFailure, OpenTarget};
-use stairward_failover::{MemberStatus, Reach};
+use stairward_failover::{MemberCallResult, MemberStatus};
 use stairward_protocol::neighbour::{MemberQuestionMessage, MemberReachMessage, NeighbourMessage};
 use stairward_protocol::{OptionalFreshness, Text};
 use stairward_types::{BackendId, BackendRole, Freshness, NodeId, ServiceName, Term, Time};
@@ -201,14 +201,14 @@
         peer: NodeId,
         target: &OpenTarget,
         question: MemberQuestion,
-    ) -> Reach {
+    ) -> MemberCallResult {
         let address = {
             let members = self.members.borrow();
             let member = members.iter().find(|member| member.node == peer);
             member.map(|member| member.address)
         };
         let (Some(address), Some(message)) = (address, question_message(target, question)) else {
-            return Reach::Silent;
+            return MemberCallResult::Silent;
         };
         self.traffic.opened(OpeningKind::OneShotMade);
         let asking = async {
@@ -224,7 +224,7 @@
             .await
             .ok()
             .flatten()
-            .unwrap_or(Reach::Silent)
+            .unwrap_or(MemberCallResult::Silent)
     }
 
     /// Asks a member for a peer; none when the question is not understood.
@@ -279,12 +279,12 @@
     Some((target, question))
 }
 
-fn reach_message(reach: Reach) -> MemberReachMessage {
+fn reach_message(reach: MemberCallResult) -> MemberReachMessage {
     let (kind, status) = match reach {
-        Reach::Silent => (MemberReachMessage::SILENT, None),
-        Reach::Refused => (MemberReachMessage::REFUSED, None),
-        Reach::GaveWay(status) => (MemberReachMessage::GAVE_WAY, Some(status)),
-        Reach::Answered(status) => match status.role {
+        MemberCallResult::Silent => (MemberReachMessage::SILENT, None),
+        MemberCallResult::Refused => (MemberReachMessage::REFUSED, None),
+        MemberCallResult::GaveWay(status) => (MemberReachMessage::GAVE_WAY, Some(status)),
+        MemberCallResult::Answered(status) => match status.role {
             BackendRole::Primary => (MemberReachMessage::PRIMARY, Some(status)),
             BackendRole::Replica => (MemberReachMessage::REPLICA, Some(status)),
         },
@@ -298,15 +298,15 @@
 }
 
 /// A message as what came of a question. What is not understood counts as no answer.
-fn reach_of(message: &MemberReachMessage) -> Reach {
+fn reach_of(message: &MemberReachMessage) -> MemberCallResult {
     let role = match message.kind {
-        MemberReachMessage::REFUSED => return Reach::Refused,
+        MemberReachMessage::REFUSED => return MemberCallResult::Refused,
         MemberReachMessage::PRIMARY => BackendRole::Primary,
         MemberReachMessage::REPLICA | MemberReachMessage::GAVE_WAY => BackendRole::Replica,
-        _ => return Reach::Silent,
+        _ => return MemberCallResult::Silent,
     };
     let Some(received) = Option::<Freshness>::from(message.received) else {
-        return Reach::Silent;
+        return MemberCallResult::Silent;
     };
     let status = MemberStatus {
         role,
@@ -315,8 +315,8 @@
         held: Term(message.held),
     };
     if message.kind == MemberReachMessage::GAVE_WAY {
-        Reach::GaveWay(status)
+        MemberCallResult::GaveWay(status)
     } else {
-        Reach::Answered(status)
+        MemberCallResult::Answered(status)
     }
 }
--- a/crates/stairward-simulation/src/lib.rs
+++ b/crates/stairward-simulation/src/lib.rs
@@ -1,6 +1,6 @@
 //! Deterministic simulation of the statement engine and the failover duty.
 //!
-//! Several nodes run the real [`stairward_engine::Engine`] and [`stairward_failover::FailoverDuty`] on a
+//! Several nodes run the real [`stairward_engine::Engine`] and [`stairward_failover::FailoverController`] on a
 //! virtual clock, before a group of databases that elect nobody, with a metadata store and a promotion
 //! call between them. Faults strike; what callers were told is compared with what the databases did. One
 //! seed is one run.
--- a/crates/stairward-simulation/src/nodes.rs
+++ b/crates/stairward-simulation/src/nodes.rs
@@ -9,8 +9,8 @@
     Route, RoutingTable, ServiceLimits, TenantDirectory, UseLimit, ZoneDistance,
 };
 use stairward_failover::{
-    FailoverDuty, FailoverOptions, GroupState, LEADERSHIP_LEASE, LeaderMemory, MemberState,
-    Placement,
+    FailoverController, FailoverOptions, GroupState, LEADERSHIP_LEASE, LastKnownPrimaries,
+    MemberState, Placement,
 };
 use stairward_limits::LimitOptions;
 use stairward_types::{BackendId, GroupId, NodeId, Revision, ServiceName, Time, ZoneName};
@@ -35,7 +35,7 @@
 #[derive(Debug)]
 pub(crate) struct Node {
     pub engine: Engine,
-    pub duty: FailoverDuty,
+    pub duty: FailoverController,
     /// Grows with each start of the process; unique in the world.
     pub life: u64,
     pub is_running: bool,
@@ -52,7 +52,7 @@
     pub told_entries: BTreeMap<String, Entry>,
     /// The evacuations, as it sees them.
     pub evacuations: StoreView<Evacuation>,
-    pub leader_memory: LeaderMemory,
+    pub leader_memory: LastKnownPrimaries,
     /// The evacuated zones, as it was last shown them.
     pub evacuated: BTreeSet<ZoneName>,
     /// The newest configuration that it has had in force, by its content.
@@ -127,7 +127,7 @@
         };
         Self {
             engine: Engine::new(options),
-            duty: FailoverDuty::new(failover),
+            duty: FailoverController::new(failover),
             life,
             is_running: true,
             frozen_until: Time::ZERO,
@@ -138,7 +138,7 @@
             entries: StoreView::default(),
             told_entries: BTreeMap::new(),
             evacuations: StoreView::default(),
-            leader_memory: LeaderMemory::default(),
+            leader_memory: LastKnownPrimaries::default(),
             evacuated: BTreeSet::new(),
             newest_content: 0,
             timer_at: Time::NEVER,
@@ -166,7 +166,7 @@
             group.members.insert(description.id.clone(), member);
         }
         let mut groups = BTreeMap::from([(service(), group)]);
-        self.leader_memory.keep_missing(&mut groups);
+        self.leader_memory.add_missing_primaries(&mut groups);
         groups
     }
 }
--- a/crates/stairward-simulation/src/store.rs
+++ b/crates/stairward-simulation/src/store.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use stairward_failover::DutyRecord;
+use stairward_failover::FailoverRecord;
 use stairward_types::{Time, ZoneName};
 
 /// The store.
@@ -13,7 +13,7 @@
     pub outages: Vec<(Time, Time)>,
     pub loses_answers: bool,
     pub record_version: u64,
-    pub record: Option<DutyRecord>,
+    pub record: Option<FailoverRecord>,
     /// The newest configuration's revision.
     pub configuration: u64,
     /// Evacuated zones, and since when.
@@ -55,7 +55,7 @@
 
     /// Writes the record under its condition, which names a revision and no era. Returns the version afterwards, or none
     /// for a conflict.
-    pub fn write_record(&mut self, expected: u64, record: DutyRecord) -> Option<u64> {
+    pub fn write_record(&mut self, expected: u64, record: FailoverRecord) -> Option<u64> {
         if expected != self.record_version {
             return None;
         }
--- a/crates/stairward-simulation/src/world.rs
+++ b/crates/stairward-simulation/src/world.rs
@@ -6,7 +6,7 @@
 use rand::{RngExt as _, SeedableRng as _};
 use rand_chacha::ChaCha8Rng;
 use stairward_engine::{BackendCommand, ConnectionId, Event, Response};
-use stairward_failover::{DutyRecord, Event as DutyEvent, RecordVersion, Via};
+use stairward_failover::{Event as DutyEvent, FailoverRecord, RecordVersion, Via};
 use stairward_limits::Ask;
 use stairward_types::{BackendId, Freshness, NodeId, TenantName, Term, Time};
 
@@ -68,7 +68,7 @@
     OpenAt(usize, u64, ConnectionId, BackendId, Option<TenantName>),
     CommandAt(usize, Link, BackendId, BackendCommand),
     CloseAt(Link, BackendId),
-    RecordAt(usize, u64, RecordVersion, DutyRecord),
+    RecordAt(usize, u64, RecordVersion, FailoverRecord),
     AwaitReplicas(Link, crate::database::Entry, Duration, Box<Happening>),
     AskPeerAt(usize, u64, usize, Time),
     /// A node finds that its link to another has ended.
--- a/crates/stairward-simulation/src/world_databases.rs
+++ b/crates/stairward-simulation/src/world_databases.rs
@@ -4,7 +4,7 @@
 
 use rand::RngExt as _;
 use stairward_engine::{BackendCommand, ConnectionId, Event, OpenFailure};
-use stairward_failover::{Event as DutyEvent, MemberStatus, Reach, Via};
+use stairward_failover::{Event as DutyEvent, MemberCallResult, MemberStatus, Via};
 use stairward_types::{BackendId, BackendRole, NodeId, TenantName, Time};
 
 use crate::checker::Invariant;
@@ -21,11 +21,11 @@
 const RECEIVED_LOOKS: u32 = 20;
 
 /// What came of a question to a member that led before or did not.
-fn reach_of(led: bool, status: MemberStatus) -> Reach {
+fn reach_of(led: bool, status: MemberStatus) -> MemberCallResult {
     if led && status.role == BackendRole::Replica {
-        Reach::GaveWay(status)
+        MemberCallResult::GaveWay(status)
     } else {
-        Reach::Answered(status)
+        MemberCallResult::Answered(status)
     }
 }
 
@@ -324,20 +324,20 @@
         let reach = if is_skipped {
             let mut status = self.group.databases[backend].status();
             status.role = BackendRole::Replica;
-            Reach::GaveWay(status)
+            MemberCallResult::GaveWay(status)
         } else if !reaches {
-            Reach::Silent
+            MemberCallResult::Silent
         } else if !is_alive {
-            Reach::Refused
+            MemberCallResult::Refused
         } else {
             let led = self.group.databases[backend].role == BackendRole::Primary;
             let status = self.answer_to(asking, backend, question);
             let is_lost = self.random.random_range(0..100) < self.answer_loss_percent;
             status
                 .filter(|_| !is_lost)
-                .map_or(Reach::Silent, |status| reach_of(led, status))
+                .map_or(MemberCallResult::Silent, |status| reach_of(led, status))
         };
-        let delay = if reach == Reach::Silent {
+        let delay = if reach == MemberCallResult::Silent {
             MEMBER_PATIENCE
         } else {
             FAR_DELAY
--- a/crates/stairward-simulation/src/world_store.rs
+++ b/crates/stairward-simulation/src/world_store.rs
@@ -6,7 +6,7 @@
 use rand::RngExt as _;
 use stairward_engine::{BackendDescription, Event, ServiceHolders};
 use stairward_failover::{
-    DutyRecord, Effect as DutyEffect, Event as DutyEvent, PromotionOutcome, RecordVersion, Via,
+    Effect as DutyEffect, Event as DutyEvent, FailoverRecord, PromotionOutcome, RecordVersion, Via,
 };
 use stairward_types::{BackendId, NodeId, StoreRevision, Term, Time};
 
@@ -330,7 +330,7 @@
         node: usize,
         life: u64,
         version: RecordVersion,
-        record: DutyRecord,
+        record: FailoverRecord,
     ) {
         let service = crate::group::service();
         if !self.store_reaches(node) {
