--- a/crates/stairward-failover/src/duty.rs
+++ b/crates/stairward-failover/src/duty.rs
@@ -226,9 +226,9 @@
         match event {
             Event::Groups(groups) => self.set_groups(now, groups),
             Event::GroupsChanged(groups) => self.change_groups(now, groups),
-            Event::Nodes(nodes) => self.nodes = nodes.max(1),
-            Event::Peers(peers) => self.peers = peers,
-            Event::Users(users) => self.users = users,
+            Event::NodeCount(nodes) => self.nodes = nodes.max(1),
+            Event::RelayPeers(peers) => self.peers = peers,
+            Event::LeaderUsers(users) => self.users = users,
             Event::Revoked {
                 service,
                 term,
@@ -236,7 +236,9 @@
                 newest,
             } => self.user_revoked(now, &service, term, user, newest),
             Event::Evidence(backend, evidence) => self.note_evidence(now, backend, evidence),
-            Event::Lead(service, is_revoked) => self.note_lead(now, service, is_revoked),
+            Event::LeadershipRevoked(service, is_revoked) => {
+                self.note_lead(now, service, is_revoked)
+            }
             Event::Suspicion(node, silent) => {
                 self.verify(now, node, &silent);
                 self.evidence.note_other(now, node, silent);
@@ -251,8 +253,10 @@
                 self.record_written(now, &service, version, record);
             }
             Event::RecordFailed(service) => self.record_failed(now, &service),
-            Event::Status(backend, status) => self.take_status(&backend, status),
-            Event::Reached(backend, via, reach) => self.take_reach(now, &backend, &via, reach),
+            Event::StatusReply(backend, status) => self.take_status(&backend, status),
+            Event::MemberCallEnded(backend, via, reach) => {
+                self.take_reach(now, &backend, &via, reach)
+            }
             Event::Promotion(service, token, outcome) => {
                 self.promotion_ended(now, &service, token, outcome);
             }
@@ -297,7 +301,7 @@
         self.reported_at = now;
         self.has_news = false;
         let silent = self.evidence.silent().clone();
-        self.effects.push(Effect::Report(silent));
+        self.effects.push(Effect::ReportSilent(silent));
     }
 
     /// Others count a report for a while only.
--- a/crates/stairward-failover/src/duty/asking.rs
+++ b/crates/stairward-failover/src/duty/asking.rs
@@ -31,7 +31,7 @@
                 ending.ask_replica(id.clone(), &[Via::Direct]);
                 let ways = vec![Via::Direct];
                 self.effects
-                    .push(Effect::HoldBy(id.clone(), ending.term, ways));
+                    .push(Effect::HoldVia(id.clone(), ending.term, ways));
                 continue;
             }
             self.effects.push(Effect::Hold(id.clone(), term));
@@ -49,7 +49,7 @@
                 continue;
             }
             attempt.asked.insert(id.clone());
-            self.effects.push(Effect::Ask(id.clone()));
+            self.effects.push(Effect::QueryStatus(id.clone()));
         }
     }
 
@@ -92,11 +92,11 @@
         else {
             return;
         };
-        let is_late = now.since(attempt.since) >= self.options.ask_patience;
+        let is_late = now.since(attempt.since) >= self.options.status_timeout;
         // Where an old primary is ended before another leads, there is time for its answer later.
         let old_patience = match self.options.leadership_lease {
-            Some(_) => self.options.step_down_patience,
-            None => self.options.ask_patience,
+            Some(_) => self.options.step_down_timeout,
+            None => self.options.status_timeout,
         };
         let old_may_live = attempt.old.as_ref().is_some_and(|old| {
             !attempt.is_planned
--- a/crates/stairward-failover/src/duty/claim.rs
+++ b/crates/stairward-failover/src/duty/claim.rs
@@ -210,7 +210,7 @@
         let is_late = self
             .attempts
             .get(service)
-            .is_some_and(|attempt| now.since(attempt.since) > self.options.call_patience);
+            .is_some_and(|attempt| now.since(attempt.since) > self.options.call_timeout);
         if is_late {
             self.give_up(now, service, "the store does not answer");
         }
--- a/crates/stairward-failover/src/duty/ending_steps.rs
+++ b/crates/stairward-failover/src/duty/ending_steps.rs
@@ -73,7 +73,7 @@
             ending.ask_replica(id.clone(), &ways);
             attempt.held.insert(id.clone());
             replicas += 1;
-            self.effects.push(Effect::HoldBy(id.clone(), term, ways));
+            self.effects.push(Effect::HoldVia(id.clone(), term, ways));
         }
         ending.ask_users(self.users.clone());
         let revoke = Effect::Revoke(service.clone(), term, self.users.clone());
@@ -159,7 +159,7 @@
 
     /// The old primary's lead is not over yet: others are asked to help, or replicas put on hold.
     pub(super) fn press_ending(&mut self, now: Time, service: &ServiceName) {
-        let patience = self.options.step_down_patience;
+        let patience = self.options.step_down_timeout;
         let Some(attempt) = self.attempts.get_mut(service) else {
             return;
         };
@@ -180,7 +180,7 @@
             ending.ask_replica(replica.clone(), &peers);
             if !peers.is_empty() {
                 self.effects
-                    .push(Effect::HoldBy(replica, term, peers.clone()));
+                    .push(Effect::HoldVia(replica, term, peers.clone()));
             }
         }
         let has_waited = now >= ending.began() + patience || ending.is_old_unreachable();
@@ -203,7 +203,7 @@
             ending.verifying_since = Some(now);
             attempt.asked = held.clone();
             for member in held {
-                self.effects.push(Effect::Ask(member));
+                self.effects.push(Effect::QueryStatus(member));
             }
             return false;
         };
@@ -218,7 +218,7 @@
             if held.iter().all(is_held) {
                 return true;
             }
-        } else if now < since + self.options.ask_patience {
+        } else if now < since + self.options.status_timeout {
             return false;
         }
         self.begin_ending(now, service);
@@ -233,7 +233,7 @@
         service: &ServiceName,
         all: Freshness,
     ) -> bool {
-        let patience = self.options.catch_up_patience;
+        let patience = self.options.catch_up_timeout;
         let (Some(group), Some(attempt)) =
             (self.groups.get(service), self.attempts.get_mut(service))
         else {
@@ -252,7 +252,8 @@
             for (id, member) in &group.members {
                 if Some(id) != attempt.old.as_ref() && member.is_listed {
                     attempt.asked.insert(id.clone());
-                    self.effects.push(Effect::AskReceived(id.clone(), all));
+                    self.effects
+                        .push(Effect::QueryUntilReceived(id.clone(), all));
                 }
             }
         }
--- a/crates/stairward-failover/src/duty/promotion.rs
+++ b/crates/stairward-failover/src/duty/promotion.rs
@@ -46,7 +46,7 @@
         let Some(attempt) = self.attempts.get(service) else {
             return;
         };
-        let is_late = now.since(attempt.since) > self.options.call_patience;
+        let is_late = now.since(attempt.since) > self.options.call_timeout;
         let has_taken_effect = !attempt.target_led && self.target_leads(service);
         if is_late || has_taken_effect {
             self.promotion_unknown(now, service);
@@ -127,7 +127,7 @@
         let Some(attempt) = self.attempts.get(service) else {
             return;
         };
-        let is_over = now.since(attempt.since) > self.options.settle_patience;
+        let is_over = now.since(attempt.since) > self.options.promotion_timeout;
         // An earlier promotion that was accepted just before this one still takes its time to take effect.
         let may_end_early = !attempt.must_fence;
         if is_over || (may_end_early && self.target_leads(service)) {
@@ -140,7 +140,7 @@
                 self.evidence.forget(&old);
             }
             self.pauses
-                .insert(service.clone(), now + self.options.pause);
+                .insert(service.clone(), now + self.options.retry_delay);
         }
     }
 
@@ -151,7 +151,7 @@
             .and_then(|attempt| attempt.ending.as_ref())
             .is_some_and(|ending| ending.holding_since.is_some());
         if was_announced {
-            let settle = Effect::Settle(service.clone(), self.users.clone());
+            let settle = Effect::AnnounceAttemptEnded(service.clone(), self.users.clone());
             self.effects.push(settle);
         }
     }
@@ -173,7 +173,7 @@
         {
             // An earlier promotion may still be carried out: go on until a later one is answered.
             attempt.enter(Stage::Queued, now);
-            attempt.not_before = now + self.options.pause;
+            attempt.not_before = now + self.options.retry_delay;
             return self.log(service, FailoverStep::GaveUp { reason });
         }
         // Only whoever has the duty lets replicas go: another one may have put them on hold since. And they stay
@@ -187,7 +187,7 @@
         }
         self.attempts.remove(service);
         self.pauses
-            .insert(service.clone(), now + self.options.pause);
+            .insert(service.clone(), now + self.options.retry_delay);
         self.log(service, FailoverStep::GaveUp { reason });
     }
 }
--- a/crates/stairward-failover/src/duty/trigger.rs
+++ b/crates/stairward-failover/src/duty/trigger.rs
@@ -75,9 +75,10 @@
         let missing_since = self.missing_since.get(service);
         let has_returned = self
             .lapsed_at
-            .is_none_or(|at| now >= at + self.options.return_patience);
+            .is_none_or(|at| now >= at + self.options.mass_expiry_grace);
         let is_missing_long = has_returned
-            && missing_since.is_some_and(|since| now >= *since + self.options.missing_patience);
+            && missing_since
+                .is_some_and(|since| now >= *since + self.options.missing_primary_delay);
         let Some(leader) = Self::announced_leader(group) else {
             return is_missing_long.then_some(Trigger::Leaderless);
         };
@@ -102,7 +103,7 @@
         }
         let revoked_since = self.revoked_since.get(service);
         let is_revoked_long =
-            revoked_since.is_some_and(|since| now >= *since + self.options.missing_patience);
+            revoked_since.is_some_and(|since| now >= *since + self.options.missing_primary_delay);
         if is_revoked_long {
             return Some(Trigger::Held);
         }
--- a/crates/stairward-failover/src/event.rs
+++ b/crates/stairward-failover/src/event.rs
@@ -156,11 +156,11 @@
     /// Services of which some members or their state have changed; all others are as they were.
     GroupsChanged(BTreeMap<ServiceName, GroupState>),
     /// How many nodes there are.
-    Nodes(u32),
+    NodeCount(u32),
     /// Nodes that may pass questions on to members, whole.
-    Peers(Vec<NodeId>),
+    RelayPeers(Vec<NodeId>),
     /// All other nodes that may use a leader: those that live, and those that were seen to live a while ago.
-    Users(BTreeSet<NodeId>),
+    LeaderUsers(BTreeSet<NodeId>),
     /// A node believes no leader of a service any more whose term is below this one.
     Revoked {
         /// The service.
@@ -175,7 +175,7 @@
     /// Use of a back end showed something.
     Evidence(BackendId, LeaderEvidence),
     /// Whether replicas of a service wait for a later term than its leader's.
-    Lead(ServiceName, bool),
+    LeadershipRevoked(ServiceName, bool),
     /// Which back ends another node finds silent, whole.
     Suspicion(NodeId, BTreeSet<BackendId>),
     /// This node has looked at a back end for another, as [`Effect::Verify`] asked, and found it silent.
@@ -196,9 +196,9 @@
     /// A service's record was not written, or that is not known.
     RecordFailed(ServiceName),
     /// A member that was asked for its status, or put on hold, answered, or did not.
-    Status(BackendId, Option<MemberStatus>),
+    StatusReply(BackendId, Option<MemberStatus>),
     /// What came of asking a member to step down or to hold, by one way.
-    Reached(BackendId, Via, MemberCallResult),
+    MemberCallEnded(BackendId, Via, MemberCallResult),
     /// A promotion was answered, or was not.
     Promotion(ServiceName, FencingToken, PromotionOutcome),
     /// Time has passed; see [`crate::FailoverController::next_wake`].
@@ -272,7 +272,7 @@
     /// [`Event::Record`] and [`Event::RecordFailed`] or the latter alone.
     WriteRecord(ServiceName, RecordVersion, FailoverRecord),
     /// Tell some other nodes which back ends this node finds silent, whole.
-    Report(BTreeSet<BackendId>),
+    ReportSilent(BTreeSet<BackendId>),
     /// Look whether a back end that another node finds silent accepts connections. If it gives no sign of life either,
     /// tell that node, which hears [`Event::Verified`], and answer with [`Event::FoundSilent`].
     Verify {
@@ -282,25 +282,25 @@
         asker: NodeId,
     },
     /// Ask a member for its status.
-    Ask(BackendId),
+    QueryStatus(BackendId),
     /// Ask a member for its status until it has received this, or for as long as it makes sense; answered with
-    /// [`Event::Status`] once.
-    AskReceived(BackendId, Freshness),
+    /// [`Event::StatusReply`] once.
+    QueryUntilReceived(BackendId, Freshness),
     /// Keep a replica from receiving in any term below this one, and ask it for its status.
     Hold(BackendId, Term),
     /// Let a replica receive again.
     Resume(BackendId),
     /// Ask a primary to give way to this term, by each of these ways; each is answered with
-    /// [`Event::Reached`].
+    /// [`Event::MemberCallEnded`].
     StepDown(BackendId, Term, Vec<Via>),
     /// Have these nodes believe no leader of a service whose term is below this one; each is answered with
     /// [`Event::Revoked`].
     Revoke(ServiceName, Term, BTreeSet<NodeId>),
     /// Tell these nodes that no promotion of a service that they were told of is under way any more.
-    Settle(ServiceName, BTreeSet<NodeId>),
+    AnnounceAttemptEnded(ServiceName, BTreeSet<NodeId>),
     /// Keep a replica from receiving in any term below this one, by each of these ways; each is answered with
-    /// [`Event::Reached`].
-    HoldBy(BackendId, Term, Vec<Via>),
+    /// [`Event::MemberCallEnded`].
+    HoldVia(BackendId, Term, Vec<Via>),
     /// Promote a back end.
     Promote(ServiceName, BackendId, FencingToken),
     /// A step for the log.
--- a/crates/stairward-failover/tests/duty.rs
+++ b/crates/stairward-failover/tests/duty.rs
@@ -31,7 +31,7 @@
     node.pass(500);
     assert_eq!(node.claim(), None);
     let silent = BTreeSet::from([backend(OLD)]);
-    assert!(node.effects.contains(&Effect::Report(silent.clone())));
+    assert!(node.effects.contains(&Effect::ReportSilent(silent.clone())));
     node.tell(Event::Suspicion(NodeId(2), silent));
     assert!(node.claim().is_some());
 }
@@ -46,7 +46,7 @@
     node.see(LeaderEvidence::Silent);
     assert_eq!(node.claim(), None);
     let reports = |node: &Node| {
-        let report = Effect::Report(silent.clone());
+        let report = Effect::ReportSilent(silent.clone());
         node.effects
             .iter()
             .filter(|effect| **effect == report)
@@ -65,7 +65,7 @@
     node.tell(Event::Suspicion(NodeId(2), silent));
     node.tell(written(3));
     node.answer_both();
-    node.tell(Event::Status(
+    node.tell(Event::StatusReply(
         backend(OLD),
         status(BackendRole::Primary, 1, 60),
     ));
@@ -105,11 +105,11 @@
         PromotionOutcome::Unknown,
     ));
     node.tell(written(9));
-    node.tell(Event::Status(
+    node.tell(Event::StatusReply(
         backend(AHEAD),
         status(BackendRole::Primary, 2, 50),
     ));
-    node.tell(Event::Status(
+    node.tell(Event::StatusReply(
         backend(BEHIND),
         status(BackendRole::Replica, 2, 50),
     ));
@@ -136,7 +136,7 @@
     group.members.get_mut(&backend(AHEAD)).unwrap().is_leaving = true;
     node.set_group(group);
     node.tell(written(4));
-    node.tell(Event::Status(
+    node.tell(Event::StatusReply(
         backend(OLD),
         status(BackendRole::Primary, 1, 60),
     ));
@@ -245,7 +245,7 @@
     node.set_group(group);
     node.claim_after_refusal(7);
     node.answer_both();
-    node.tell(Event::Status(
+    node.tell(Event::StatusReply(
         backend(BEHIND),
         status(BackendRole::Replica, 1, 40),
     ));
@@ -294,7 +294,7 @@
     assert_eq!(node.claim(), Some(record_version(7)));
     node.tell(written(9));
     let leads = status(BackendRole::Primary, 1, 60);
-    node.tell(Event::Status(backend(OLD), leads));
+    node.tell(Event::StatusReply(backend(OLD), leads));
     node.answer_both();
     node.pass(400);
     assert_eq!(node.promotions(), [(backend(OLD), FencingToken(9))]);
--- a/crates/stairward-failover/tests/ending.rs
+++ b/crates/stairward-failover/tests/ending.rs
@@ -100,9 +100,9 @@
             now: Time::from_millis(60_000),
             effects: Vec::new(),
         };
-        attempt.tell(Event::Nodes(3));
-        attempt.tell(Event::Peers(vec![PEER]));
-        attempt.tell(Event::Users([PEER, USER].into()));
+        attempt.tell(Event::NodeCount(3));
+        attempt.tell(Event::RelayPeers(vec![PEER]));
+        attempt.tell(Event::LeaderUsers([PEER, USER].into()));
         attempt.tell(Event::Records {
             era: 0,
             records: BTreeMap::new(),
@@ -142,11 +142,11 @@
     }
 
     fn answer(&mut self, name: &str, status: MemberStatus) {
-        self.tell(Event::Status(backend(name), Some(status)));
+        self.tell(Event::StatusReply(backend(name), Some(status)));
     }
 
     fn reach(&mut self, name: &str, via: Via, reach: MemberCallResult) {
-        self.tell(Event::Reached(backend(name), via, reach));
+        self.tell(Event::MemberCallEnded(backend(name), via, reach));
     }
 
     /// A node says that it believes no leader below a term, and which term it knows to have begun.
@@ -176,7 +176,7 @@
 
     fn holds(&self, name: &str) -> bool {
         self.wants(
-            |effect| matches!(effect, Effect::HoldBy(id, Term(2), _) if *id == backend(name)),
+            |effect| matches!(effect, Effect::HoldVia(id, Term(2), _) if *id == backend(name)),
         )
     }
 
@@ -219,7 +219,7 @@
         attempt.promotions().is_empty(),
         "three commits are not received yet"
     );
-    let asked = Effect::AskReceived(backend(NEXT), replica(63).received);
+    let asked = Effect::QueryUntilReceived(backend(NEXT), replica(63).received);
     assert!(attempt.effects.contains(&asked), "{:?}", attempt.effects);
     attempt.answer(NEXT, replica(63));
     assert_eq!(attempt.promotions(), [backend(NEXT)]);
@@ -435,7 +435,7 @@
     ));
     attempt.pass(3_500);
     assert_eq!(attempt.resumes(), 0);
-    let is_settled = |effect: &Effect| matches!(effect, Effect::Settle(..));
+    let is_settled = |effect: &Effect| matches!(effect, Effect::AnnounceAttemptEnded(..));
     assert!(!attempt.wants(is_settled));
 }
 
@@ -446,7 +446,7 @@
     attempt.tell(Event::Groups(BTreeMap::from([(service(), group(false))])));
     attempt.pass(3_500);
     attempt.effects.clear();
-    attempt.tell(Event::Lead(service(), true));
+    attempt.tell(Event::LeadershipRevoked(service(), true));
     attempt.pass(1_600);
     attempt.tell(written(8, Term(0)));
     attempt.answer(OLD, status(BackendRole::Primary, 1, 60, 0));
--- a/crates/stairward-failover/tests/lost_log.rs
+++ b/crates/stairward-failover/tests/lost_log.rs
@@ -20,7 +20,7 @@
 #[test]
 fn one_that_holds_less_than_a_replica_is_replaced_though_it_says_that_it_leads() {
     let mut node = asking();
-    node.tell(Event::Status(
+    node.tell(Event::StatusReply(
         backend(OLD),
         status(BackendRole::Primary, 1, 0),
     ));
@@ -31,7 +31,7 @@
 #[test]
 fn one_that_has_its_log_stays() {
     let mut node = asking();
-    node.tell(Event::Status(
+    node.tell(Event::StatusReply(
         backend(OLD),
         status(BackendRole::Primary, 1, 60),
     ));
@@ -45,15 +45,15 @@
 #[test]
 fn a_replica_without_its_log_is_not_chosen() {
     let mut node = asking();
-    node.tell(Event::Status(
+    node.tell(Event::StatusReply(
         backend(OLD),
         status(BackendRole::Primary, 0, 0),
     ));
-    node.tell(Event::Status(
+    node.tell(Event::StatusReply(
         backend(AHEAD),
         status(BackendRole::Replica, 0, 0),
     ));
-    node.tell(Event::Status(
+    node.tell(Event::StatusReply(
         backend(BEHIND),
         status(BackendRole::Replica, 1, 40),
     ));
--- a/crates/stairward-failover/tests/placement.rs
+++ b/crates/stairward-failover/tests/placement.rs
@@ -33,7 +33,7 @@
 
 fn answer(node: &mut Node, name: &str, number: u64) {
     let status = status(BackendRole::Replica, 1, number);
-    node.tell(Event::Status(backend(name), status));
+    node.tell(Event::StatusReply(backend(name), status));
 }
 
 /// The member that is promoted when the group looks like this and both replicas answer that they hold so much.
--- a/crates/stairward-failover/tests/records.rs
+++ b/crates/stairward-failover/tests/records.rs
@@ -59,7 +59,7 @@
     let tries_after = |milliseconds: u64| {
         let tries = (0..400).filter(|number| {
             let mut node = Node::new(&format!("node-{number}"));
-            node.tell(Event::Nodes(400));
+            node.tell(Event::NodeCount(400));
             node.tell(Event::Evidence(backend(OLD), LeaderEvidence::Refused));
             let end = node.now + Duration::from_millis(milliseconds);
             while node.now < end {
@@ -189,7 +189,7 @@
 fn nodes_that_wait_for_a_lease_to_lapse_take_turns_then() {
     let tries = (0..400).filter(|number| {
         let mut node = Node::new(&format!("node-{number}"));
-        node.tell(Event::Nodes(400));
+        node.tell(Event::NodeCount(400));
         let record = record_of("other");
         node.tell(Event::Record(service(), record_version(5), Some(record)));
         node.see(LeaderEvidence::Refused);
--- a/crates/stairward-failover/tests/reviews.rs
+++ b/crates/stairward-failover/tests/reviews.rs
@@ -72,7 +72,7 @@
         3 => Event::Evidence(backend, LeaderEvidence::Refused),
         4 => Event::Evidence(backend, LeaderEvidence::Answered),
         5 => Event::Suspicion(NodeId(u64::from(second % 4)), BTreeSet::from([backend])),
-        6 => Event::Lead(service(first), second.is_multiple_of(2)),
+        6 => Event::LeadershipRevoked(service(first), second.is_multiple_of(2)),
         7 => {
             let record = (
                 record_version(token),
@@ -83,21 +83,21 @@
         }
         8 => Event::RecordWritten(service(first), record_version(token), record_of("a")),
         9 => Event::RecordFailed(service(first)),
-        10 => Event::Status(backend, status(BackendRole::Replica, 1, u64::from(second))),
+        10 => Event::StatusReply(backend, status(BackendRole::Replica, 1, u64::from(second))),
         11 => {
             let reach = match second % 3 {
                 0 => MemberCallResult::Silent,
                 1 => MemberCallResult::Refused,
                 _ => MemberCallResult::Answered(status(BackendRole::Replica, 1, 5).unwrap()),
             };
-            Event::Reached(backend, Via::Direct, reach)
+            Event::MemberCallEnded(backend, Via::Direct, reach)
         }
         12 => Event::Promotion(
             service(first),
             FencingToken(token),
             PromotionOutcome::Accepted,
         ),
-        13 => Event::Nodes(u32::from(second) + 1),
+        13 => Event::NodeCount(u32::from(second) + 1),
         14 => Event::Revoked {
             service: service(first),
             term: Term(2),
@@ -117,7 +117,7 @@
         ..FailoverOptions::new("a")
     });
     let begin = [
-        Event::Users(BTreeSet::from([NodeId(1), NodeId(2)])),
+        Event::LeaderUsers(BTreeSet::from([NodeId(1), NodeId(2)])),
         Event::Records {
             era: 0,
             records: BTreeMap::new(),
--- a/crates/stairward-failover/tests/support/mod.rs
+++ b/crates/stairward-failover/tests/support/mod.rs
@@ -98,7 +98,7 @@
             now: Time::from_millis(60_000),
             effects: Vec::new(),
         };
-        node.tell(Event::Nodes(3));
+        node.tell(Event::NodeCount(3));
         node.set_group(usual_group());
         node
     }
@@ -140,11 +140,11 @@
     }
 
     pub fn answer_both(&mut self) {
-        self.tell(Event::Status(
+        self.tell(Event::StatusReply(
             backend(BEHIND),
             status(BackendRole::Replica, 1, 40),
         ));
-        self.tell(Event::Status(
+        self.tell(Event::StatusReply(
             backend(AHEAD),
             status(BackendRole::Replica, 1, 50),
         ));
--- a/crates/stairward-failover/tests/verification.rs
+++ b/crates/stairward-failover/tests/verification.rs
@@ -65,7 +65,7 @@
 #[test]
 fn what_others_found_when_they_looked_counts_like_their_own_use() {
     let mut node = Node::new("a");
-    node.tell(Event::Nodes(100));
+    node.tell(Event::NodeCount(100));
     node.see(LeaderEvidence::Silent);
     node.tell(Event::Verified(NodeId(2), backend(OLD)));
     node.tell(Event::Verified(NodeId(2), backend(OLD)));
@@ -77,7 +77,7 @@
 #[test]
 fn what_others_found_counts_for_a_while_only_and_only_beside_ones_own_use() {
     let mut node = Node::new("a");
-    node.tell(Event::Nodes(100));
+    node.tell(Event::NodeCount(100));
     for other in [2, 3, 4] {
         node.tell(Event::Verified(NodeId(other), backend(OLD)));
     }
@@ -91,7 +91,7 @@
 /// The newest of what others were told to be silent, and how often they were told.
 fn reports(node: &Node) -> (BTreeSet<BackendId>, usize) {
     let reports = node.effects.iter().filter_map(|effect| match effect {
-        Effect::Report(silent) => Some(silent.clone()),
+        Effect::ReportSilent(silent) => Some(silent.clone()),
         _ => None,
     });
     let reports: Vec<_> = reports.collect();
--- a/crates/stairward-runtime/src/duty.rs
+++ b/crates/stairward-runtime/src/duty.rs
@@ -72,20 +72,20 @@
             Effect::WriteRecord(service, version, record) => {
                 self.write_record(service, version, record);
             }
-            Effect::Report(silent) => self.report_silent(&silent),
+            Effect::ReportSilent(silent) => self.report_silent(&silent),
             Effect::Verify { backend, asker } => self.verify(backend, asker),
-            Effect::Ask(backend) => self.question(backend, MemberQuestion::Status),
+            Effect::QueryStatus(backend) => self.question(backend, MemberQuestion::Status),
             Effect::Hold(backend, term) => self.question(backend, MemberQuestion::Hold(term)),
             Effect::Resume(backend) => self.question(backend, MemberQuestion::Resume),
-            Effect::AskReceived(backend, all) => {
+            Effect::QueryUntilReceived(backend, all) => {
                 self.question(backend, MemberQuestion::Received(all));
             }
             Effect::StepDown(backend, term, ways) => {
                 self.reach_for(&backend, MemberQuestion::StepDown(term), ways);
             }
             Effect::Revoke(service, term, users) => self.revoke(&service, term, users),
-            Effect::Settle(service, users) => self.settle(&service, users),
-            Effect::HoldBy(backend, term, ways) => {
+            Effect::AnnounceAttemptEnded(service, users) => self.settle(&service, users),
+            Effect::HoldVia(backend, term, ways) => {
                 self.reach_for(&backend, MemberQuestion::Hold(term), ways);
             }
             Effect::Promote(service, backend, token) => {
@@ -149,7 +149,7 @@
                 let answered = Event::Evidence(backend.clone(), LeaderEvidence::Answered);
                 node.tell_duty(answered);
             }
-            node.tell_duty(Event::Status(backend, status));
+            node.tell_duty(Event::StatusReply(backend, status));
         });
     }
 
@@ -168,7 +168,7 @@
                     }
                 };
                 node.log.reach(node.now(), &backend, &via, reach);
-                node.tell_duty(Event::Reached(backend, via, reach));
+                node.tell_duty(Event::MemberCallEnded(backend, via, reach));
             });
         }
     }
--- a/crates/stairward-runtime/src/node.rs
+++ b/crates/stairward-runtime/src/node.rs
@@ -230,7 +230,7 @@
     /// How many nodes share the back ends.
     pub(crate) fn set_nodes(self: &Rc<Self>, nodes: u32) {
         self.handle(Event::Nodes(nodes));
-        self.tell_duty(stairward_failover::Event::Nodes(nodes));
+        self.tell_duty(stairward_failover::Event::NodeCount(nodes));
     }
 
     /// Begins a planned stop.
@@ -380,7 +380,9 @@
                 };
                 self.log.lead(now, &lead);
                 let is_revoked = change == LeadChange::Revoked;
-                self.tell_duty(stairward_failover::Event::Lead(service, is_revoked));
+                self.tell_duty(stairward_failover::Event::LeadershipRevoked(
+                    service, is_revoked,
+                ));
             }
             Effect::AskLead { holder, service } => self.ask_lead(holder, &service),
             Effect::AskLimit(node, ask) => {
--- a/crates/stairward-runtime/src/relayed_questions.rs
+++ b/crates/stairward-runtime/src/relayed_questions.rs
@@ -47,7 +47,7 @@
             others.sample(&mut rand::rng(), PEERS_ASKED)
         };
         self.question_peers.borrow_mut().clone_from(&peers);
-        self.tell_duty(stairward_failover::Event::Peers(peers));
+        self.tell_duty(stairward_failover::Event::RelayPeers(peers));
     }
 
     /// Notes which nodes live: whoever lived a while ago may still use a leader.
@@ -69,7 +69,7 @@
             users.retain(|_, user| now.since(user.seen_at) < USERS_REMEMBERED_FOR);
             users.keys().copied().collect()
         };
-        self.tell_duty(stairward_failover::Event::Users(users));
+        self.tell_duty(stairward_failover::Event::LeaderUsers(users));
     }
 
     /// Has these nodes, and this one, believe no leader of a lower term any more.
--- a/crates/stairward-simulation/src/world_databases.rs
+++ b/crates/stairward-simulation/src/world_databases.rs
@@ -273,7 +273,7 @@
         } else {
             MEMBER_PATIENCE
         };
-        let event = DutyEvent::Status(backend.clone(), status);
+        let event = DutyEvent::StatusReply(backend.clone(), status);
         self.queue
             .plan(delay, Happening::Duty(node, life, Box::new(event)));
     }
@@ -342,7 +342,7 @@
         } else {
             FAR_DELAY
         };
-        let event = DutyEvent::Reached(backend.clone(), via.clone(), reach);
+        let event = DutyEvent::MemberCallEnded(backend.clone(), via.clone(), reach);
         self.queue
             .plan(delay, Happening::Duty(node, life, Box::new(event)));
     }
--- a/crates/stairward-simulation/src/world_nodes.rs
+++ b/crates/stairward-simulation/src/world_nodes.rs
@@ -128,7 +128,11 @@
                     format!("{now:?} node-{index}: {leader} of {term:?} {change:?}, {awaited:?}");
                 self.decisions.push(seen);
                 let is_revoked = change == LeadChange::Revoked;
-                self.tell_duty(index, life, DutyEvent::Lead(service, is_revoked));
+                self.tell_duty(
+                    index,
+                    life,
+                    DutyEvent::LeadershipRevoked(service, is_revoked),
+                );
             }
             Effect::AskLead { holder, .. } => {
                 let asked_at = self.now();
--- a/crates/stairward-simulation/src/world_store.rs
+++ b/crates/stairward-simulation/src/world_store.rs
@@ -93,10 +93,10 @@
             .map(|peer| NodeId(u64::try_from(peer).unwrap_or(0)))
             .collect();
         let users = peers.iter().copied().collect();
-        self.tell_duty(node, life, DutyEvent::Users(users));
-        self.tell_duty(node, life, DutyEvent::Peers(peers));
+        self.tell_duty(node, life, DutyEvent::LeaderUsers(users));
+        self.tell_duty(node, life, DutyEvent::RelayPeers(peers));
         let groups = self.nodes[node].groups(&list, self.options.synchronous_replicas);
-        self.tell_duty(node, life, DutyEvent::Nodes(nodes));
+        self.tell_duty(node, life, DutyEvent::NodeCount(nodes));
         self.tell_duty(node, life, DutyEvent::Groups(groups));
         let version = self.record_version();
         let record = self.store.record.clone();
@@ -171,7 +171,7 @@
                 let write = Happening::RecordAt(index, life, version, record);
                 self.queue.plan(STORE_DELAY, write);
             }
-            DutyEffect::Report(silent) => {
+            DutyEffect::ReportSilent(silent) => {
                 let own = NodeId(u64::try_from(index).unwrap_or(0));
                 for peer in (0..self.nodes.len()).filter(|peer| *peer != index) {
                     let event = DutyEvent::Suspicion(own, silent.clone());
@@ -185,7 +185,7 @@
                 let verify = Happening::VerifyAt(index, life, backend, asker);
                 self.queue.plan(delay, verify);
             }
-            DutyEffect::Ask(backend) => {
+            DutyEffect::QueryStatus(backend) => {
                 let delay = self.delay(index, &backend) * 3;
                 let ask = Happening::AskAt(index, life, backend, Question::Status);
                 self.queue.plan(delay, ask);
@@ -201,7 +201,7 @@
                 let ask = Happening::AskAt(index, life, backend, question);
                 self.queue.plan(delay, ask);
             }
-            DutyEffect::AskReceived(backend, all) => {
+            DutyEffect::QueryUntilReceived(backend, all) => {
                 let delay = self.delay(index, &backend);
                 let ask = Happening::AskAt(index, life, backend, Question::Received(all));
                 self.queue.plan(delay, ask);
@@ -216,7 +216,7 @@
                     self.queue.plan(FAR_DELAY * 3, revoke);
                 }
             }
-            DutyEffect::Settle(service, users) => {
+            DutyEffect::AnnounceAttemptEnded(service, users) => {
                 let own = NodeId(u64::try_from(index).unwrap_or(0));
                 for user in users.into_iter().chain([own]) {
                     let place = usize::try_from(user.0).unwrap_or(0);
@@ -226,7 +226,7 @@
                     self.queue.plan(FAR_DELAY * 3, settle);
                 }
             }
-            DutyEffect::HoldBy(backend, term, ways) => {
+            DutyEffect::HoldVia(backend, term, ways) => {
                 self.reach_for(index, life, &backend, Question::Hold(term), ways);
             }
             DutyEffect::Resume(backend) => {
