--- a/crates/stairward-engine/src/admission.rs
+++ b/crates/stairward-engine/src/admission.rs
@@ -3,7 +3,9 @@
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
 
-use stairward_limits::{Admission, Ask, Effect as LimitEffect, Event as LimitEvent, Grant};
+use stairward_limits::{
+    Admission, Effect as LimitEffect, Event as LimitEvent, GrantRequest, GrantResponse,
+};
 use stairward_types::{NodeId, ResultCode, TenantName, Time};
 
 use crate::engine::{Engine, WaitingKey};
@@ -108,8 +110,12 @@
         let mut effects = VecDeque::from(self.limits.take_effects());
         while let Some(effect) = effects.pop_front() {
             match effect {
-                LimitEffect::Ask(node, ask) => self.effects.push(Effect::AskLimit(node, ask)),
-                LimitEffect::Record(nodes) => self.effects.push(Effect::RecordFleet(nodes)),
+                LimitEffect::RequestGrant(node, ask) => {
+                    self.effects.push(Effect::AskLimit(node, ask))
+                }
+                LimitEffect::RecordFleetSize(nodes) => {
+                    self.effects.push(Effect::RecordFleet(nodes))
+                }
                 LimitEffect::CoordinatorChanged { shard, silent, now } => {
                     self.effects
                         .push(Effect::CoordinatorChanged { shard, silent, now });
@@ -162,7 +168,7 @@
     }
 
     /// Answers another node's question about limits, as coordinator.
-    pub fn answer_limit(&mut self, now: Time, node: NodeId, ask: &Ask) -> Grant {
+    pub fn answer_limit(&mut self, now: Time, node: NodeId, ask: &GrantRequest) -> GrantResponse {
         self.limits.answer(now, node, ask)
     }
 }
--- a/crates/stairward-engine/src/engine.rs
+++ b/crates/stairward-engine/src/engine.rs
@@ -230,9 +230,11 @@
             Event::Members { live, leaving } => {
                 self.tell_limits(now, LimitEvent::Members { live, leaving });
             }
-            Event::FleetRecorded(nodes) => self.tell_limits(now, LimitEvent::Recorded(nodes)),
+            Event::FleetRecorded(nodes) => {
+                self.tell_limits(now, LimitEvent::RecordedFleetSize(nodes))
+            }
             Event::LimitGranted(node, grant) => {
-                self.tell_limits(now, LimitEvent::Granted(node, grant));
+                self.tell_limits(now, LimitEvent::GrantReceived(node, grant));
             }
             Event::StopRequested => self.begin_stop(now),
             Event::Tick => {}
--- a/crates/stairward-engine/src/event.rs
+++ b/crates/stairward-engine/src/event.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use stairward_limits::{Ask, Grant, Shard};
+use stairward_limits::{GrantRequest, GrantResponse, Shard};
 use stairward_types::{
     AccessClass, ApiKey, BackendId, BackendRole, Freshness, GroupId, NodeId, OutcomeClass,
     RegionName, ResultCode, ServiceName, TenantName, Term, Time, ZoneName,
@@ -180,7 +180,7 @@
     /// How many nodes are on record; 0 where there is no record yet.
     FleetRecorded(u32),
     /// A coordinator answered [`Effect::AskLimit`].
-    LimitGranted(NodeId, Grant),
+    LimitGranted(NodeId, GrantResponse),
     /// The process is to stop.
     StopRequested,
     /// Time has passed; see [`crate::Engine::next_wake`].
@@ -438,7 +438,7 @@
         session: SessionId,
     },
     /// Ask a coordinator for operations of tenants with a limit.
-    AskLimit(NodeId, Ask),
+    AskLimit(NodeId, GrantRequest),
     /// Record how many nodes there may be, where all nodes read it.
     RecordFleet(u32),
     /// A coordinator of tenants' limits did not answer: another is asked from now on.
--- a/crates/stairward-limits/src/coordinator.rs
+++ b/crates/stairward-limits/src/coordinator.rs
@@ -6,7 +6,7 @@
 use stairward_types::{NodeId, TenantName, Time};
 
 use crate::lent_shares::LentShares;
-use crate::message::{Ask, Granted, Want};
+use crate::message::{GrantRequest, TenantDemand, TenantGrant};
 use crate::options::LimitOptions;
 use crate::rate_limit::RateLimit;
 use crate::shard::Shard;
@@ -114,32 +114,33 @@
         limits: &BTreeMap<TenantName, RateLimit>,
         nodes: Option<u32>,
         lender: NodeId,
-        ask: &Ask,
-    ) -> Vec<Granted> {
-        let book = self.books.entry(ask.shard).or_default();
+        request: &GrantRequest,
+    ) -> Vec<TenantGrant> {
+        let book = self.books.entry(request.shard).or_default();
         book.shares.advance(now);
         book.cut(limits);
-        let loan = ask
-            .loan
-            .filter(|echo| echo.life == options.life && echo.at <= now);
-        if let (Some(echo), Some(nodes)) = (loan, nodes) {
-            let nodes = nodes.max(ask.nodes);
-            book.shares.lend(now, lender, nodes, echo.at + options.loan);
+        let loan = request.loan.filter(|coordinator_time| {
+            coordinator_time.incarnation == options.incarnation && coordinator_time.at <= now
+        });
+        if let (Some(coordinator_time), Some(nodes)) = (loan, nodes) {
+            let nodes = nodes.max(request.nodes);
+            book.shares
+                .lend(now, lender, nodes, coordinator_time.at + options.loan);
         }
         book.sweep(now, limits);
-        let wants = ask.wants.iter();
-        wants
-            .map(|want| book.grant(now, want, limits.get(&want.tenant).copied()))
+        let demands = request.demands.iter();
+        demands
+            .map(|demand| book.grant(now, demand, limits.get(&demand.tenant).copied()))
             .collect()
     }
 }
 
 impl Book {
-    fn grant(&mut self, now: Time, want: &Want, limit: Option<RateLimit>) -> Granted {
-        let mut granted = Granted {
-            tenant: want.tenant.clone(),
+    fn grant(&mut self, now: Time, demand: &TenantDemand, limit: Option<RateLimit>) -> TenantGrant {
+        let mut granted = TenantGrant {
+            tenant: demand.tenant.clone(),
             count: 0,
-            unmet: want.waiting,
+            unmet: demand.waiting,
             retry_after: LONGEST_RETRY,
             spacing: Duration::ZERO,
         };
@@ -149,15 +150,15 @@
             return granted;
         };
         let (whole_seconds, fraction) = (self.shares.whole_seconds(), self.shares.fraction());
-        let bucket = self.buckets.entry(want.tenant.clone()).or_default();
+        let bucket = self.buckets.entry(demand.tenant.clone()).or_default();
         bucket.asked_at = now;
         bucket.fill(limit, whole_seconds, fraction);
-        granted.count = bucket.take(want.waiting, 0.0);
-        let unmet = want.waiting - granted.count;
+        granted.count = bucket.take(demand.waiting, 0.0);
+        let unmet = demand.waiting - granted.count;
         granted.unmet = unmet;
         if unmet == 0 {
             let kept = limit.burst().max(1.0) * fraction * KEPT_FOR_WAITING;
-            granted.count += bucket.take(want.ahead, kept);
+            granted.count += bucket.take(demand.ahead, kept);
         }
         let rate = limit.per_second() * fraction;
         if rate > 0.0 {
--- a/crates/stairward-limits/src/fleet.rs
+++ b/crates/stairward-limits/src/fleet.rs
@@ -26,13 +26,13 @@
         now: Time,
         live: &BTreeSet<NodeId>,
         leaving: &BTreeSet<NodeId>,
-        memory: Duration,
+        node_retention: Duration,
     ) {
         for node in live {
             self.seen.insert(*node, now);
         }
         self.seen
-            .retain(|node, at| !leaving.contains(node) && now.since(*at) < memory);
+            .retain(|node, at| !leaving.contains(node) && now.since(*at) < node_retention);
     }
 
     /// A peer told how many nodes it counts.
--- a/crates/stairward-limits/src/lender.rs
+++ b/crates/stairward-limits/src/lender.rs
@@ -4,7 +4,7 @@
 
 use stairward_types::{NodeId, Time};
 
-use crate::message::Echo;
+use crate::message::CoordinatorTime;
 use crate::options::LimitOptions;
 use crate::shard::Shard;
 
@@ -36,7 +36,7 @@
     candidates: Vec<NodeId>,
     lent: Option<Lent>,
     pub outstanding: Option<Outstanding>,
-    echo: BTreeMap<NodeId, Echo>,
+    coordinator_time: BTreeMap<NodeId, CoordinatorTime>,
     /// Coordinators that did not answer, and until when they are passed over.
     silent: BTreeMap<NodeId, Time>,
     unanswered: u32,
@@ -102,7 +102,7 @@
     /// A coordinator did not answer, or can't be reached.
     pub fn note_silent(&mut self, now: Time, node: NodeId, options: &LimitOptions) {
         self.unanswered = 0;
-        self.silent.insert(node, now + options.silence);
+        self.silent.insert(node, now + options.skip_duration);
         self.silent.retain(|_, until| now < *until);
         if self.outstanding.is_some_and(|asked| asked.to == node) {
             self.outstanding = None;
@@ -111,18 +111,23 @@
 
     /// A coordinator answered; its moment is the one that the next loan counts from. Returns whether it answers
     /// for the first time in its life.
-    pub fn note_answer(&mut self, node: NodeId, echo: Echo) -> bool {
+    pub fn note_answer(&mut self, node: NodeId, coordinator_time: CoordinatorTime) -> bool {
         self.silent.remove(&node);
         self.unanswered = 0;
         self.outstanding = self.outstanding.filter(|asked| asked.to != node);
-        let known = self.echo.insert(node, echo);
-        known.is_none_or(|known| known.life != echo.life)
+        let known = self.coordinator_time.insert(node, coordinator_time);
+        known.is_none_or(|known| known.incarnation != coordinator_time.incarnation)
     }
 
     /// The moment from which the share may be lent to a coordinator now; none while it is bound elsewhere, or the
     /// coordinator's clock is not known.
-    pub fn lend(&mut self, now: Time, to: NodeId, options: &LimitOptions) -> Option<Echo> {
-        let echo = *self.echo.get(&to)?;
+    pub fn lend(
+        &mut self,
+        now: Time,
+        to: NodeId,
+        options: &LimitOptions,
+    ) -> Option<CoordinatorTime> {
+        let coordinator_time = *self.coordinator_time.get(&to)?;
         let is_bound = self
             .lent
             .is_some_and(|lent| lent.to != to && now < lent.until);
@@ -131,6 +136,6 @@
         }
         let until = now + options.loan_by_lender();
         self.lent = Some(Lent { to, until });
-        Some(echo)
+        Some(coordinator_time)
     }
 }
--- a/crates/stairward-limits/src/lib.rs
+++ b/crates/stairward-limits/src/lib.rs
@@ -26,7 +26,7 @@
 
 pub use limit_window::LimitWindow;
 pub use limiter::{Admission, Effect, Event, Limiter};
-pub use message::{Ask, Echo, Grant, Granted, Want};
+pub use message::{CoordinatorTime, GrantRequest, GrantResponse, TenantDemand, TenantGrant};
 pub use options::LimitOptions;
 pub use rate_limit::RateLimit;
 pub use shard::{SHARDS, Shard};
--- a/crates/stairward-limits/src/limiter.rs
+++ b/crates/stairward-limits/src/limiter.rs
@@ -8,7 +8,7 @@
 use crate::coordinator::Coordinator;
 use crate::fleet::Fleet;
 use crate::lender::{Lending, Outstanding};
-use crate::message::{Ask, Echo, Grant, Granted, Want};
+use crate::message::{CoordinatorTime, GrantRequest, GrantResponse, TenantDemand, TenantGrant};
 use crate::options::LimitOptions;
 use crate::rate_limit::RateLimit;
 use crate::shard::Shard;
@@ -37,9 +37,9 @@
     /// All tenants that have a limit.
     Limits(BTreeMap<TenantName, RateLimit>),
     /// How many nodes are on record; 0 where there is no record. A node lends nothing before it knows.
-    Recorded(u32),
+    RecordedFleetSize(u32),
     /// A coordinator answered.
-    Granted(NodeId, Grant),
+    GrantReceived(NodeId, GrantResponse),
     /// A node can't be reached.
     PeerLost(NodeId),
     /// Time has passed; see [`Limiter::next_wake`].
@@ -49,12 +49,12 @@
 /// What the limits want done.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Effect {
-    /// Ask a coordinator; it answers with [`Limiter::answer`], which comes back as [`Event::Granted`].
-    Ask(NodeId, Ask),
+    /// Ask a coordinator; it answers with [`Limiter::answer`], which comes back as [`Event::GrantReceived`].
+    RequestGrant(NodeId, GrantRequest),
     /// Operations of a tenant that wait may be admitted.
     Available(TenantName),
     /// Record how many nodes there may be, where all nodes read it.
-    Record(u32),
+    RecordFleetSize(u32),
     /// A coordinator did not answer: another is asked from now on.
     CoordinatorChanged {
         /// The shard.
@@ -123,8 +123,8 @@
                     .retain(|tenant, _| limits.contains_key(tenant));
                 self.limits = self.buckets(limits);
             }
-            Event::Recorded(nodes) => self.fleet.note_recorded(nodes),
-            Event::Granted(coordinator, grant) => self.take_grant(now, coordinator, grant),
+            Event::RecordedFleetSize(nodes) => self.fleet.note_recorded(nodes),
+            Event::GrantReceived(coordinator, grant) => self.take_grant(now, coordinator, grant),
             Event::PeerLost(node) => {
                 for lending in self.lendings.values_mut() {
                     lending.note_silent(now, node, &self.options);
@@ -161,7 +161,7 @@
         let renewals = self.lendings.values().map(|lending| {
             let answer_due = lending
                 .outstanding
-                .map(|asked| asked.at + self.options.patience);
+                .map(|asked| asked.at + self.options.answer_timeout);
             answer_due.unwrap_or(lending.renew_at)
         });
         // Where a question is under way its answer, or that there is none, is what is waited for; where no node is
@@ -241,17 +241,17 @@
     }
 
     /// Answers another node, as coordinator.
-    pub fn answer(&mut self, now: Time, node: NodeId, ask: &Ask) -> Grant {
-        self.fleet.note_told(now, ask.nodes);
+    pub fn answer(&mut self, now: Time, node: NodeId, request: &GrantRequest) -> GrantResponse {
+        self.fleet.note_told(now, request.nodes);
         let nodes = self.fleet.size(now);
-        let granted = self
-            .coordinator
-            .answer(now, &self.options, &self.limits, nodes, node, ask);
-        Grant {
-            shard: ask.shard,
-            sequence: ask.sequence,
-            echo: Echo {
-                life: self.options.life,
+        let granted =
+            self.coordinator
+                .answer(now, &self.options, &self.limits, nodes, node, request);
+        GrantResponse {
+            shard: request.shard,
+            sequence: request.sequence,
+            coordinator_time: CoordinatorTime {
+                incarnation: self.options.incarnation,
                 at: now,
             },
             nodes: self.fleet.word(),
@@ -260,8 +260,9 @@
     }
 
     fn note_members(&mut self, now: Time, live: &BTreeSet<NodeId>, leaving: &BTreeSet<NodeId>) {
-        self.fleet.note(now, live, leaving, self.options.memory);
-        let nodes: Vec<NodeId> = if self.options.lends {
+        self.fleet
+            .note(now, live, leaving, self.options.node_retention);
+        let nodes: Vec<NodeId> = if self.options.lends_shares {
             live.iter().copied().collect()
         } else {
             vec![self.options.node]
@@ -301,11 +302,11 @@
             return;
         };
         let counted = self.fleet.counted();
-        let may_shrink = now.since(self.options.started) >= self.options.memory;
+        let may_shrink = now.since(self.options.started) >= self.options.node_retention;
         let is_wrong = counted > recorded || (may_shrink && counted < recorded);
         if is_wrong && now >= self.record_after {
             self.record_after = now + RECORD_PAUSE;
-            self.effects.push(Effect::Record(counted));
+            self.effects.push(Effect::RecordFleetSize(counted));
         }
     }
 
@@ -315,7 +316,7 @@
         };
         let overdue = lending
             .outstanding
-            .filter(|asked| now >= asked.at + self.options.patience);
+            .filter(|asked| now >= asked.at + self.options.answer_timeout);
         if let Some(asked) = overdue
             && lending.note_unanswered(now, &self.options)
         {
@@ -333,24 +334,24 @@
         })
     }
 
-    fn wants(&mut self, now: Time, shard: Shard) -> Vec<Want> {
+    fn demands(&mut self, now: Time, shard: Shard) -> Vec<TenantDemand> {
         let open = self
             .allowances
             .iter_mut()
             .filter(|(tenant, allowance)| allowance.may_ask(now) && Shard::of(tenant) == shard);
-        let wants = open.map(|(tenant, allowance)| Want {
+        let demands = open.map(|(tenant, allowance)| TenantDemand {
             tenant: tenant.clone(),
             waiting: allowance.unmet(now),
             ahead: allowance.ahead(now),
         });
-        wants
-            .filter(|want| want.waiting > 0 || want.ahead > 0)
+        demands
+            .filter(|demand| demand.waiting > 0 || demand.ahead > 0)
             .collect()
     }
 
     /// Asks a shard's coordinator for what is wanted, and lends the own share; one question at a time.
     fn ask(&mut self, now: Time, shard: Shard) {
-        let wants = self.wants(now, shard);
+        let demands = self.demands(now, shard);
         let own = self.options.node;
         let nodes = self.fleet.word();
         let Some(lending) = self.lendings.get_mut(&shard) else {
@@ -361,7 +362,7 @@
         }
         let Some(grantor) = lending.grantor(now, own) else {
             // No node is known yet; the view's first change is heard of.
-            lending.renew_at = now + self.options.renewal;
+            lending.renew_at = now + self.options.renewal_margin;
             return;
         };
         self.last_sequence += 1;
@@ -372,30 +373,30 @@
         let loan = may_lend
             .then(|| lending.lend(now, grantor, &self.options))
             .flatten();
-        let renewal = now + (self.options.loan - self.options.renewal);
+        let renewal_at = now + (self.options.loan - self.options.renewal_margin);
         let loan_ends = lending.loan_ends(now).filter(|_| !is_coordinator);
-        lending.renew_at = loan_ends.map_or(renewal, |ends| ends.min(renewal));
+        lending.renew_at = loan_ends.map_or(renewal_at, |ends| ends.min(renewal_at));
         lending.outstanding = Some(Outstanding {
             to: grantor,
             at: now,
             sequence: self.last_sequence,
         });
-        let ask = Ask {
+        let request = GrantRequest {
             shard,
             sequence: self.last_sequence,
             nodes,
             loan,
-            wants,
+            demands,
         };
         if grantor == own {
-            let grant = self.answer(now, own, &ask);
+            let grant = self.answer(now, own, &request);
             self.take_grant(now, own, grant);
         } else {
-            self.effects.push(Effect::Ask(grantor, ask));
+            self.effects.push(Effect::RequestGrant(grantor, request));
         }
     }
 
-    fn take_grant(&mut self, now: Time, coordinator: NodeId, grant: Grant) {
+    fn take_grant(&mut self, now: Time, coordinator: NodeId, grant: GrantResponse) {
         if coordinator != self.options.node {
             self.fleet.note_told(now, grant.nodes);
         }
@@ -405,7 +406,7 @@
         let asked = lending
             .outstanding
             .filter(|asked| asked.to == coordinator && asked.sequence == grant.sequence);
-        let is_first = lending.note_answer(coordinator, grant.echo);
+        let is_first = lending.note_answer(coordinator, grant.coordinator_time);
         // One that comes late is of a question that was given up.
         if let Some(asked) = asked {
             let until = asked.at + self.options.grant_life;
@@ -419,7 +420,7 @@
         }
     }
 
-    fn take_granted(&mut self, now: Time, until: Time, granted: Granted) {
+    fn take_granted(&mut self, now: Time, until: Time, granted: TenantGrant) {
         let first_grants_at = self.first_grants_at(now);
         let Some(allowance) = self.allowances.get_mut(&granted.tenant) else {
             return;
--- a/crates/stairward-limits/src/message.rs
+++ b/crates/stairward-limits/src/message.rs
@@ -7,16 +7,16 @@
 /// A moment of a coordinator's clock, as it last told it to a node. A loan counts from then, which is before it
 /// was made, so the coordinator needs to know nothing of the way's delay.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Echo {
+pub struct CoordinatorTime {
     /// The coordinator's life.
-    pub life: u64,
+    pub incarnation: u64,
     /// The moment.
     pub at: Time,
 }
 
 /// Operations that a node wants for a tenant.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Want {
+pub struct TenantDemand {
     /// The tenant.
     pub tenant: TenantName,
     /// Operations that wait.
@@ -27,7 +27,7 @@
 
 /// A node's question to a coordinator.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Ask {
+pub struct GrantRequest {
     /// The shard.
     pub shard: Shard,
     /// The question's number; the answer carries it back.
@@ -35,14 +35,14 @@
     /// How many nodes there may be, as far as the node knows; 0 where it does not.
     pub nodes: u32,
     /// The coordinator's moment from which the node's share is lent; none where it isn't.
-    pub loan: Option<Echo>,
+    pub loan: Option<CoordinatorTime>,
     /// What is wanted.
-    pub wants: Vec<Want>,
+    pub demands: Vec<TenantDemand>,
 }
 
 /// A coordinator's word on what a tenant gets.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Granted {
+pub struct TenantGrant {
     /// The tenant.
     pub tenant: TenantName,
     /// Operations.
@@ -57,15 +57,15 @@
 
 /// A coordinator's answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Grant {
+pub struct GrantResponse {
     /// The shard.
     pub shard: Shard,
     /// The question's number.
     pub sequence: u64,
     /// The coordinator's moment.
-    pub echo: Echo,
+    pub coordinator_time: CoordinatorTime,
     /// How many nodes there may be, as far as the coordinator knows; 0 where it does not.
     pub nodes: u32,
     /// One for each want.
-    pub granted: Vec<Granted>,
+    pub granted: Vec<TenantGrant>,
 }
--- a/crates/stairward-limits/src/options.rs
+++ b/crates/stairward-limits/src/options.rs
@@ -12,45 +12,45 @@
     /// This node.
     pub node: NodeId,
     /// A number that no other life of this node's process has.
-    pub life: u64,
+    pub incarnation: u64,
     /// When the process began, by its own clock.
     pub started: Time,
     /// How long a share is lent. Longer: fewer messages, a longer pause after a coordinator is lost.
     pub loan: Duration,
     /// How long before its end a loan is renewed.
-    pub renewal: Duration,
+    pub renewal_margin: Duration,
     /// How long a granted operation may be used, counted from the question. What a window counts too much is
     /// at most the rate for this long.
     pub grant_life: Duration,
     /// How long a coordinator may take to answer.
-    pub patience: Duration,
+    pub answer_timeout: Duration,
     /// How long a coordinator that did not answer is passed over.
-    pub silence: Duration,
+    pub skip_duration: Duration,
     /// How long a node that is no longer seen, and did not say that it leaves, counts among the nodes: a network
     /// partition lasts an hour now and then, and a node behind it spends its share.
-    pub memory: Duration,
+    pub node_retention: Duration,
     /// How limits are counted; none where every moment counts, so that a bucket has the limit's own rate and burst.
     pub window: Option<LimitWindow>,
     /// Whether shares are lent. Otherwise each node spends its own.
-    pub lends: bool,
+    pub lends_shares: bool,
 }
 
 impl LimitOptions {
     /// The usual times.
     #[must_use]
-    pub const fn new(node: NodeId, life: u64) -> Self {
+    pub const fn new(node: NodeId, incarnation: u64) -> Self {
         Self {
             node,
-            life,
+            incarnation,
             started: Time::ZERO,
             loan: Duration::from_millis(800),
-            renewal: Duration::from_millis(530),
+            renewal_margin: Duration::from_millis(530),
             grant_life: Duration::from_millis(500),
-            patience: Duration::from_millis(300),
-            silence: Duration::from_secs(2),
-            memory: Duration::from_secs(2 * 3_600),
+            answer_timeout: Duration::from_millis(300),
+            skip_duration: Duration::from_secs(2),
+            node_retention: Duration::from_secs(2 * 3_600),
             window: None,
-            lends: true,
+            lends_shares: true,
         }
     }
 
--- a/crates/stairward-limits/tests/conservation.rs
+++ b/crates/stairward-limits/tests/conservation.rs
@@ -35,7 +35,7 @@
 fn the_limit_holds_without_lending() {
     for seed in SEEDS {
         assert_bounded(Options {
-            lends: false,
+            lends_shares: false,
             ..with_faults(seed, 100, 100)
         });
     }
@@ -96,7 +96,7 @@
     demand[0] = 60.0;
     let fleet = assert_bounded(Options {
         demand,
-        lends: false,
+        lends_shares: false,
         ..Options::new(2, 100, 100)
     });
     assert!(fleet.admitted.len() < 600, "{}", fleet.admitted.len());
--- a/crates/stairward-limits/tests/limiter.rs
+++ b/crates/stairward-limits/tests/limiter.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use stairward_limits::{
-    Admission, Ask, Echo, Effect, Event, Grant, Granted, LimitOptions, Limiter, RateLimit, Shard,
-    Want,
+    Admission, CoordinatorTime, Effect, Event, GrantRequest, GrantResponse, LimitOptions, Limiter,
+    RateLimit, Shard, TenantDemand, TenantGrant,
 };
 use stairward_types::{Duration, NodeId, TenantName, Time};
 
@@ -29,7 +29,7 @@
         let mut limiter = limiter_at(Time::ZERO, &[OWN, NodeId(id)]);
         limiter.admit(Time::ZERO, &tenant());
         let effects = limiter.take_effects();
-        let asks_other = |effect: &Effect| matches!(effect, Effect::Ask(to, ask) if to.0 == id && ask.shard == shard);
+        let asks_other = |effect: &Effect| matches!(effect, Effect::RequestGrant(to, request) if to.0 == id && request.shard == shard);
         effects.iter().any(asks_other)
     };
     NodeId((2..100).find(|id| ranks_first(*id)).unwrap())
@@ -43,7 +43,7 @@
     let mut limiter = Limiter::new(options);
     let limits = BTreeMap::from([(tenant(), limit(100, 100))]);
     limiter.handle(started, Event::Limits(limits));
-    limiter.handle(started, Event::Recorded(2));
+    limiter.handle(started, Event::RecordedFleetSize(2));
     let members = Event::Members {
         live: nodes.iter().copied().collect(),
         leaving: BTreeSet::new(),
@@ -53,25 +53,27 @@
 }
 
 /// The question to a coordinator about the tenant's shard among what is to be done, if there is one.
-fn asked(limiter: &mut Limiter, coordinator: NodeId) -> Option<Ask> {
+fn asked(limiter: &mut Limiter, coordinator: NodeId) -> Option<GrantRequest> {
     let shard = Shard::of(&tenant());
     let effects = limiter.take_effects();
     effects.into_iter().find_map(|effect| match effect {
-        Effect::Ask(to, ask) if to == coordinator && ask.shard == shard => Some(ask),
+        Effect::RequestGrant(to, request) if to == coordinator && request.shard == shard => {
+            Some(request)
+        }
         _ => None,
     })
 }
 
-fn grant(ask: &Ask, count: u32, unmet: u32) -> Grant {
-    Grant {
-        shard: ask.shard,
-        sequence: ask.sequence,
-        echo: Echo {
-            life: 5,
+fn grant(request: &GrantRequest, count: u32, unmet: u32) -> GrantResponse {
+    GrantResponse {
+        shard: request.shard,
+        sequence: request.sequence,
+        coordinator_time: CoordinatorTime {
+            incarnation: 5,
             at: Time::from_millis(9),
         },
         nodes: 2,
-        granted: vec![Granted {
+        granted: vec![TenantGrant {
             tenant: tenant(),
             count,
             unmet,
@@ -90,11 +92,14 @@
     for milliseconds in (0..2_000).step_by(10) {
         let now = started + Duration::from_millis(milliseconds);
         limiter.handle(now, Event::Tick);
-        if let Some(ask) = asked(&mut limiter, coordinator) {
-            if ask.loan.is_some() {
+        if let Some(request) = asked(&mut limiter, coordinator) {
+            if request.loan.is_some() {
                 lent_at.get_or_insert(milliseconds);
             }
-            limiter.handle(now, Event::Granted(coordinator, grant(&ask, 0, 0)));
+            limiter.handle(
+                now,
+                Event::GrantReceived(coordinator, grant(&request, 0, 0)),
+            );
         }
     }
     let lent_at = lent_at.expect("it lends in the end");
@@ -115,17 +120,17 @@
     for milliseconds in (0..5_000).step_by(10) {
         let now = Time::from_millis(milliseconds);
         limiter.handle(now, Event::Tick);
-        if let Some(ask) = asked(&mut limiter, coordinator) {
-            assert_eq!((ask.loan, ask.nodes), (None, 0));
-            let mut grant = grant(&ask, 0, 0);
+        if let Some(request) = asked(&mut limiter, coordinator) {
+            assert_eq!((request.loan, request.nodes), (None, 0));
+            let mut grant = grant(&request, 0, 0);
             grant.nodes = 0;
-            limiter.handle(now, Event::Granted(coordinator, grant));
+            limiter.handle(now, Event::GrantReceived(coordinator, grant));
         }
     }
-    limiter.handle(Time::from_millis(5_000), Event::Recorded(2));
+    limiter.handle(Time::from_millis(5_000), Event::RecordedFleetSize(2));
     limiter.handle(Time::from_millis(5_500), Event::Tick);
-    let ask = asked(&mut limiter, coordinator).expect("it asks again");
-    assert!(ask.loan.is_some());
+    let request = asked(&mut limiter, coordinator).expect("it asks again");
+    assert!(request.loan.is_some());
 }
 
 #[test]
@@ -138,10 +143,13 @@
     limiter.handle(now, Event::Tick);
     let first = asked(&mut limiter, coordinator).expect("a question");
     assert_eq!(limiter.admit(now, &tenant()), Admission::Waiting);
-    limiter.handle(now, Event::Granted(coordinator, grant(&first, 0, 0)));
-    let ask = asked(&mut limiter, coordinator).expect("another question");
-    assert_eq!(ask.wants[0].waiting, 1);
-    limiter.handle(now, Event::Granted(coordinator, grant(&ask, 3, 0)));
+    limiter.handle(now, Event::GrantReceived(coordinator, grant(&first, 0, 0)));
+    let request = asked(&mut limiter, coordinator).expect("another question");
+    assert_eq!(request.demands[0].waiting, 1);
+    limiter.handle(
+        now,
+        Event::GrantReceived(coordinator, grant(&request, 3, 0)),
+    );
     assert!(limiter.admit_waiting(now, &tenant()));
     let later = now + Duration::from_millis(499);
     assert_eq!(limiter.admit(later, &tenant()), Admission::Admitted);
@@ -156,9 +164,12 @@
     asked(&mut limiter, coordinator);
     let now = Time::from_millis(5_000);
     limiter.handle(now, Event::Tick);
-    let ask = asked(&mut limiter, coordinator).expect("a question");
+    let request = asked(&mut limiter, coordinator).expect("a question");
     assert_eq!(limiter.admit(now, &tenant()), Admission::Waiting);
-    limiter.handle(now, Event::Granted(coordinator, grant(&ask, 0, 1)));
+    limiter.handle(
+        now,
+        Event::GrantReceived(coordinator, grant(&request, 0, 1)),
+    );
     let denied: Vec<Duration> = (0..3)
         .map(|_| match limiter.admit(now, &tenant()) {
             Admission::Denied(retry) => retry,
@@ -182,31 +193,31 @@
 fn a_coordinator_grants_only_what_it_was_lent() {
     let mut limiter = limiter_at(Time::ZERO, &[OWN]);
     let shard = Shard::of(&tenant());
-    let mut ask = Ask {
+    let mut request = GrantRequest {
         shard,
         sequence: 1,
         nodes: 10,
         loan: None,
-        wants: vec![Want {
+        demands: vec![TenantDemand {
             tenant: tenant(),
             waiting: 50,
             ahead: 0,
         }],
     };
-    let first = limiter.answer(Time::from_millis(2_000), NodeId(9), &ask);
+    let first = limiter.answer(Time::from_millis(2_000), NodeId(9), &request);
     assert_eq!((first.granted[0].count, first.granted[0].unmet), (0, 50));
     // One share of ten of a rate of 100, for 0.61 s.
-    ask.loan = Some(first.echo);
-    limiter.answer(Time::from_millis(2_000), NodeId(9), &ask);
-    let second = limiter.answer(Time::from_millis(2_610), NodeId(9), &ask);
+    request.loan = Some(first.coordinator_time);
+    limiter.answer(Time::from_millis(2_000), NodeId(9), &request);
+    let second = limiter.answer(Time::from_millis(2_610), NodeId(9), &request);
     assert_eq!(second.granted[0].count, 6);
     // A loan of another life of the coordinator is none.
-    ask.loan = Some(Echo {
-        life: LIFE + 1,
+    request.loan = Some(CoordinatorTime {
+        incarnation: LIFE + 1,
         at: Time::from_millis(9_000),
     });
-    let third = limiter.answer(Time::from_millis(9_000), NodeId(9), &ask);
-    let fourth = limiter.answer(Time::from_millis(9_900), NodeId(9), &ask);
+    let third = limiter.answer(Time::from_millis(9_000), NodeId(9), &request);
+    let fourth = limiter.answer(Time::from_millis(9_900), NodeId(9), &request);
     assert_eq!((third.granted[0].count, fourth.granted[0].count), (0, 0));
 }
 
@@ -244,10 +255,13 @@
                 limiter.admit(now, &tenant());
             }
             limiter.handle(now, Event::Tick);
-            if let Some(ask) = asked(&mut limiter, coordinator)
+            if let Some(request) = asked(&mut limiter, coordinator)
                 && step % 5 > 0
             {
-                limiter.handle(now, Event::Granted(coordinator, grant(&ask, 0, 1)));
+                limiter.handle(
+                    now,
+                    Event::GrantReceived(coordinator, grant(&request, 0, 1)),
+                );
                 limiter.handle(now, Event::Tick);
             }
             let wake = limiter.next_wake().expect("a renewal");
--- a/crates/stairward-limits/tests/support/faults.rs
+++ b/crates/stairward-limits/tests/support/faults.rs
@@ -65,14 +65,14 @@
         self.plan(pause, Happening::Start(node));
     }
 
-    pub(super) fn thaw(&mut self, node: usize, life: u64) {
-        if self.nodes[node].life != life || !self.nodes[node].runs {
+    pub(super) fn thaw(&mut self, node: usize, incarnation: u64) {
+        if self.nodes[node].incarnation != incarnation || !self.nodes[node].runs {
             return;
         }
         let inbox = std::mem::take(&mut self.nodes[node].inbox);
         for happening in inbox {
             self.deliver(happening);
         }
-        self.wake(node, life);
+        self.wake(node, incarnation);
     }
 }
--- a/crates/stairward-limits/tests/support/mod.rs
+++ b/crates/stairward-limits/tests/support/mod.rs
@@ -11,7 +11,9 @@
 
 use rand::{RngExt as _, SeedableRng as _};
 use rand_chacha::ChaCha8Rng;
-use stairward_limits::{Admission, Ask, Effect, Event, Grant, LimitOptions, Limiter};
+use stairward_limits::{
+    Admission, Effect, Event, GrantRequest, GrantResponse, LimitOptions, Limiter,
+};
 use stairward_types::{Duration, NodeId, TenantName, Time};
 
 pub use options::{Broken, Options};
@@ -29,7 +31,7 @@
 
 struct Node {
     limiter: Limiter,
-    life: u64,
+    incarnation: u64,
     runs: bool,
     started: Time,
     frozen_until: Time,
@@ -45,8 +47,8 @@
 
 #[derive(Debug, Clone)]
 enum Happening {
-    Asked(usize, usize, u64, Ask),
-    Granted(usize, u64, usize, Grant),
+    Asked(usize, usize, u64, GrantRequest),
+    Granted(usize, u64, usize, GrantResponse),
     Operation(usize),
     Wake(usize, u64),
     View,
@@ -67,7 +69,7 @@
     now: Time,
     queue: BTreeMap<(Time, u64), Happening>,
     planned: u64,
-    lives: u64,
+    incarnations: u64,
     nodes: Vec<Node>,
     tenant: TenantName,
     /// When operations were admitted.
@@ -89,7 +91,7 @@
             now: Time::from_millis(1),
             queue: BTreeMap::new(),
             planned: 0,
-            lives: 0,
+            incarnations: 0,
             nodes: Vec::new(),
             tenant: TenantName::new("tenant-1").unwrap(),
             admitted: Vec::new(),
@@ -182,16 +184,16 @@
     }
 
     fn new_node(&mut self, index: usize, speed: u64) -> Node {
-        self.lives += 1;
+        self.incarnations += 1;
         let id = NodeId(u64::try_from(index).unwrap());
         let started = local(self.now, speed);
-        let mut options = LimitOptions::new(id, self.lives);
+        let mut options = LimitOptions::new(id, self.incarnations);
         options.started = started;
-        options.lends = self.options.lends;
+        options.lends_shares = self.options.lends_shares;
         options.window = self.options.window;
         match self.options.broken {
             Some(Broken::LoanOutlived) if is_odd(id.0 + self.options.seed) => options.loan *= 8,
-            Some(Broken::PresentView) => options.memory = Duration::from_millis(100),
+            Some(Broken::PresentView) => options.node_retention = Duration::from_millis(100),
             Some(Broken::LoanOutlived | Broken::LendsTwice) | None => {}
         }
         let mut limiter = Limiter::new(options);
@@ -199,7 +201,7 @@
         limiter.handle(started, Event::Limits(limits));
         Node {
             limiter,
-            life: self.lives,
+            incarnation: self.incarnations,
             runs: true,
             started: self.now,
             frozen_until: Time::ZERO,
@@ -234,7 +236,7 @@
                 self.plan_operation(node);
                 self.operate(node);
             }
-            Happening::Wake(node, life) => self.wake(node, life),
+            Happening::Wake(node, incarnation) => self.wake(node, incarnation),
             Happening::View => {
                 self.show_views();
                 self.plan(VIEW_PAUSE, Happening::View);
@@ -253,11 +255,11 @@
                 self.show_view(node);
             }
             Happening::Freeze(node, pause) => {
-                let life = self.nodes[node].life;
+                let incarnation = self.nodes[node].incarnation;
                 self.nodes[node].frozen_until = self.now + pause;
-                self.plan(pause, Happening::Thaw(node, life));
+                self.plan(pause, Happening::Thaw(node, incarnation));
             }
-            Happening::Thaw(node, life) => self.thaw(node, life),
+            Happening::Thaw(node, incarnation) => self.thaw(node, incarnation),
             Happening::Cut(sides) => {
                 for (index, node) in self.nodes.iter_mut().enumerate() {
                     node.side = (sides >> (index % 64)) & 1;
@@ -292,22 +294,24 @@
         }
         let now = self.local(to);
         match happening {
-            Happening::Asked(from, to, life, ask) => {
+            Happening::Asked(from, to, incarnation, request) => {
                 let asking = NodeId(u64::try_from(from).unwrap());
-                let grant = self.nodes[to].limiter.answer(now, asking, &ask);
+                let grant = self.nodes[to].limiter.answer(now, asking, &request);
                 if self.options.broken == Some(Broken::LendsTwice) {
                     let other = NodeId(asking.0 + 1_000);
-                    let copy = Ask {
-                        wants: Vec::new(),
-                        ..ask
+                    let copy = GrantRequest {
+                        demands: Vec::new(),
+                        ..request
                     };
                     self.nodes[to].limiter.answer(now, other, &copy);
                 }
-                self.send(to, from, Happening::Granted(from, life, to, grant));
+                self.send(to, from, Happening::Granted(from, incarnation, to, grant));
             }
-            Happening::Granted(to, life, from, grant) if self.nodes[to].life == life => {
+            Happening::Granted(to, incarnation, from, grant)
+                if self.nodes[to].incarnation == incarnation =>
+            {
                 let coordinator = NodeId(u64::try_from(from).unwrap());
-                let event = Event::Granted(coordinator, grant);
+                let event = Event::GrantReceived(coordinator, grant);
                 self.nodes[to].limiter.handle(now, event);
                 self.carry_out(to);
             }
@@ -361,7 +365,7 @@
     }
 
     fn carry_out(&mut self, node: usize) {
-        let life = self.nodes[node].life;
+        let incarnation = self.nodes[node].incarnation;
         let now = self.local(node);
         let tenant = self.tenant.clone();
         loop {
@@ -371,9 +375,9 @@
             }
             for effect in effects {
                 match effect {
-                    Effect::Ask(to, ask) => {
+                    Effect::RequestGrant(to, request) => {
                         let to = usize::try_from(to.0).unwrap();
-                        self.send(node, to, Happening::Asked(node, to, life, ask));
+                        self.send(node, to, Happening::Asked(node, to, incarnation, request));
                     }
                     Effect::Available(_) => {
                         while self.nodes[node].waiting > 0
@@ -390,7 +394,7 @@
                         }
                         self.note_denied(waiting);
                     }
-                    Effect::Record(nodes) => {
+                    Effect::RecordFleetSize(nodes) => {
                         self.recorded = self.recorded.max(nodes);
                         self.tell_recorded(node);
                     }
@@ -402,20 +406,20 @@
     }
 
     fn plan_wake(&mut self, node: usize) {
-        let life = self.nodes[node].life;
+        let incarnation = self.nodes[node].incarnation;
         if let Some(at) = self.nodes[node].limiter.next_wake() {
             let pause = at.since(self.local(node)) + Duration::from_millis(1);
             let due = self.now + pause;
             let known = self.nodes[node].wake_at;
             if due < known || known <= self.now {
                 self.nodes[node].wake_at = due;
-                self.plan(pause, Happening::Wake(node, life));
+                self.plan(pause, Happening::Wake(node, incarnation));
             }
         }
     }
 
-    fn wake(&mut self, node: usize, life: u64) {
-        let is_current = self.nodes[node].life == life && self.nodes[node].runs;
+    fn wake(&mut self, node: usize, incarnation: u64) {
+        let is_current = self.nodes[node].incarnation == incarnation && self.nodes[node].runs;
         if !is_current || self.is_frozen(node) {
             return;
         }
--- a/crates/stairward-limits/tests/support/options.rs
+++ b/crates/stairward-limits/tests/support/options.rs
@@ -36,7 +36,7 @@
     /// How the limit is counted.
     pub window: Option<LimitWindow>,
     /// Whether shares are lent.
-    pub lends: bool,
+    pub lends_shares: bool,
     pub broken: Option<Broken>,
 }
 
@@ -57,7 +57,7 @@
             flips: false,
             rolled: None,
             window: None,
-            lends: true,
+            lends_shares: true,
             broken: None,
         }
     }
--- a/crates/stairward-limits/tests/support/views.rs
+++ b/crates/stairward-limits/tests/support/views.rs
@@ -13,7 +13,9 @@
             _ => self.recorded,
         };
         let now = self.local(node);
-        self.nodes[node].limiter.handle(now, Event::Recorded(nodes));
+        self.nodes[node]
+            .limiter
+            .handle(now, Event::RecordedFleetSize(nodes));
     }
 
     pub(super) fn show_views(&mut self) {
--- a/crates/stairward-runtime/src/limit_messages.rs
+++ b/crates/stairward-runtime/src/limit_messages.rs
@@ -2,7 +2,9 @@
 
 use std::time::Duration;
 
-use stairward_limits::{Ask, Echo, Grant, Granted, Shard, Want};
+use stairward_limits::{
+    CoordinatorTime, GrantRequest, GrantResponse, Shard, TenantDemand, TenantGrant,
+};
 use stairward_protocol::Text;
 use stairward_protocol::neighbour::{LimitAsk, LimitGrant, LimitGranted, LimitWant};
 use stairward_types::{NodeId, TenantName, Time};
@@ -24,9 +26,9 @@
 }
 
 /// A question as a message.
-pub(crate) fn ask_message(node: NodeId, ask: Ask) -> LimitAsk {
+pub(crate) fn ask_message(node: NodeId, ask: GrantRequest) -> LimitAsk {
     let wants: Vec<LimitWant> = ask
-        .wants
+        .demands
         .into_iter()
         .take(MOST_TENANTS)
         .map(|want| LimitWant {
@@ -35,7 +37,9 @@
             ahead: want.ahead,
         })
         .collect();
-    let (life, at) = ask.loan.map_or((0, 0), |echo| (echo.life, echo.at.0));
+    let (life, at) = ask
+        .loan
+        .map_or((0, 0), |echo| (echo.incarnation, echo.at.0));
     LimitAsk {
         node: node.0,
         shard: ask.shard.0,
@@ -50,31 +54,31 @@
 }
 
 /// A message as a question; none when it is not understood.
-pub(crate) fn ask_of(message: &LimitAsk) -> Option<(NodeId, Ask)> {
-    let loan = (message.lends != 0).then_some(Echo {
-        life: message.life,
+pub(crate) fn ask_of(message: &LimitAsk) -> Option<(NodeId, GrantRequest)> {
+    let loan = (message.lends != 0).then_some(CoordinatorTime {
+        incarnation: message.life,
         at: Time(message.lent_at_microseconds),
     });
-    let mut wants = Vec::new();
+    let mut demands = Vec::new();
     for want in &message.wants {
-        wants.push(Want {
+        demands.push(TenantDemand {
             tenant: TenantName::new(want.tenant.as_str()).ok()?,
             waiting: want.waiting,
             ahead: want.ahead,
         });
     }
-    let ask = Ask {
+    let ask = GrantRequest {
         shard: Shard(message.shard),
         sequence: message.sequence,
         nodes: message.nodes,
         loan,
-        wants,
+        demands,
     };
     Some((NodeId(message.node), ask))
 }
 
 /// An answer as a message.
-pub(crate) fn grant_message(grant: Grant) -> LimitGrant {
+pub(crate) fn grant_message(grant: GrantResponse) -> LimitGrant {
     let granted: Vec<LimitGranted> = grant
         .granted
         .into_iter()
@@ -89,8 +93,8 @@
     LimitGrant {
         shard: grant.shard.0,
         sequence: grant.sequence,
-        life: grant.echo.life,
-        at_microseconds: grant.echo.at.0,
+        life: grant.coordinator_time.incarnation,
+        at_microseconds: grant.coordinator_time.at.0,
         nodes: grant.nodes,
         granted_count: count(granted.len()),
         granted,
@@ -98,10 +102,10 @@
 }
 
 /// A message as an answer; none when it is not understood.
-pub(crate) fn grant_of(message: &LimitGrant) -> Option<Grant> {
+pub(crate) fn grant_of(message: &LimitGrant) -> Option<GrantResponse> {
     let mut granted = Vec::new();
     for tenant in &message.granted {
-        granted.push(Granted {
+        granted.push(TenantGrant {
             tenant: TenantName::new(tenant.tenant.as_str()).ok()?,
             count: tenant.count,
             unmet: tenant.unmet,
@@ -109,11 +113,11 @@
             spacing: Duration::from_micros(u64::from(tenant.spacing_microseconds)),
         });
     }
-    Some(Grant {
+    Some(GrantResponse {
         shard: Shard(message.shard),
         sequence: message.sequence,
-        echo: Echo {
-            life: message.life,
+        coordinator_time: CoordinatorTime {
+            incarnation: message.life,
             at: Time(message.at_microseconds),
         },
         nodes: message.nodes,
--- a/crates/stairward-runtime/src/node.rs
+++ b/crates/stairward-runtime/src/node.rs
@@ -14,7 +14,7 @@
 use stairward_failover::{
     FailoverController, FailoverOptions, LastKnownPrimaries, LeaderEvidence, RecordVersion,
 };
-use stairward_limits::{Ask, Grant, LimitOptions};
+use stairward_limits::{GrantRequest, GrantResponse, LimitOptions};
 use stairward_membership::Profile;
 use stairward_protocol::neighbour::NeighbourMessage;
 use stairward_types::{
@@ -279,7 +279,7 @@
     }
 
     /// Answers another node's question about tenants' limits.
-    pub(crate) fn grant_limit(&self, node: NodeId, ask: &Ask) -> Grant {
+    pub(crate) fn grant_limit(&self, node: NodeId, ask: &GrantRequest) -> GrantResponse {
         let now = self.now();
         self.engine.borrow_mut().answer_limit(now, node, ask)
     }
--- a/crates/stairward-simulation/src/world.rs
+++ b/crates/stairward-simulation/src/world.rs
@@ -7,7 +7,7 @@
 use rand_chacha::ChaCha8Rng;
 use stairward_engine::{BackendCommand, ConnectionId, Event, Response};
 use stairward_failover::{Event as DutyEvent, FailoverRecord, RecordVersion, Via};
-use stairward_limits::Ask;
+use stairward_limits::GrantRequest;
 use stairward_types::{BackendId, Freshness, NodeId, TenantName, Term, Time};
 
 use crate::callers::Caller;
@@ -80,7 +80,7 @@
     ReachAt(usize, u64, BackendId, Question, Via),
     AskLeadAt(usize, u64, usize, Time),
     /// A node asks another for operations of tenants with a limit.
-    AskLimitAt(usize, u64, usize, Box<Ask>),
+    AskLimitAt(usize, u64, usize, Box<GrantRequest>),
     RevokeAt(usize, u64, NodeId, Term),
     PromoteAt(
         usize,
--- a/crates/stairward-simulation/src/world_nodes.rs
+++ b/crates/stairward-simulation/src/world_nodes.rs
@@ -7,7 +7,7 @@
     BackendCommand, ConnectionId, Effect, Event, Evidence, LeadChange, Response,
 };
 use stairward_failover::{Event as DutyEvent, LeaderEvidence};
-use stairward_limits::Ask;
+use stairward_limits::GrantRequest;
 use stairward_types::{BackendId, Freshness, LogPosition, NodeId};
 
 use crate::checker::Invariant;
@@ -204,7 +204,7 @@
     }
 
     /// A coordinator answers a node that asked it, if it runs.
-    pub(crate) fn ask_limit(&mut self, node: usize, life: u64, peer: usize, ask: &Ask) {
+    pub(crate) fn ask_limit(&mut self, node: usize, life: u64, peer: usize, ask: &GrantRequest) {
         let now = self.now();
         let asking = NodeId(u64::try_from(node).unwrap_or(0));
         let coordinator = NodeId(u64::try_from(peer).unwrap_or(0));
@@ -213,7 +213,7 @@
         };
         let mut grant = answering.engine.answer_limit(now, asking, ask);
         if self.options.broken == Some(BrokenVariant::Limit) {
-            for (granted, want) in grant.granted.iter_mut().zip(&ask.wants) {
+            for (granted, want) in grant.granted.iter_mut().zip(&ask.demands) {
                 granted.count = want.waiting + want.ahead;
                 granted.unmet = 0;
             }
