--- a/crates/stairward-failover/src/duty.rs
+++ b/crates/stairward-failover/src/duty.rs
@@ -11,7 +11,7 @@
 use stairward_types::{BackendId, BackendRole, NodeId, ServiceName, Time};
 
 use crate::attempt::{Attempt, Stage};
-use crate::event::{Action, Effect, Event, GroupState, LeaderEvidence};
+use crate::event::{Effect, Event, FailoverStep, GroupState, LeaderEvidence};
 use crate::evidence::EvidenceLedger;
 use crate::options::FailoverOptions;
 use crate::records::Records;
@@ -31,7 +31,7 @@
 
 /// The failover duty of one node.
 #[derive(Debug)]
-pub struct FailoverDuty {
+pub struct FailoverController {
     options: FailoverOptions,
     groups: BTreeMap<ServiceName, GroupState>,
     /// The service of each member.
@@ -69,7 +69,7 @@
     effects: Vec<Effect>,
 }
 
-impl FailoverDuty {
+impl FailoverController {
     /// A duty that knows nothing yet. It acts only once it has learnt the record.
     #[must_use]
     pub fn new(options: FailoverOptions) -> Self {
@@ -226,9 +226,9 @@
         match event {
             Event::Groups(groups) => self.set_groups(now, groups),
             Event::GroupsChanged(groups) => self.change_groups(now, groups),
-            Event::Nodes(nodes) => self.nodes = nodes.max(1),
-            Event::Peers(peers) => self.peers = peers,
-            Event::Users(users) => self.users = users,
+            Event::NodeCount(nodes) => self.nodes = nodes.max(1),
+            Event::RelayPeers(peers) => self.peers = peers,
+            Event::LeaderUsers(users) => self.users = users,
             Event::Revoked {
                 service,
                 term,
@@ -236,7 +236,9 @@
                 newest,
             } => self.user_revoked(now, &service, term, user, newest),
             Event::Evidence(backend, evidence) => self.note_evidence(now, backend, evidence),
-            Event::Lead(service, is_revoked) => self.note_lead(now, service, is_revoked),
+            Event::LeadershipRevoked(service, is_revoked) => {
+                self.note_lead(now, service, is_revoked)
+            }
             Event::Suspicion(node, silent) => {
                 self.verify(now, node, &silent);
                 self.evidence.note_other(now, node, silent);
@@ -251,8 +253,10 @@
                 self.record_written(now, &service, version, record);
             }
             Event::RecordFailed(service) => self.record_failed(now, &service),
-            Event::Status(backend, status) => self.take_status(&backend, status),
-            Event::Reached(backend, via, reach) => self.take_reach(now, &backend, &via, reach),
+            Event::StatusReply(backend, status) => self.take_status(&backend, status),
+            Event::MemberCallEnded(backend, via, reach) => {
+                self.take_reach(now, &backend, &via, reach)
+            }
             Event::Promotion(service, token, outcome) => {
                 self.promotion_ended(now, &service, token, outcome);
             }
@@ -297,7 +301,7 @@
         self.reported_at = now;
         self.has_news = false;
         let silent = self.evidence.silent().clone();
-        self.effects.push(Effect::Report(silent));
+        self.effects.push(Effect::ReportSilent(silent));
     }
 
     /// Others count a report for a while only.
@@ -343,7 +347,7 @@
         }
     }
 
-    fn log(&mut self, service: &ServiceName, action: Action) {
+    fn log(&mut self, service: &ServiceName, action: FailoverStep) {
         self.effects.push(Effect::Log(service.clone(), action));
     }
 
--- a/crates/stairward-failover/src/duty/ending_steps.rs
+++ b/crates/stairward-failover/src/duty/ending_steps.rs
@@ -2,12 +2,12 @@
 
 use stairward_types::{BackendId, BackendRole, Freshness, NodeId, ServiceName, Term, Time};
 
-use super::FailoverDuty;
+use super::FailoverController;
 use crate::attempt::Stage;
-use crate::ending::{EndProof, Ending};
-use crate::event::{Action, Effect, Reach, Via};
+use crate::ending::{DemotionProof, Ending};
+use crate::event::{Effect, FailoverStep, MemberCallResult, Via};
 
-impl FailoverDuty {
+impl FailoverController {
     /// Has the old primary give way, before another is promoted.
     pub(super) fn begin_ending(&mut self, now: Time, service: &ServiceName) {
         let is_synchronous = self
@@ -35,7 +35,7 @@
         attempt.ending = Some(ending);
         attempt.asked.clear();
         attempt.enter(Stage::Ending, now);
-        let began = Action::Ending {
+        let began = FailoverStep::Ending {
             old: old.clone(),
             token,
             term,
@@ -73,12 +73,12 @@
             ending.ask_replica(id.clone(), &ways);
             attempt.held.insert(id.clone());
             replicas += 1;
-            self.effects.push(Effect::HoldBy(id.clone(), term, ways));
+            self.effects.push(Effect::HoldVia(id.clone(), term, ways));
         }
         ending.ask_users(self.users.clone());
         let revoke = Effect::Revoke(service.clone(), term, self.users.clone());
         self.effects.push(revoke);
-        self.log(service, Action::Holding { replicas, term });
+        self.log(service, FailoverStep::Holding { replicas, term });
     }
 
     pub(super) fn user_revoked(
@@ -103,7 +103,13 @@
         ending.user_revoked(term, user);
     }
 
-    pub(super) fn take_reach(&mut self, now: Time, backend: &BackendId, via: &Via, reach: Reach) {
+    pub(super) fn take_reach(
+        &mut self,
+        now: Time,
+        backend: &BackendId,
+        via: &Via,
+        reach: MemberCallResult,
+    ) {
         for attempt in self.attempts.values_mut() {
             let Some(ending) = &mut attempt.ending else {
                 continue;
@@ -142,9 +148,9 @@
             return self.press_ending(now, service);
         };
         let is_certain = match proof {
-            EndProof::SteppedDown(status) => self.has_caught_up(now, service, status.received),
-            EndProof::Revoked => true,
-            EndProof::Lapsed | EndProof::Unknown => self.are_holds_verified(now, service),
+            DemotionProof::SteppedDown(status) => self.has_caught_up(now, service, status.received),
+            DemotionProof::Revoked => true,
+            DemotionProof::Lapsed | DemotionProof::Unknown => self.are_holds_verified(now, service),
         };
         if is_certain {
             self.ended(now, service, proof);
@@ -153,7 +159,7 @@
 
     /// The old primary's lead is not over yet: others are asked to help, or replicas put on hold.
     pub(super) fn press_ending(&mut self, now: Time, service: &ServiceName) {
-        let patience = self.options.step_down_patience;
+        let patience = self.options.step_down_timeout;
         let Some(attempt) = self.attempts.get_mut(service) else {
             return;
         };
@@ -174,7 +180,7 @@
             ending.ask_replica(replica.clone(), &peers);
             if !peers.is_empty() {
                 self.effects
-                    .push(Effect::HoldBy(replica, term, peers.clone()));
+                    .push(Effect::HoldVia(replica, term, peers.clone()));
             }
         }
         let has_waited = now >= ending.began() + patience || ending.is_old_unreachable();
@@ -197,7 +203,7 @@
             ending.verifying_since = Some(now);
             attempt.asked = held.clone();
             for member in held {
-                self.effects.push(Effect::Ask(member));
+                self.effects.push(Effect::QueryStatus(member));
             }
             return false;
         };
@@ -212,7 +218,7 @@
             if held.iter().all(is_held) {
                 return true;
             }
-        } else if now < since + self.options.ask_patience {
+        } else if now < since + self.options.status_timeout {
             return false;
         }
         self.begin_ending(now, service);
@@ -227,7 +233,7 @@
         service: &ServiceName,
         all: Freshness,
     ) -> bool {
-        let patience = self.options.catch_up_patience;
+        let patience = self.options.catch_up_timeout;
         let (Some(group), Some(attempt)) =
             (self.groups.get(service), self.attempts.get_mut(service))
         else {
@@ -246,7 +252,8 @@
             for (id, member) in &group.members {
                 if Some(id) != attempt.old.as_ref() && member.is_listed {
                     attempt.asked.insert(id.clone());
-                    self.effects.push(Effect::AskReceived(id.clone(), all));
+                    self.effects
+                        .push(Effect::QueryUntilReceived(id.clone(), all));
                 }
             }
         }
@@ -254,7 +261,7 @@
     }
 
     /// The old primary's lead is over: the best replica is promoted.
-    pub(super) fn ended(&mut self, now: Time, service: &ServiceName, proof: EndProof) {
+    pub(super) fn ended(&mut self, now: Time, service: &ServiceName, proof: DemotionProof) {
         let (Some(group), Some(attempt)) = (self.groups.get(service), self.attempts.get(service))
         else {
             return;
@@ -266,12 +273,12 @@
             return self.give_up(now, service, "no replica answered");
         };
         let old_had = match proof {
-            EndProof::SteppedDown(status) => Some(status.received.position.0),
-            EndProof::Revoked | EndProof::Lapsed | EndProof::Unknown => None,
+            DemotionProof::SteppedDown(status) => Some(status.received.position.0),
+            DemotionProof::Revoked | DemotionProof::Lapsed | DemotionProof::Unknown => None,
         };
         let received = chosen.received.map(|received| received.position.0);
         let began = attempt.ending.as_ref().map_or(now, Ending::began);
-        let ended = Action::Ended {
+        let ended = FailoverStep::Ended {
             proof,
             after: now.since(began),
             behind: old_had
--- a/crates/stairward-failover/src/duty/promotion.rs
+++ b/crates/stairward-failover/src/duty/promotion.rs
@@ -2,11 +2,11 @@
 
 use stairward_types::{BackendId, Freshness, ServiceName, Time};
 
-use super::FailoverDuty;
+use super::FailoverController;
 use crate::attempt::{Attempt, Stage};
-use crate::event::{Action, Effect, FencingToken, PromotionOutcome};
+use crate::event::{Effect, FailoverStep, FencingToken, PromotionOutcome};
 
-impl FailoverDuty {
+impl FailoverController {
     pub(super) fn promote(
         &mut self,
         now: Time,
@@ -23,7 +23,7 @@
         let answers = attempt.answers.len();
         attempt.target = Some(target.clone());
         attempt.enter(Stage::Promoting, now);
-        let chose = Action::Chose {
+        let chose = FailoverStep::Chose {
             target: target.clone(),
             token,
             received,
@@ -46,7 +46,7 @@
         let Some(attempt) = self.attempts.get(service) else {
             return;
         };
-        let is_late = now.since(attempt.since) > self.options.call_patience;
+        let is_late = now.since(attempt.since) > self.options.call_timeout;
         let has_taken_effect = !attempt.target_led && self.target_leads(service);
         if is_late || has_taken_effect {
             self.promotion_unknown(now, service);
@@ -78,7 +78,7 @@
         token: FencingToken,
         outcome: PromotionOutcome,
     ) {
-        self.log(service, Action::Answered { token, outcome });
+        self.log(service, FailoverStep::Answered { token, outcome });
         let Some(attempt) = self.attempts.get_mut(service) else {
             return;
         };
@@ -127,7 +127,7 @@
         let Some(attempt) = self.attempts.get(service) else {
             return;
         };
-        let is_over = now.since(attempt.since) > self.options.settle_patience;
+        let is_over = now.since(attempt.since) > self.options.promotion_timeout;
         // An earlier promotion that was accepted just before this one still takes its time to take effect.
         let may_end_early = !attempt.must_fence;
         if is_over || (may_end_early && self.target_leads(service)) {
@@ -140,7 +140,7 @@
                 self.evidence.forget(&old);
             }
             self.pauses
-                .insert(service.clone(), now + self.options.pause);
+                .insert(service.clone(), now + self.options.retry_delay);
         }
     }
 
@@ -151,7 +151,7 @@
             .and_then(|attempt| attempt.ending.as_ref())
             .is_some_and(|ending| ending.holding_since.is_some());
         if was_announced {
-            let settle = Effect::Settle(service.clone(), self.users.clone());
+            let settle = Effect::AnnounceAttemptEnded(service.clone(), self.users.clone());
             self.effects.push(settle);
         }
     }
@@ -173,8 +173,8 @@
         {
             // An earlier promotion may still be carried out: go on until a later one is answered.
             attempt.enter(Stage::Queued, now);
-            attempt.not_before = now + self.options.pause;
-            return self.log(service, Action::GaveUp { reason });
+            attempt.not_before = now + self.options.retry_delay;
+            return self.log(service, FailoverStep::GaveUp { reason });
         }
         // Only whoever has the duty lets replicas go: another one may have put them on hold since. And they stay
         // on hold where a promotion may still be carried out: that tells the next holder.
@@ -187,7 +187,7 @@
         }
         self.attempts.remove(service);
         self.pauses
-            .insert(service.clone(), now + self.options.pause);
-        self.log(service, Action::GaveUp { reason });
+            .insert(service.clone(), now + self.options.retry_delay);
+        self.log(service, FailoverStep::GaveUp { reason });
     }
 }
--- a/crates/stairward-failover/src/duty/trigger.rs
+++ b/crates/stairward-failover/src/duty/trigger.rs
@@ -2,7 +2,7 @@
 
 use stairward_types::{BackendId, ServiceName, Time};
 
-use super::FailoverDuty;
+use super::FailoverController;
 use crate::event::GroupState;
 
 /// Why a primary is to be replaced.
@@ -54,7 +54,7 @@
 /// So many entries at the least must be listed for the loss of half of them to count as a lapse: a group's.
 const FEWEST_THAT_LAPSE: usize = 3;
 
-impl FailoverDuty {
+impl FailoverController {
     /// Entries that go together have lapsed: the store was away, and their members most likely are not.
     pub(super) fn note_lapse(&mut self, now: Time, listed_before: usize) {
         if listed_before >= FEWEST_THAT_LAPSE && self.listed_members * 2 <= listed_before {
@@ -75,9 +75,10 @@
         let missing_since = self.missing_since.get(service);
         let has_returned = self
             .lapsed_at
-            .is_none_or(|at| now >= at + self.options.return_patience);
+            .is_none_or(|at| now >= at + self.options.mass_expiry_grace);
         let is_missing_long = has_returned
-            && missing_since.is_some_and(|since| now >= *since + self.options.missing_patience);
+            && missing_since
+                .is_some_and(|since| now >= *since + self.options.missing_primary_delay);
         let Some(leader) = Self::announced_leader(group) else {
             return is_missing_long.then_some(Trigger::Leaderless);
         };
@@ -102,7 +103,7 @@
         }
         let revoked_since = self.revoked_since.get(service);
         let is_revoked_long =
-            revoked_since.is_some_and(|since| now >= *since + self.options.missing_patience);
+            revoked_since.is_some_and(|since| now >= *since + self.options.missing_primary_delay);
         if is_revoked_long {
             return Some(Trigger::Held);
         }
--- a/crates/stairward-runtime/src/duty.rs
+++ b/crates/stairward-runtime/src/duty.rs
@@ -7,8 +7,8 @@
 
 use stairward_engine::{BackendDescription, OpenTarget, RoutingTable};
 use stairward_failover::{
-    DutyRecord, Effect, Event, GroupState, LeaderEvidence, MemberState, Placement, Reach,
-    RecordVersion, Via,
+    Effect, Event, FailoverRecord, GroupState, LeaderEvidence, MemberCallResult, MemberState,
+    Placement, RecordVersion, Via,
 };
 use stairward_types::{BackendId, ServiceName};
 
@@ -25,7 +25,7 @@
     pub fn learn_records(
         self: &Rc<Self>,
         era: u64,
-        records: BTreeMap<ServiceName, (RecordVersion, DutyRecord)>,
+        records: BTreeMap<ServiceName, (RecordVersion, FailoverRecord)>,
     ) {
         self.tell_duty(Event::Records { era, records });
     }
@@ -72,20 +72,20 @@
             Effect::WriteRecord(service, version, record) => {
                 self.write_record(service, version, record);
             }
-            Effect::Report(silent) => self.report_silent(&silent),
+            Effect::ReportSilent(silent) => self.report_silent(&silent),
             Effect::Verify { backend, asker } => self.verify(backend, asker),
-            Effect::Ask(backend) => self.question(backend, MemberQuestion::Status),
+            Effect::QueryStatus(backend) => self.question(backend, MemberQuestion::Status),
             Effect::Hold(backend, term) => self.question(backend, MemberQuestion::Hold(term)),
             Effect::Resume(backend) => self.question(backend, MemberQuestion::Resume),
-            Effect::AskReceived(backend, all) => {
+            Effect::QueryUntilReceived(backend, all) => {
                 self.question(backend, MemberQuestion::Received(all));
             }
             Effect::StepDown(backend, term, ways) => {
                 self.reach_for(&backend, MemberQuestion::StepDown(term), ways);
             }
             Effect::Revoke(service, term, users) => self.revoke(&service, term, users),
-            Effect::Settle(service, users) => self.settle(&service, users),
-            Effect::HoldBy(backend, term, ways) => {
+            Effect::AnnounceAttemptEnded(service, users) => self.settle(&service, users),
+            Effect::HoldVia(backend, term, ways) => {
                 self.reach_for(&backend, MemberQuestion::Hold(term), ways);
             }
             Effect::Promote(service, backend, token) => {
@@ -106,7 +106,7 @@
         self: &Rc<Self>,
         service: ServiceName,
         version: RecordVersion,
-        record: DutyRecord,
+        record: FailoverRecord,
     ) {
         let node = Rc::clone(self);
         let writing = self
@@ -149,7 +149,7 @@
                 let answered = Event::Evidence(backend.clone(), LeaderEvidence::Answered);
                 node.tell_duty(answered);
             }
-            node.tell_duty(Event::Status(backend, status));
+            node.tell_duty(Event::StatusReply(backend, status));
         });
     }
 
@@ -161,14 +161,14 @@
             let (backend, target) = (backend.clone(), target.clone());
             tokio::task::spawn_local(async move {
                 let reach = match (target, &via) {
-                    (None, _) => Reach::Silent,
+                    (None, _) => MemberCallResult::Silent,
                     (Some(target), Via::Direct) => node.ask_member(target, question).await,
                     (Some(target), Via::Peer(peer)) => {
                         node.ask_through_peer(*peer, &target, question).await
                     }
                 };
                 node.log.reach(node.now(), &backend, &via, reach);
-                node.tell_duty(Event::Reached(backend, via, reach));
+                node.tell_duty(Event::MemberCallEnded(backend, via, reach));
             });
         }
     }
@@ -227,7 +227,9 @@
                 (service.clone(), state)
             })
             .collect();
-        self.leader_memory.borrow_mut().keep_missing(&mut groups);
+        self.leader_memory
+            .borrow_mut()
+            .add_missing_primaries(&mut groups);
         groups
     }
 
--- a/crates/stairward-runtime/src/node.rs
+++ b/crates/stairward-runtime/src/node.rs
@@ -12,9 +12,9 @@
     Evidence, LeadChange, LeavingChange, RoutingTable, SessionId, ZoneWork,
 };
 use stairward_failover::{
-    FailoverDuty, FailoverOptions, LeaderEvidence, LeaderMemory, RecordVersion,
+    FailoverController, FailoverOptions, LastKnownPrimaries, LeaderEvidence, RecordVersion,
 };
-use stairward_limits::{Ask, Grant, LimitOptions};
+use stairward_limits::{GrantRequest, GrantResponse, LimitOptions};
 use stairward_membership::Profile;
 use stairward_protocol::neighbour::NeighbourMessage;
 use stairward_types::{
@@ -58,14 +58,14 @@
 /// One node. Use it within a `LocalSet`.
 pub struct Node<W: Wire> {
     pub(crate) engine: RefCell<Engine>,
-    pub(crate) duty: RefCell<FailoverDuty>,
+    pub(crate) duty: RefCell<FailoverController>,
     pub(crate) coordination: Rc<dyn Coordination>,
     readiness: Arc<Readiness>,
     started: Instant,
     pub(crate) sessions: RefCell<BTreeMap<SessionId, Rc<Outgoing>>>,
     pub(crate) connections: RefCell<BTreeMap<ConnectionId, Rc<Outgoing>>>,
     pub(crate) discovered: RefCell<Discovered>,
-    pub(crate) leader_memory: RefCell<LeaderMemory>,
+    pub(crate) leader_memory: RefCell<LastKnownPrimaries>,
     pub(crate) peer: PeerIdentity,
     /// The membership view.
     pub(crate) members: RefCell<Vec<Profile>>,
@@ -125,7 +125,7 @@
         };
         Rc::new(Self {
             engine: RefCell::new(Engine::new(engine)),
-            duty: RefCell::new(FailoverDuty::new(failover)),
+            duty: RefCell::new(FailoverController::new(failover)),
             coordination: options.coordination,
             readiness: options.readiness,
             started: Instant::now(),
@@ -230,7 +230,7 @@
     /// How many nodes share the back ends.
     pub(crate) fn set_nodes(self: &Rc<Self>, nodes: u32) {
         self.handle(Event::Nodes(nodes));
-        self.tell_duty(stairward_failover::Event::Nodes(nodes));
+        self.tell_duty(stairward_failover::Event::NodeCount(nodes));
     }
 
     /// Begins a planned stop.
@@ -279,7 +279,7 @@
     }
 
     /// Answers another node's question about tenants' limits.
-    pub(crate) fn grant_limit(&self, node: NodeId, ask: &Ask) -> Grant {
+    pub(crate) fn grant_limit(&self, node: NodeId, ask: &GrantRequest) -> GrantResponse {
         let now = self.now();
         self.engine.borrow_mut().answer_limit(now, node, ask)
     }
@@ -380,7 +380,9 @@
                 };
                 self.log.lead(now, &lead);
                 let is_revoked = change == LeadChange::Revoked;
-                self.tell_duty(stairward_failover::Event::Lead(service, is_revoked));
+                self.tell_duty(stairward_failover::Event::LeadershipRevoked(
+                    service, is_revoked,
+                ));
             }
             Effect::AskLead { holder, service } => self.ask_lead(holder, &service),
             Effect::AskLimit(node, ask) => {
