--- a/crates/stairward-membership/src/feed/follower.rs
+++ b/crates/stairward-membership/src/feed/follower.rs
@@ -17,7 +17,7 @@
 /// Bytes of a change that go to all followers at once; a longer one, such as a whole configuration, goes to them in turn.
 /// 50 followers take 4 kB each in 0.04 s over a link of 10 Mbit/s, as compressed; a configuration of 35 kB took 1.4 s,
 /// in which the watcher's probes were lost.
-pub const MOST_AT_ONCE: usize = 4 * 1024;
+pub const MAXIMUM_IMMEDIATE_PUSH_BYTES: usize = 4 * 1024;
 
 /// A node that starts gives its first watcher this many times as long as the store's stale listing: it may be the
 /// last of some 50 followers in turn.
@@ -105,17 +105,17 @@
     pub fn handle(&mut self, now: Time, event: Event) -> Vec<Effect> {
         let mut effects = Vec::new();
         match event {
-            Event::Members(members) => self.members_changed(now, &members),
+            Event::MembersChanged(members) => self.members_changed(now, &members),
             Event::StaleListing { at, objects } => {
-                self.take(now, at, FeedContent::Whole(objects), &mut effects);
+                self.take(now, at, FeedContent::Snapshot(objects), &mut effects);
             }
             // It may be older than anything that came with a revision.
-            Event::PeerDocument(objects) if self.at.is_none() => effects.push(Effect::Take {
+            Event::PeerSnapshot(objects) if self.at.is_none() => effects.push(Effect::Apply {
                 at: None,
-                content: FeedContent::Whole(objects),
+                content: FeedContent::Snapshot(objects),
                 since: None,
             }),
-            Event::PeerDocument(_) => {}
+            Event::PeerSnapshot(_) => {}
             Event::StoreAnswered {
                 at,
                 current_at,
@@ -135,11 +135,11 @@
                 }
             }
             Event::SourceLost(source) => self.source_lost(now, source),
-            Event::FollowerAsked { follower, known } => self.followers.asked(follower, known),
+            Event::FollowRequested { follower, known } => self.followers.asked(follower, known),
             Event::FollowerLeft(follower) => self.followers.remove(follower),
-            Event::FollowerTook { follower, held } => self.followers.took(follower, held),
+            Event::FollowerAcknowledged { follower, held } => self.followers.took(follower, held),
             // All is asked for anew.
-            Event::ContentRefused => {
+            Event::ContentMismatch => {
                 self.at = None;
                 self.current_at = None;
                 self.sources.clear();
@@ -155,17 +155,17 @@
 
     /// When [`Event::Tick`] is next due.
     #[must_use]
-    pub fn next_wake(&self, now: Time) -> Option<Time> {
-        let reads_at = self.last_source_word() + self.reads_after();
+    pub fn next_deadline(&self, now: Time) -> Option<Time> {
+        let reads_at = self.last_source_word() + self.direct_read_timeout();
         let settles_at = self.watcher_since.map(|since| since + VIEW_SETTLES);
         let follows_at = self
             .confirmed_by_store
-            .map(|at| at + self.parameters.follows_after);
+            .map(|at| at + self.parameters.store_timeout);
         let asks = self.sources.values().filter_map(|source| match source {
             Source::Lost(at) => Some(*at + ASK_AGAIN),
             Source::Asked | Source::InStep => None,
         });
-        let begins_at = self.started_at + self.parameters.listing_patience;
+        let begins_at = self.started_at + self.parameters.listing_timeout;
         let all_asked_at = self.first_asked_at.map(|at| at + self.first_patience());
         // What has passed was dealt with when it passed.
         let deadlines = [reads_at, begins_at]
@@ -174,7 +174,7 @@
             .chain(settles_at)
             .chain(self.settled_at)
             .chain(follows_at)
-            .chain(self.followers.next_wake())
+            .chain(self.followers.next_deadline())
             .chain(asks);
         deadlines.filter(|at| *at > now).min()
     }
@@ -198,7 +198,7 @@
 
     /// The revision held; none before the first content.
     #[must_use]
-    pub const fn held(&self) -> Option<StoreRevision> {
+    pub const fn held_revision(&self) -> Option<StoreRevision> {
         self.at
     }
 
@@ -219,8 +219,8 @@
     /// How long after the last word of its watchers this node reads the store itself. One that holds nothing can't act
     /// on anything outdated and may be the last in turn of a watcher's followers: a fleet that starts and reads the store
     /// as one takes all of its link.
-    fn reads_after(&self) -> Duration {
-        let usual = self.parameters.reads_after;
+    fn direct_read_timeout(&self) -> Duration {
+        let usual = self.parameters.direct_read_timeout;
         if self.at.is_some() || self.turn_patience <= usual {
             return usual;
         }
@@ -239,9 +239,9 @@
         effects: &mut Vec<Effect>,
     ) {
         let goes_in_turn = match &content {
-            FeedContent::Whole(_) => true,
-            FeedContent::Changes(bytes) => bytes.len() > MOST_AT_ONCE,
-            FeedContent::Since { .. } | FeedContent::Unchanged => false,
+            FeedContent::Snapshot(_) => true,
+            FeedContent::Changes(bytes) => bytes.len() > MAXIMUM_IMMEDIATE_PUSH_BYTES,
+            FeedContent::ChangesSince { .. } | FeedContent::Unchanged => false,
         };
         // Followers get every word of the store's, so that none is missing to those in step.
         let told = content.clone();
@@ -259,7 +259,7 @@
         }
         let followers = self.followers.tell_in_step(at);
         if !followers.is_empty() {
-            effects.push(Effect::Tell {
+            effects.push(Effect::Push {
                 followers,
                 at,
                 age: Duration::ZERO,
@@ -277,7 +277,7 @@
             return;
         };
         for (followers, content) in self.followers.next_deliveries(now, at) {
-            effects.push(Effect::Tell {
+            effects.push(Effect::Push {
                 followers,
                 at,
                 age: now.since(confirmed),
@@ -306,7 +306,7 @@
         self.sources.insert(source, Source::InStep);
         // What follows on something that is not held can't be taken over.
         let lacks_base =
-            matches!(&content, FeedContent::Since { since, .. } if self.at < Some(*since));
+            matches!(&content, FeedContent::ChangesSince { since, .. } if self.at < Some(*since));
         if lacks_base {
             self.at = None;
             self.sources.clear();
@@ -328,7 +328,7 @@
         let newer = self.at.filter(|held| at < *held);
         let was_left_out = std::mem::replace(&mut self.leaves_out, newer.is_some());
         if let Some(held) = newer.filter(|_| !was_left_out) {
-            effects.push(Effect::LeftOut { at, held });
+            effects.push(Effect::OlderContentIgnored { at, held });
         }
     }
 
@@ -345,19 +345,19 @@
             return false;
         }
         let is_other_copy = self.era.is_some_and(|era| era != at.era());
-        if is_other_copy && !matches!(content, FeedContent::Whole(_)) {
+        if is_other_copy && !matches!(content, FeedContent::Snapshot(_)) {
             return false;
         }
         // A node that has just started can't know when the store last came back.
         let may_be_restored = self.era.is_none() && at.era() > 0;
         if is_other_copy || may_be_restored {
-            self.settled_at = Some(now + self.parameters.settles_after);
+            self.settled_at = Some(now + self.parameters.restore_settle_time);
         }
         self.era = Some(at.era());
         let is_newer = self.at.is_none_or(|held| at > held);
         self.at = self.at.max(Some(at));
         if is_newer && content != FeedContent::Unchanged {
-            effects.push(Effect::Take {
+            effects.push(Effect::Apply {
                 at: Some(at),
                 content,
                 since: self.current_at,
@@ -382,7 +382,7 @@
     fn settle(&mut self, now: Time, effects: &mut Vec<Effect>) {
         if self.settled_at.is_some_and(|at| now >= at) {
             self.settled_at = None;
-            effects.push(Effect::Settled);
+            effects.push(Effect::RestoreSettled);
         }
     }
 
@@ -394,7 +394,7 @@
 
     /// How long a node that starts gives its first watcher before it follows the second as well.
     fn first_patience(&self) -> Duration {
-        self.parameters.listing_patience * FIRST_PATIENCE
+        self.parameters.listing_timeout * FIRST_PATIENCE
     }
 
     /// The watchers to follow now. A node that starts begins with one: two would both send it all that it lacks.
@@ -413,14 +413,14 @@
     /// A node that doesn't rank as a watcher follows some; so does a watcher that the store doesn't answer.
     fn choose_sources(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let awaits_listing =
-            self.at.is_none() && now.since(self.started_at) < self.parameters.listing_patience;
+            self.at.is_none() && now.since(self.started_at) < self.parameters.listing_timeout;
         if awaits_listing {
             return;
         }
-        let follows_after = self.parameters.follows_after;
+        let store_timeout = self.parameters.store_timeout;
         let is_confirmed = self
             .confirmed_by_store
-            .is_some_and(|at| now.since(at) < follows_after);
+            .is_some_and(|at| now.since(at) < store_timeout);
         let wanted = if self.is_watcher() && is_confirmed {
             Vec::new()
         } else {
@@ -454,11 +454,11 @@
         let is_settled_watcher = self
             .watcher_since
             .is_some_and(|since| now.since(since) >= VIEW_SETTLES);
-        let is_unconfirmed = now.since(self.last_source_word()) >= self.reads_after();
+        let is_unconfirmed = now.since(self.last_source_word()) >= self.direct_read_timeout();
         let wants = is_settled_watcher || is_unconfirmed;
         if wants != self.is_reading {
             self.is_reading = wants;
-            effects.push(Effect::Read(wants));
+            effects.push(Effect::ReadStore(wants));
         }
     }
 }
--- a/crates/stairward-membership/src/feed/followers.rs
+++ b/crates/stairward-membership/src/feed/followers.rs
@@ -144,7 +144,7 @@
     }
 
     /// When a follower that does not confirm gives way to the next; none while nobody waits.
-    pub fn next_wake(&self) -> Option<Time> {
+    pub fn next_deadline(&self) -> Option<Time> {
         let oldest = self.in_flight.values().min();
         oldest
             .filter(|_| !self.queue.is_empty())
@@ -156,11 +156,11 @@
 fn content_for(held: Option<StoreRevision>, at: StoreRevision) -> FeedContent {
     match held {
         Some(held) if held >= at => FeedContent::Unchanged,
-        Some(since) => FeedContent::Since {
+        Some(since) => FeedContent::ChangesSince {
             since,
             changes: Vec::new(),
             digest: 0,
         },
-        None => FeedContent::Whole(Vec::new()),
+        None => FeedContent::Snapshot(Vec::new()),
     }
 }
--- a/crates/stairward-membership/src/feed/message.rs
+++ b/crates/stairward-membership/src/feed/message.rs
@@ -12,11 +12,11 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FeedContent {
     /// All objects.
-    Whole(Vec<u8>),
+    Snapshot(Vec<u8>),
     /// What has changed since the answerer's last word.
     Changes(Vec<u8>),
     /// What has changed after a revision that the asker held.
-    Since {
+    ChangesSince {
         /// That revision.
         since: StoreRevision,
         /// The changes.
@@ -32,7 +32,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
     /// The membership view; this node is in it.
-    Members(Vec<PeerPlace>),
+    MembersChanged(Vec<PeerPlace>),
     /// The store answered this node: its state at a revision.
     StoreAnswered {
         /// The revision.
@@ -50,7 +50,7 @@
         objects: Vec<u8>,
     },
     /// A peer told what it last read, of which no revision is known: it serves while nothing else is held.
-    PeerDocument(Vec<u8>),
+    PeerSnapshot(Vec<u8>),
     /// A watcher that this node follows told of its state.
     SourceAnswered {
         /// The watcher.
@@ -67,9 +67,9 @@
     /// The link to a watcher has ended.
     SourceLost(NodeId),
     /// What was taken over did not give the objects that its sender has: something is missing here.
-    ContentRefused,
+    ContentMismatch,
     /// A node wants to follow this one.
-    FollowerAsked {
+    FollowRequested {
         /// The node.
         follower: FollowerId,
         /// The revision that it holds; none where it holds nothing.
@@ -78,7 +78,7 @@
     /// A node no longer follows this one.
     FollowerLeft(FollowerId),
     /// A follower has taken something over, from this watcher or from another.
-    FollowerTook {
+    FollowerAcknowledged {
         /// The follower.
         follower: FollowerId,
         /// The revision that it holds now.
@@ -92,7 +92,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Effect {
     /// Begin to read the store, or end it.
-    Read(bool),
+    ReadStore(bool),
     /// Ask a watcher to be followed.
     Follow {
         /// The watcher.
@@ -103,7 +103,7 @@
     /// Tell a watcher that it is no longer followed.
     Unfollow(NodeId),
     /// Take content over: replace all objects, or change some.
-    Take {
+    Apply {
         /// The revision that it leads to; none for a peer's document, of which none is known.
         at: Option<StoreRevision>,
         /// What to take over.
@@ -114,18 +114,18 @@
     },
     /// The store came back from an older copy a while ago, and whoever wrote what it lost has had the time to write it
     /// again: from now on what it shows is all that counts.
-    Settled,
+    RestoreSettled,
     /// The store answered with content of a lower revision than what is held, and it is left out. Told once until
     /// content is taken over again.
-    LeftOut {
+    OlderContentIgnored {
         /// The revision of the answer.
         at: StoreRevision,
         /// The revision that is held.
         held: StoreRevision,
     },
-    /// Tell followers of the state here. [`FeedContent::Whole`] comes empty and stands for all objects held;
-    /// [`FeedContent::Since`] comes empty and stands for those changed after its revision.
-    Tell {
+    /// Tell followers of the state here. [`FeedContent::Snapshot`] comes empty and stands for all objects held;
+    /// [`FeedContent::ChangesSince`] comes empty and stands for those changed after its revision.
+    Push {
         /// Whom to tell.
         followers: Vec<FollowerId>,
         /// The revision of the state.
--- a/crates/stairward-membership/src/feed/mod.rs
+++ b/crates/stairward-membership/src/feed/mod.rs
@@ -20,7 +20,7 @@
 mod restored_view;
 mod retry;
 
-pub use follower::{Feed, MOST_AT_ONCE};
+pub use follower::{Feed, MAXIMUM_IMMEDIATE_PUSH_BYTES};
 pub use message::{Effect, Event, FeedContent, FollowerId};
 pub use parameters::FeedParameters;
 pub use restored_view::{RestoredView, StoreObject};
--- a/crates/stairward-membership/src/feed/parameters.rs
+++ b/crates/stairward-membership/src/feed/parameters.rs
@@ -22,13 +22,13 @@
     pub region: RegionName,
     /// How long after the last word of its watchers a follower reads the store itself. It must be longer than a
     /// watch of a watcher with followers lasts, and shorter than a change may take to be in force.
-    pub reads_after: Duration,
+    pub direct_read_timeout: Duration,
     /// How long a node that starts waits for its own stale listing before it follows others, and for the first watcher
     /// before it follows the second: they need to send only what has changed since. Without it 300
     /// nodes that started beside 900 objects had each watcher send 5 MB, more than its link carries in 4 s, and the others declared it failed.
-    pub listing_patience: Duration,
+    pub listing_timeout: Duration,
     /// How long after the store's last answer a watcher follows others. It must be longer than any watch lasts.
-    pub follows_after: Duration,
+    pub store_timeout: Duration,
     /// How long whoever wrote what the store lost, when it came back from an older copy, is given to write it again.
-    pub settles_after: Duration,
+    pub restore_settle_time: Duration,
 }
--- a/crates/stairward-membership/src/feed/restored_view.rs
+++ b/crates/stairward-membership/src/feed/restored_view.rs
@@ -10,7 +10,7 @@
     fn revision(&self) -> StoreRevision;
 
     /// Whether it says the same as another, whenever either was written.
-    fn says_the_same(&self, other: &Self) -> bool;
+    fn has_same_content(&self, other: &Self) -> bool;
 }
 
 /// What a node knew of objects and a restored store does not show. Those who wrote it write it again within seconds; until
@@ -21,14 +21,14 @@
     /// Which copy of the store was listed last; none before the first.
     era: Option<u64>,
     /// What is known of an object, in place of what the store shows; none where it is known to be gone.
-    kept: BTreeMap<String, Option<T>>,
+    retained: BTreeMap<String, Option<T>>,
 }
 
 impl<T> Default for RestoredView<T> {
     fn default() -> Self {
         Self {
             era: None,
-            kept: BTreeMap::new(),
+            retained: BTreeMap::new(),
         }
     }
 }
@@ -37,7 +37,7 @@
     /// Takes in that all objects are listed anew, by the copy of the store of this era, or by a peer, of which no copy is
     /// known. `known` are the objects before, `gone` the names of those that had gone lately. Returns whether the store
     /// has come back from an older copy.
-    pub fn listed(
+    pub fn apply_listing(
         &mut self,
         era: Option<u64>,
         known: BTreeMap<String, T>,
@@ -52,7 +52,7 @@
             let revision = |objects: &BTreeMap<String, T>, name: &str| {
                 objects.get(name).map(StoreObject::revision)
             };
-            self.kept
+            self.retained
                 .retain(|name, _| revision(&known, name) == revision(listed, name));
         }
         is_restored
@@ -71,72 +71,75 @@
         listed: &BTreeMap<String, T>,
     ) {
         let known_gone: Vec<_> = self.known_gone().map(str::to_owned).collect();
-        let known = self.take_shown(known);
+        let known = self.take_effective_objects(known);
         for name in gone.into_iter().chain(known_gone) {
             if listed.contains_key(&name) && !known.contains_key(&name) {
-                self.kept.insert(name, None);
+                self.retained.insert(name, None);
             }
         }
         for (name, object) in known {
             let is_present = listed.get(&name).is_some_and(|listed| {
-                listed.says_the_same(&object) || is_written_again(&object, listed)
+                listed.has_same_content(&object) || is_written_again(&object, listed)
             });
             if !is_present {
-                self.kept.insert(name, Some(object));
+                self.retained.insert(name, Some(object));
             }
         }
     }
 
     /// The object of this name was written, or removed, since the store came back.
-    pub fn written(&mut self, name: &str) {
-        self.kept.remove(name);
+    pub fn mark_written(&mut self, name: &str) {
+        self.retained.remove(name);
     }
 
     /// Nothing more is written again: what the store shows counts. Returns the names that this changes.
-    pub fn settled(&mut self) -> BTreeSet<String> {
-        std::mem::take(&mut self.kept).into_keys().collect()
+    pub fn clear_retained(&mut self) -> BTreeSet<String> {
+        std::mem::take(&mut self.retained).into_keys().collect()
     }
 
     /// Whether all objects are to be seen as the store shows them.
     #[must_use]
-    pub fn is_as_listed(&self) -> bool {
-        self.kept.is_empty()
+    pub fn matches_store(&self) -> bool {
+        self.retained.is_empty()
     }
 
     /// The names of the objects that are not to be seen as the store shows them.
-    pub fn kept(&self) -> impl ExactSizeIterator<Item = &str> {
-        self.kept.keys().map(String::as_str)
+    pub fn retained_names(&self) -> impl ExactSizeIterator<Item = &str> {
+        self.retained.keys().map(String::as_str)
     }
 
     /// The objects as they are to be seen.
     #[must_use]
-    pub fn shown(&self, listed: &BTreeMap<String, T>) -> BTreeMap<String, T> {
-        let mut shown = listed.clone();
-        for (name, kept) in &self.kept {
-            match kept {
-                Some(object) => _ = shown.insert(name.clone(), object.clone()),
-                None => _ = shown.remove(name),
+    pub fn effective_objects(&self, listed: &BTreeMap<String, T>) -> BTreeMap<String, T> {
+        let mut effective = listed.clone();
+        for (name, retained) in &self.retained {
+            match retained {
+                Some(object) => _ = effective.insert(name.clone(), object.clone()),
+                None => _ = effective.remove(name),
             }
         }
-        shown
+        effective
     }
 
     /// The names of objects that the store shows and that are known to be gone.
     fn known_gone(&self) -> impl Iterator<Item = &str> {
-        let gone = self.kept.iter().filter(|(_, kept)| kept.is_none());
+        let gone = self
+            .retained
+            .iter()
+            .filter(|(_, retained)| retained.is_none());
         gone.map(|(name, _)| name.as_str())
     }
 
     /// The objects as they were seen until now, and forgets what was kept.
-    fn take_shown(&mut self, listed: BTreeMap<String, T>) -> BTreeMap<String, T> {
-        let mut shown = listed;
-        for (name, kept) in std::mem::take(&mut self.kept) {
-            match kept {
-                Some(object) => _ = shown.insert(name, object),
-                None => _ = shown.remove(&name),
+    fn take_effective_objects(&mut self, listed: BTreeMap<String, T>) -> BTreeMap<String, T> {
+        let mut effective = listed;
+        for (name, retained) in std::mem::take(&mut self.retained) {
+            match retained {
+                Some(object) => _ = effective.insert(name, object),
+                None => _ = effective.remove(&name),
             }
         }
-        shown
+        effective
     }
 }
 
--- a/crates/stairward-membership/src/feed/retry.rs
+++ b/crates/stairward-membership/src/feed/retry.rs
@@ -19,13 +19,13 @@
 
 impl StoreRetry {
     /// The store answered.
-    pub fn answered(&mut self) {
+    pub fn record_success(&mut self) {
         self.failures = 0;
     }
 
     /// The store did not answer, or turned this node away: the pause before the next try. `jitter`, from 0 to 1,
     /// keeps the nodes that failed together apart.
-    pub fn failed(&mut self, is_watcher: bool, jitter: f64) -> Duration {
+    pub fn record_failure(&mut self, is_watcher: bool, jitter: f64) -> Duration {
         let longest = if is_watcher {
             LONGEST_PAUSE_OF_WATCHER
         } else {
--- a/crates/stairward-membership/tests/feed.rs
+++ b/crates/stairward-membership/tests/feed.rs
@@ -31,10 +31,10 @@
     let parameters = FeedParameters {
         node: NodeId(node),
         region: region("north"),
-        reads_after: READS_AFTER,
-        listing_patience: Duration::ZERO,
-        follows_after: FOLLOWS_AFTER,
-        settles_after: SETTLES_AFTER,
+        direct_read_timeout: READS_AFTER,
+        listing_timeout: Duration::ZERO,
+        store_timeout: FOLLOWS_AFTER,
+        restore_settle_time: SETTLES_AFTER,
     };
     Feed::new(parameters, Time::ZERO)
 }
@@ -43,7 +43,7 @@
 fn feed_among(node: u64, count: u64) -> (Feed, Vec<Effect>) {
     let mut feed = feed(node);
     feed.handle(Time::ZERO, Event::Tick);
-    let effects = feed.handle(Time::ZERO, Event::Members(members(count)));
+    let effects = feed.handle(Time::ZERO, Event::MembersChanged(members(count)));
     (feed, effects)
 }
 
@@ -66,7 +66,7 @@
 }
 
 fn whole(text: &str) -> FeedContent {
-    FeedContent::Whole(text.as_bytes().to_vec())
+    FeedContent::Snapshot(text.as_bytes().to_vec())
 }
 
 fn from_source(source: NodeId, at: u64, age: u64, content: FeedContent) -> Event {
@@ -90,14 +90,14 @@
 
 fn reads(effects: &[Effect]) -> Option<bool> {
     effects.iter().find_map(|effect| match effect {
-        Effect::Read(is_reading) => Some(*is_reading),
+        Effect::ReadStore(is_reading) => Some(*is_reading),
         _ => None,
     })
 }
 
 fn taken(effects: &[Effect]) -> Vec<&FeedContent> {
     let taken = effects.iter().filter_map(|effect| match effect {
-        Effect::Take { content, .. } => Some(content),
+        Effect::Apply { content, .. } => Some(content),
         _ => None,
     });
     taken.collect()
@@ -108,16 +108,19 @@
     for node in 1..=3 {
         let mut feed = feed(node);
         assert_eq!(reads(&feed.handle(Time::ZERO, Event::Tick)), None);
-        let effects = feed.handle(Time::ZERO, Event::Members(members(3)));
+        let effects = feed.handle(Time::ZERO, Event::MembersChanged(members(3)));
         assert_eq!(reads(&effects), None, "its view has to settle first");
         assert!(feed.is_watcher());
         assert_eq!(
-            feed.next_wake(Time::ZERO),
+            feed.next_deadline(Time::ZERO),
             Some(Time::from_millis(VIEW_SETTLES))
         );
         let settled = feed.handle(Time::from_millis(VIEW_SETTLES), Event::Tick);
         assert_eq!(reads(&settled), Some(true));
-        let effects = feed.handle(Time::from_millis(VIEW_SETTLES), Event::Members(members(3)));
+        let effects = feed.handle(
+            Time::from_millis(VIEW_SETTLES),
+            Event::MembersChanged(members(3)),
+        );
         assert_eq!(reads(&effects), None, "it goes on reading");
     }
 }
@@ -171,10 +174,10 @@
 fn a_node_that_ranks_as_a_watcher_for_a_moment_does_not_read() {
     let (mut feed, _) = follower_among(24);
     let own = members(24).into_iter().take(1).collect();
-    let alone = feed.handle(Time::from_millis(400), Event::Members(own));
+    let alone = feed.handle(Time::from_millis(400), Event::MembersChanged(own));
     assert!(feed.is_watcher());
     assert_eq!(reads(&alone), None);
-    let again = feed.handle(Time::from_millis(900), Event::Members(members(24)));
+    let again = feed.handle(Time::from_millis(900), Event::MembersChanged(members(24)));
     assert_eq!(reads(&again), None);
     let later = feed.handle(Time::from_millis(1_450), Event::Tick);
     assert_eq!(reads(&later), None);
@@ -190,7 +193,7 @@
     let effects = feed.handle(Time::from_millis(10), listing(7, "seven"));
     assert_eq!(taken(&effects), [&whole("seven")]);
     let follower = FollowerId(1);
-    let asked = Event::FollowerAsked {
+    let asked = Event::FollowRequested {
         follower,
         known: None,
     };
@@ -217,7 +220,7 @@
     let confirmed = from_source(sources[1], 7, 0, FeedContent::Unchanged);
     feed.handle(Time::from_millis(2_000), confirmed);
     assert_eq!(
-        feed.next_wake(Time::from_millis(2_000)),
+        feed.next_deadline(Time::from_millis(2_000)),
         Some(Time::from_millis(4_000))
     );
     assert_eq!(
@@ -269,12 +272,12 @@
     );
     let follower = FollowerId(1);
     feed.handle(Time::ZERO, from_store(5, whole("five")));
-    let asked = Event::FollowerAsked {
+    let asked = Event::FollowRequested {
         follower,
         known: None,
     };
     let effects = feed.handle(Time::from_millis(300), asked);
-    let told = Effect::Tell {
+    let told = Effect::Push {
         followers: vec![follower],
         at: StoreRevision::new(0, 5),
         age: Duration::from_millis(300),
@@ -293,7 +296,7 @@
     feed.handle(silent, from_source(source, 8, 0, whole("eight")));
     let effects = feed.handle(silent, from_store(7, changes("seven")));
     assert!(taken(&effects).is_empty());
-    let told = Effect::Tell {
+    let told = Effect::Push {
         followers: vec![follower],
         at: StoreRevision::new(0, 7),
         age: Duration::ZERO,
@@ -310,7 +313,7 @@
     let follower = FollowerId(1);
     let effects = feed.handle(
         Time::ZERO,
-        Event::FollowerAsked {
+        Event::FollowRequested {
             follower,
             known: None,
         },
@@ -337,7 +340,7 @@
     let now = Time::from_millis(500);
     feed.handle(now, from_source(sources[0], 9, 0, whole("nine")));
     assert!(feed.handle(now, Event::SourceLost(sources[0])).is_empty());
-    let later = feed.next_wake(now).expect("a deadline");
+    let later = feed.next_deadline(now).expect("a deadline");
     let effects = feed.handle(later, Event::Tick);
     let again = Effect::Follow {
         source: sources[0],
@@ -351,7 +354,7 @@
     let (mut feed, sources) = follower_among(24);
     let mut view = members(24);
     view.retain(|member| member.node != sources[0]);
-    let effects = feed.handle(Time::from_millis(600), Event::Members(view));
+    let effects = feed.handle(Time::from_millis(600), Event::MembersChanged(view));
     assert!(effects.contains(&Effect::Unfollow(sources[0])));
     let late = from_source(sources[0], 9, 0, whole("nine"));
     assert!(taken(&feed.handle(Time::from_millis(600), late)).is_empty());
@@ -366,7 +369,7 @@
         let mut tries = 0;
         while elapsed < limit {
             tries += 1;
-            elapsed += retry.failed(is_watcher, 1.0);
+            elapsed += retry.record_failure(is_watcher, 1.0);
         }
         tries
     };
@@ -379,12 +382,18 @@
 fn a_store_that_answered_is_tried_again_soon_and_nodes_that_failed_together_come_apart() {
     let mut retry = StoreRetry::default();
     for _ in 0..40 {
-        retry.failed(false, 0.0);
+        retry.record_failure(false, 0.0);
     }
-    assert_eq!(retry.failed(false, 1.0), Duration::from_millis(2_000));
-    assert_eq!(retry.failed(false, 0.0), Duration::from_millis(1_500));
-    retry.answered();
-    assert_eq!(retry.failed(false, 0.0), Duration::from_millis(75));
+    assert_eq!(
+        retry.record_failure(false, 1.0),
+        Duration::from_millis(2_000)
+    );
+    assert_eq!(
+        retry.record_failure(false, 0.0),
+        Duration::from_millis(1_500)
+    );
+    retry.record_success();
+    assert_eq!(retry.record_failure(false, 0.0), Duration::from_millis(75));
 }
 
 /// A follower in a region of so many, and how long after its start it reads the store where no watcher answers.
@@ -398,7 +407,7 @@
     let mut now = Time::ZERO;
     loop {
         now = feed
-            .next_wake(now)
+            .next_deadline(now)
             .unwrap_or_else(|| panic!("no deadline after {now:?}: {count} {held:?}"));
         if reads(&feed.handle(now, Event::Tick)) == Some(true) {
             return now.since(Time::ZERO);
--- a/crates/stairward-membership/tests/feed_age.rs
+++ b/crates/stairward-membership/tests/feed_age.rs
@@ -17,13 +17,13 @@
     let parameters = FeedParameters {
         node: NodeId(number),
         region: RegionName::new("north").expect("a region's name"),
-        reads_after: Duration::from_millis(2_000),
-        listing_patience: Duration::ZERO,
-        follows_after: Duration::from_millis(3_000),
-        settles_after: Duration::from_millis(4_000),
+        direct_read_timeout: Duration::from_millis(2_000),
+        listing_timeout: Duration::ZERO,
+        store_timeout: Duration::from_millis(3_000),
+        restore_settle_time: Duration::from_millis(4_000),
     };
     let mut feed = Feed::new(parameters, Time::ZERO);
-    feed.handle(Time::ZERO, Event::Members(members()));
+    feed.handle(Time::ZERO, Event::MembersChanged(members()));
     feed
 }
 
@@ -46,7 +46,7 @@
 /// After which moment what was taken over came about; the outer none where nothing was.
 fn taken_since(effects: &[Effect]) -> Option<Option<Time>> {
     effects.iter().find_map(|effect| match effect {
-        Effect::Take { since, .. } => Some(*since),
+        Effect::Apply { since, .. } => Some(*since),
         _ => None,
     })
 }
@@ -58,7 +58,7 @@
         objects: Vec::new(),
     };
     assert_eq!(taken_since(&feed(1).handle(at(10), listing)), Some(None));
-    let first = from_store(6, 5, FeedContent::Whole(Vec::new()));
+    let first = from_store(6, 5, FeedContent::Snapshot(Vec::new()));
     assert_eq!(taken_since(&feed(1).handle(at(10), first)), Some(None));
 }
 
@@ -70,14 +70,14 @@
         objects: Vec::new(),
     };
     feed.handle(at(10), listing);
-    let first = from_store(6, 5, FeedContent::Whole(Vec::new()));
+    let first = from_store(6, 5, FeedContent::Snapshot(Vec::new()));
     assert_eq!(taken_since(&feed.handle(at(20), first)), Some(None));
 }
 
 #[test]
 fn a_change_came_after_the_last_moment_at_which_the_store_knew_nothing_newer() {
     let mut feed = feed(1);
-    feed.handle(at(10), from_store(5, 5, FeedContent::Whole(Vec::new())));
+    feed.handle(at(10), from_store(5, 5, FeedContent::Snapshot(Vec::new())));
     feed.handle(at(3_010), from_store(5, 3_000, FeedContent::Unchanged));
     // The answer was on its way for long, or the node stood still.
     let effects = feed.handle(at(9_000), from_store(6, 3_010, changes()));
@@ -89,7 +89,7 @@
 #[test]
 fn a_confirmation_that_comes_late_counts_from_when_it_was_given() {
     let mut feed = feed(1);
-    feed.handle(at(10), from_store(5, 5, FeedContent::Whole(Vec::new())));
+    feed.handle(at(10), from_store(5, 5, FeedContent::Snapshot(Vec::new())));
     feed.handle(at(8_000), from_store(5, 1_000, FeedContent::Unchanged));
     feed.handle(at(8_001), from_store(5, 900, FeedContent::Unchanged));
     let effects = feed.handle(at(8_010), from_store(6, 8_000, changes()));
@@ -131,7 +131,7 @@
 #[test]
 fn a_watchers_word_counts_from_when_its_state_was_the_newest_not_from_when_it_came() {
     let (mut feed, source) = follower();
-    let whole = FeedContent::Whole(Vec::new());
+    let whole = FeedContent::Snapshot(Vec::new());
     feed.handle(at(50), from_source(source, 5, Some(40), whole));
     // Held up by a cut: it comes 4 s late, and what follows on it right after.
     let word = from_source(source, 5, Some(1_600), FeedContent::Unchanged);
@@ -143,7 +143,7 @@
 #[test]
 fn a_watcher_whose_clock_is_not_known_tells_no_age() {
     let (mut feed, source) = follower();
-    let whole = FeedContent::Whole(Vec::new());
+    let whole = FeedContent::Snapshot(Vec::new());
     feed.handle(at(50), from_source(source, 5, None, whole));
     let effects = feed.handle(at(100), from_source(source, 6, None, changes()));
     assert_eq!(taken_since(&effects), Some(None));
@@ -152,9 +152,9 @@
 #[test]
 fn objects_that_did_not_match_say_nothing_of_any_moment() {
     let (mut feed, source) = follower();
-    let whole = || FeedContent::Whole(Vec::new());
+    let whole = || FeedContent::Snapshot(Vec::new());
     feed.handle(at(50), from_source(source, 5, Some(40), whole()));
-    feed.handle(at(60), Event::ContentRefused);
+    feed.handle(at(60), Event::ContentMismatch);
     let effects = feed.handle(at(90), from_source(source, 6, Some(80), whole()));
     assert_eq!(taken_since(&effects), Some(None));
 }
@@ -162,7 +162,7 @@
 /// What a watcher tells of the moment at which its state was the newest.
 fn told(effects: &[Effect]) -> Vec<(StoreRevision, Option<Time>)> {
     let told = effects.iter().filter_map(|effect| match effect {
-        Effect::Tell { at, current_at, .. } => Some((*at, *current_at)),
+        Effect::Push { at, current_at, .. } => Some((*at, *current_at)),
         _ => None,
     });
     told.collect()
@@ -172,8 +172,8 @@
 fn a_watcher_tells_the_moment_of_the_state_that_it_tells() {
     let mut feed = feed(1);
     let follower = FollowerId(1);
-    feed.handle(at(10), from_store(5, 5, FeedContent::Whole(Vec::new())));
-    let asked = Event::FollowerAsked {
+    feed.handle(at(10), from_store(5, 5, FeedContent::Snapshot(Vec::new())));
+    let asked = Event::FollowRequested {
         follower,
         known: None,
     };
@@ -192,8 +192,8 @@
 #[test]
 fn what_a_peer_once_read_takes_back_nothing_that_has_a_revision() {
     let mut feed = feed(1);
-    let document = || Event::PeerDocument(Vec::new());
+    let document = || Event::PeerSnapshot(Vec::new());
     assert_eq!(taken_since(&feed.handle(at(10), document())), Some(None));
-    feed.handle(at(20), from_store(5, 15, FeedContent::Whole(Vec::new())));
+    feed.handle(at(20), from_store(5, 15, FeedContent::Snapshot(Vec::new())));
     assert_eq!(taken_since(&feed.handle(at(30), document())), None);
 }
--- a/crates/stairward-membership/tests/feed_deliveries.rs
+++ b/crates/stairward-membership/tests/feed_deliveries.rs
@@ -4,7 +4,7 @@
 
 use stairward_membership::configuration::PeerPlace;
 use stairward_membership::feed::{
-    Effect, Event, Feed, FeedContent, FeedParameters, FollowerId, MOST_AT_ONCE,
+    Effect, Event, Feed, FeedContent, FeedParameters, FollowerId, MAXIMUM_IMMEDIATE_PUSH_BYTES,
 };
 use stairward_types::{Duration, NodeId, RegionName, StoreRevision, Time};
 
@@ -23,14 +23,14 @@
     (1..=count).map(place).collect()
 }
 
-fn feed(node: u64, listing_patience: Duration) -> Feed {
+fn feed(node: u64, listing_timeout: Duration) -> Feed {
     let parameters = FeedParameters {
         node: NodeId(node),
         region: RegionName::new("north").unwrap(),
-        reads_after: Duration::from_secs(2),
-        listing_patience,
-        follows_after: Duration::from_secs(3),
-        settles_after: Duration::from_secs(4),
+        direct_read_timeout: Duration::from_secs(2),
+        listing_timeout,
+        store_timeout: Duration::from_secs(3),
+        restore_settle_time: Duration::from_secs(4),
     };
     Feed::new(parameters, Time::ZERO)
 }
@@ -38,8 +38,11 @@
 /// A watcher that the store has given its objects.
 fn watcher(at: u64) -> Feed {
     let mut feed = feed(1, Duration::ZERO);
-    feed.handle(Time::ZERO, Event::Members(members(3)));
-    feed.handle(Time::ZERO, from_store(at, FeedContent::Whole(Vec::new())));
+    feed.handle(Time::ZERO, Event::MembersChanged(members(3)));
+    feed.handle(
+        Time::ZERO,
+        from_store(at, FeedContent::Snapshot(Vec::new())),
+    );
     feed
 }
 
@@ -52,14 +55,14 @@
 }
 
 fn asked(follower: u64, known: Option<u64>) -> Event {
-    Event::FollowerAsked {
+    Event::FollowRequested {
         follower: FollowerId(follower),
         known: known.map(|revision| StoreRevision::new(0, revision)),
     }
 }
 
 fn took(follower: u64, held: u64) -> Event {
-    Event::FollowerTook {
+    Event::FollowerAcknowledged {
         follower: FollowerId(follower),
         held: StoreRevision::new(0, held),
     }
@@ -69,7 +72,7 @@
 fn told(effects: &[Effect]) -> Vec<(FollowerId, FeedContent)> {
     let mut told = Vec::new();
     for effect in effects {
-        if let Effect::Tell {
+        if let Effect::Push {
             followers, content, ..
         } = effect
         {
@@ -84,7 +87,7 @@
 }
 
 fn since(revision: u64) -> FeedContent {
-    FeedContent::Since {
+    FeedContent::ChangesSince {
         since: StoreRevision::new(0, revision),
         changes: Vec::new(),
         digest: 0,
@@ -107,7 +110,7 @@
     let effects = feed.handle(Time::ZERO, asked(2, Some(9)));
     assert_eq!(told(&effects), [(FollowerId(2), FeedContent::Unchanged)]);
     let effects = feed.handle(Time::ZERO, asked(3, None));
-    let whole = FeedContent::Whole(Vec::new());
+    let whole = FeedContent::Snapshot(Vec::new());
     assert_eq!(told(&effects), [(FollowerId(3), whole)]);
 }
 
@@ -137,12 +140,12 @@
 #[test]
 fn followers_that_wait_together_are_told_the_same_content() {
     let mut feed = feed(1, Duration::ZERO);
-    feed.handle(Time::ZERO, Event::Members(members(3)));
+    feed.handle(Time::ZERO, Event::MembersChanged(members(3)));
     for follower in 1..=AT_ONCE as u64 {
         let effects = feed.handle(Time::ZERO, asked(follower, Some(follower)));
         assert!(told(&effects).is_empty(), "nothing is confirmed yet");
     }
-    let whole = FeedContent::Whole(Vec::new());
+    let whole = FeedContent::Snapshot(Vec::new());
     let effects = feed.handle(Time::ZERO, from_store(9, whole));
     let told = told(&effects);
     assert_eq!(told.len(), AT_ONCE);
@@ -156,7 +159,7 @@
         feed.handle(Time::ZERO, asked(follower, Some(3)));
     }
     assert_eq!(
-        feed.next_wake(Time::ZERO),
+        feed.next_deadline(Time::ZERO),
         Some(Time::from_millis(PATIENCE))
     );
     let effects = feed.handle(Time::from_millis(PATIENCE - 1), Event::Tick);
@@ -187,7 +190,7 @@
     let in_step: Vec<_> = (1..=4).map(|id| (FollowerId(id), change.clone())).collect();
     assert_eq!(told(&effects), in_step);
     let effects = feed.handle(Time::ZERO, took(2, 11));
-    let [Effect::Tell { at, .. }] = effects.as_slice() else {
+    let [Effect::Push { at, .. }] = effects.as_slice() else {
         panic!("{effects:?}");
     };
     assert_eq!(*at, StoreRevision::new(0, 11));
@@ -200,7 +203,7 @@
     for follower in 1..=12 {
         feed.handle(Time::ZERO, asked(follower, Some(9)));
     }
-    let change = FeedContent::Changes(vec![1; MOST_AT_ONCE + 1]);
+    let change = FeedContent::Changes(vec![1; MAXIMUM_IMMEDIATE_PUSH_BYTES + 1]);
     let effects = feed.handle(Time::ZERO, from_store(11, change));
     let first: Vec<_> = (1..=4).map(|id| (FollowerId(id), since(9))).collect();
     assert_eq!(told(&effects), first);
@@ -220,7 +223,7 @@
     let mut feed = watcher(9);
     feed.handle(Time::ZERO, asked(1, Some(9)));
     feed.handle(Time::ZERO, asked(2, Some(9)));
-    let whole = || FeedContent::Whole(Vec::new());
+    let whole = || FeedContent::Snapshot(Vec::new());
     let effects = feed.handle(Time::ZERO, from_store(12, whole()));
     let expected = [(FollowerId(1), since(9)), (FollowerId(2), since(9))];
     assert_eq!(told(&effects), expected);
@@ -234,7 +237,7 @@
 fn a_node_that_starts_waits_for_its_listing_and_follows_one_watcher_first() {
     for node in 1..=24 {
         let mut feed = feed(node, LISTING_PATIENCE);
-        let effects = feed.handle(Time::ZERO, Event::Members(members(24)));
+        let effects = feed.handle(Time::ZERO, Event::MembersChanged(members(24)));
         if feed.is_watcher() {
             continue;
         }
@@ -268,7 +271,7 @@
 fn first_follower() -> (Feed, NodeId) {
     for node in 1..=24 {
         let mut feed = feed(node, LISTING_PATIENCE);
-        feed.handle(Time::ZERO, Event::Members(members(24)));
+        feed.handle(Time::ZERO, Event::MembersChanged(members(24)));
         let late = Time::from_millis(600);
         let effects = feed.handle(late, Event::Tick);
         if let ([(source, None)], false) = (&followed(&effects)[..], feed.is_watcher()) {
@@ -314,7 +317,7 @@
     assert!(
         !effects
             .iter()
-            .any(|effect| matches!(effect, Effect::Take { .. }))
+            .any(|effect| matches!(effect, Effect::Apply { .. }))
     );
     assert!(followed(&effects).contains(&(first, None)));
 }
@@ -329,9 +332,9 @@
         current_at: None,
         content,
     };
-    let whole = answered(FeedContent::Whole(Vec::new()));
+    let whole = answered(FeedContent::Snapshot(Vec::new()));
     feed.handle(Time::from_millis(700), whole);
-    let effects = feed.handle(Time::from_millis(800), Event::ContentRefused);
+    let effects = feed.handle(Time::from_millis(800), Event::ContentMismatch);
     let asked: BTreeMap<_, _> = followed(&effects).into_iter().collect();
     assert!(!asked.is_empty() && asked.values().all(Option::is_none));
 }
--- a/crates/stairward-membership/tests/feed_eras.rs
+++ b/crates/stairward-membership/tests/feed_eras.rs
@@ -24,13 +24,13 @@
     let parameters = FeedParameters {
         node: NodeId(number),
         region: RegionName::new("north").unwrap(),
-        reads_after: Duration::from_secs(2),
-        listing_patience: Duration::ZERO,
-        follows_after: Duration::from_secs(3),
-        settles_after: Duration::from_millis(SETTLES_AFTER),
+        direct_read_timeout: Duration::from_secs(2),
+        listing_timeout: Duration::ZERO,
+        store_timeout: Duration::from_secs(3),
+        restore_settle_time: Duration::from_millis(SETTLES_AFTER),
     };
     let mut feed = Feed::new(parameters, Time::ZERO);
-    feed.handle(Time::ZERO, Event::Members(members()));
+    feed.handle(Time::ZERO, Event::MembersChanged(members()));
     feed
 }
 
@@ -54,7 +54,7 @@
 }
 
 fn whole(text: &str) -> FeedContent {
-    FeedContent::Whole(text.as_bytes().to_vec())
+    FeedContent::Snapshot(text.as_bytes().to_vec())
 }
 
 fn changes(text: &str) -> FeedContent {
@@ -86,7 +86,7 @@
 
 fn taken(effects: &[Effect]) -> Vec<(&FeedContent, Option<Time>)> {
     let taken = effects.iter().filter_map(|effect| match effect {
-        Effect::Take { content, since, .. } => Some((content, *since)),
+        Effect::Apply { content, since, .. } => Some((content, *since)),
         _ => None,
     });
     taken.collect()
@@ -104,7 +104,7 @@
     let later = StoreRevision::new(1, 41);
     let effects = feed.handle(at(30), from_store(30, later, changes("more")));
     assert_eq!(taken(&effects).len(), 1);
-    assert_eq!(feed.held(), Some(later));
+    assert_eq!(feed.held_revision(), Some(later));
 }
 
 #[test]
@@ -115,7 +115,7 @@
     let later = StoreRevision::new(1, 901);
     let effects = feed.handle(at(20), from_source(20, source, later, changes("more")));
     assert!(taken(&effects).is_empty());
-    assert_eq!(feed.held(), Some(BEFORE));
+    assert_eq!(feed.held_revision(), Some(BEFORE));
     let asked = effects.iter().any(|effect| {
         let known = Some(BEFORE);
         matches!(effect, Effect::Follow { source: to, known: told } if *to == source && *told == known)
@@ -127,13 +127,13 @@
 fn a_follower_of_an_earlier_copy_is_told_all_objects() {
     let mut feed = watcher();
     feed.handle(at(10), from_store(10, AFTER, whole("after")));
-    let asked = Event::FollowerAsked {
+    let asked = Event::FollowRequested {
         follower: FollowerId(7),
         known: Some(BEFORE),
     };
     let effects = feed.handle(at(11), asked);
     let told = effects.iter().any(|effect| {
-        matches!(effect, Effect::Tell { content: FeedContent::Whole(_), at, .. } if *at == AFTER)
+        matches!(effect, Effect::Push { content: FeedContent::Snapshot(_), at, .. } if *at == AFTER)
     });
     assert!(told, "{effects:?}");
 }
@@ -148,7 +148,7 @@
         let old = from_source(now, source, BEFORE, FeedContent::Unchanged);
         let effects = feed.handle(at(now), old);
         assert!(taken(&effects).is_empty());
-        if effects.contains(&Effect::Read(true)) {
+        if effects.contains(&Effect::ReadStore(true)) {
             reads_at = Some(now);
             break;
         }
@@ -164,7 +164,7 @@
     let (mut feed, sources) = follower();
     let source = sources[0];
     feed.handle(at(10), from_source(10, source, AFTER, whole("after")));
-    feed.handle(at(20), Event::ContentRefused);
+    feed.handle(at(20), Event::ContentMismatch);
     let effects = feed.handle(at(30), from_source(30, source, BEFORE, whole("before")));
     assert!(taken(&effects).is_empty());
 }
@@ -177,9 +177,12 @@
     let news = StoreRevision::new(1, 41);
     let effects = feed.handle(at(2_000), from_store(2_000, news, changes("lost word")));
     assert_eq!(taken(&effects), [(&changes("lost word"), Some(at(10)))]);
-    assert_eq!(feed.next_wake(at(4_999)), Some(at(1_000 + SETTLES_AFTER)));
+    assert_eq!(
+        feed.next_deadline(at(4_999)),
+        Some(at(1_000 + SETTLES_AFTER))
+    );
     let effects = feed.handle(at(1_000 + SETTLES_AFTER), Event::Tick);
-    assert!(effects.contains(&Effect::Settled), "{effects:?}");
+    assert!(effects.contains(&Effect::RestoreSettled), "{effects:?}");
     let unchanged = from_store(5_100, news, FeedContent::Unchanged);
     feed.handle(at(5_100), unchanged);
     let later = StoreRevision::new(1, 42);
@@ -252,7 +255,7 @@
     fn answer(&self, read: Option<StoreRevision>) -> FeedContent {
         let known = read.filter(|read| read.era() == self.era && read.revision() <= self.revision);
         match known {
-            None => FeedContent::Whole(pack(&self.objects)),
+            None => FeedContent::Snapshot(pack(&self.objects)),
             Some(read) if read == self.at() => FeedContent::Unchanged,
             Some(read) => FeedContent::Changes(pack(&later_than(&self.objects, read))),
         }
@@ -317,9 +320,9 @@
     /// Takes content over. Returns whether the objects are now those that it is about.
     fn take(&mut self, content: &FeedContent) -> bool {
         match content {
-            FeedContent::Whole(bytes) => self.objects = unpack(bytes),
+            FeedContent::Snapshot(bytes) => self.objects = unpack(bytes),
             FeedContent::Changes(bytes) => self.objects.extend(unpack(bytes)),
-            FeedContent::Since {
+            FeedContent::ChangesSince {
                 changes, digest: d, ..
             } => {
                 self.objects.extend(unpack(changes));
@@ -428,8 +431,8 @@
         let (source, node) = &mut self.watchers[place];
         for effect in node.feed.handle(self.now, event) {
             match effect {
-                Effect::Take { content, .. } => assert!(node.take(&content)),
-                Effect::Tell {
+                Effect::Apply { content, .. } => assert!(node.take(&content)),
+                Effect::Push {
                     at,
                     age,
                     current_at,
@@ -437,8 +440,8 @@
                     ..
                 } => {
                     let content = match content {
-                        FeedContent::Whole(_) => FeedContent::Whole(pack(&node.objects)),
-                        FeedContent::Since { since, .. } => FeedContent::Since {
+                        FeedContent::Snapshot(_) => FeedContent::Snapshot(pack(&node.objects)),
+                        FeedContent::ChangesSince { since, .. } => FeedContent::ChangesSince {
                             since,
                             changes: pack(&later_than(&node.objects, since)),
                             digest: digest(&node.objects),
@@ -461,14 +464,14 @@
     fn tell_follower(&mut self, event: Event) {
         for effect in self.follower.feed.handle(self.now, event) {
             match effect {
-                Effect::Take { content, .. } => {
+                Effect::Apply { content, .. } => {
                     let is_in_turn = !matches!(content, FeedContent::Changes(_));
                     if !self.follower.take(&content) {
-                        self.tell_follower(Event::ContentRefused);
-                    } else if is_in_turn && let Some(held) = self.follower.feed.held() {
+                        self.tell_follower(Event::ContentMismatch);
+                    } else if is_in_turn && let Some(held) = self.follower.feed.held_revision() {
                         for asked in &mut self.asked {
                             let follower = FOLLOWER;
-                            asked.push_back(Event::FollowerTook { follower, held });
+                            asked.push_back(Event::FollowerAcknowledged { follower, held });
                         }
                     }
                 }
@@ -485,7 +488,7 @@
     fn check(&self) {
         let nodes = self.watchers.iter().map(|(_, node)| node);
         for node in nodes.chain([&self.follower]) {
-            if let Some(held) = node.feed.held() {
+            if let Some(held) = node.feed.held_revision() {
                 assert_eq!(
                     Some(&values(&node.objects)),
                     self.store.history.get(&held),
@@ -518,7 +521,7 @@
 
 fn asks(known: Option<StoreRevision>) -> Event {
     let follower = FOLLOWER;
-    Event::FollowerAsked { follower, known }
+    Event::FollowRequested { follower, known }
 }
 
 fn watcher_numbered(number: u64) -> Feed {
@@ -537,6 +540,6 @@
         }
         fleet.come_to_rest();
         fleet.check();
-        assert_eq!(fleet.follower.feed.held(), Some(fleet.store.at()));
+        assert_eq!(fleet.follower.feed.held_revision(), Some(fleet.store.at()));
     });
 }
--- a/crates/stairward-membership/tests/peer_clock.rs
+++ b/crates/stairward-membership/tests/peer_clock.rs
@@ -19,7 +19,7 @@
         let moment = peer_start + milliseconds(moment);
         let on = |start: Duration, at: Duration| Time::ZERO + at.saturating_sub(start);
         let clock = PeerClock::new(on(own_start, asked), on(peer_start, answered));
-        match clock.no_later_than(on(peer_start, moment)) {
+        match clock.local_lower_bound(on(peer_start, moment)) {
             Some(placed) => {
                 let late = own_start + placed.since(Time::ZERO);
                 assert!(late <= moment, "{late:?} for {moment:?}");
@@ -33,6 +33,6 @@
 #[test]
 fn a_clock_is_asked_for_again_after_a_while() {
     let clock = PeerClock::new(Time::from_millis(500), Time::ZERO);
-    assert!(!clock.is_old(Time::from_millis(30_000)));
-    assert!(clock.is_old(Time::from_millis(30_500)));
+    assert!(!clock.is_stale(Time::from_millis(30_000)));
+    assert!(clock.is_stale(Time::from_millis(30_500)));
 }
--- a/crates/stairward-membership/tests/restored_view.rs
+++ b/crates/stairward-membership/tests/restored_view.rs
@@ -16,7 +16,7 @@
         self.at
     }
 
-    fn says_the_same(&self, other: &Self) -> bool {
+    fn has_same_content(&self, other: &Self) -> bool {
         self.word == other.word
     }
 }
@@ -49,58 +49,64 @@
     let mut view = RestoredView::default();
     let gone = gone.iter().map(|name| (*name).to_owned());
     let known = entries(0, known);
-    assert!(!view.listed(Some(0), BTreeMap::new(), Vec::new(), &known));
-    assert!(view.listed(Some(1), known, gone, &listed));
+    assert!(!view.apply_listing(Some(0), BTreeMap::new(), Vec::new(), &known));
+    assert!(view.apply_listing(Some(1), known, gone, &listed));
     (view, listed)
 }
 
 #[test]
 fn a_back_end_that_leaves_does_not_read_as_staying() {
     let (mut view, listed) = seen(&[("db", 80, "draining")], &[], &[("db", 20, "ready")]);
-    assert_eq!(words(&view.shown(&listed)), [("db", "draining")]);
-    view.written("db");
-    assert_eq!(words(&view.shown(&listed)), [("db", "ready")]);
+    assert_eq!(
+        words(&view.effective_objects(&listed)),
+        [("db", "draining")]
+    );
+    view.mark_written("db");
+    assert_eq!(words(&view.effective_objects(&listed)), [("db", "ready")]);
 }
 
 #[test]
 fn a_back_end_that_has_ended_is_not_there_again() {
     let (mut view, listed) = seen(&[], &["db"], &[("db", 20, "ready")]);
-    assert!(view.shown(&listed).is_empty());
-    assert_eq!(view.settled().len(), 1);
-    assert_eq!(words(&view.shown(&listed)), [("db", "ready")]);
+    assert!(view.effective_objects(&listed).is_empty());
+    assert_eq!(view.clear_retained().len(), 1);
+    assert_eq!(words(&view.effective_objects(&listed)), [("db", "ready")]);
 }
 
 #[test]
 fn an_evacuation_that_the_copy_lacks_is_kept_until_nobody_writes_it_again() {
     let (mut view, listed) = seen(&[("zone", 80, "evacuated")], &[], &[]);
-    assert_eq!(words(&view.shown(&listed)), [("zone", "evacuated")]);
-    view.settled();
-    assert!(view.is_as_listed());
-    assert!(view.shown(&listed).is_empty());
+    assert_eq!(
+        words(&view.effective_objects(&listed)),
+        [("zone", "evacuated")]
+    );
+    view.clear_retained();
+    assert!(view.matches_store());
+    assert!(view.effective_objects(&listed).is_empty());
 }
 
 #[test]
 fn what_was_written_again_counts_at_once() {
     let (view, _) = seen(&[("db", 80, "ready")], &[], &[("db", 80, "draining")]);
-    assert!(view.is_as_listed(), "the same revision with another word");
+    assert!(view.matches_store(), "the same revision with another word");
     let (view, _) = seen(&[("db", 80, "ready")], &[], &[("db", 81, "draining")]);
-    assert!(view.is_as_listed());
+    assert!(view.matches_store());
     let (view, _) = seen(&[], &[], &[("new", 5, "ready")]);
-    assert!(view.is_as_listed(), "never seen before");
+    assert!(view.matches_store(), "never seen before");
 }
 
 #[test]
 fn what_a_second_restore_brings_takes_back_nothing_either() {
     let (mut view, listed) = seen(&[("db", 80, "draining")], &[], &[("db", 20, "ready")]);
     let again = entries(2, &[("db", 20, "ready")]);
-    assert!(view.listed(Some(2), listed, Vec::new(), &again));
-    assert_eq!(words(&view.shown(&again)), [("db", "draining")]);
+    assert!(view.apply_listing(Some(2), listed, Vec::new(), &again));
+    assert_eq!(words(&view.effective_objects(&again)), [("db", "draining")]);
 }
 
 #[test]
 fn a_second_restore_brings_back_nothing_that_has_ended() {
     let (mut view, listed) = seen(&[], &["db"], &[("db", 20, "ready")]);
     let again = entries(2, &[("db", 20, "ready")]);
-    assert!(view.listed(Some(2), listed, Vec::new(), &again));
-    assert!(view.shown(&again).is_empty());
+    assert!(view.apply_listing(Some(2), listed, Vec::new(), &again));
+    assert!(view.effective_objects(&again).is_empty());
 }
--- a/crates/stairward-runtime/src/feeds.rs
+++ b/crates/stairward-runtime/src/feeds.rs
@@ -8,7 +8,7 @@
 use stairward_membership::PeerClock;
 use stairward_membership::configuration::PeerPlace;
 use stairward_membership::feed::{
-    Effect, Event, Feed, FeedContent, FeedParameters, FollowerId, MOST_AT_ONCE,
+    Effect, Event, Feed, FeedContent, FeedParameters, FollowerId, MAXIMUM_IMMEDIATE_PUSH_BYTES,
 };
 use stairward_protocol::Text;
 use stairward_protocol::neighbour::{FeedStateMessage, NeighbourMessage};
@@ -172,14 +172,14 @@
     /// A moment of this node's clock that is no later than one of a watcher's; none where its clock is not known yet.
     fn on_own_clock(&self, source: NodeId, theirs: Time) -> Option<Time> {
         let clocks = self.source_clocks.borrow();
-        clocks.get(&source)?.no_later_than(theirs)
+        clocks.get(&source)?.local_lower_bound(theirs)
     }
 
     fn next_wake(&self, now: Time) -> Option<Time> {
         let feeds = self.by_name.borrow();
         let deadlines = feeds.values();
         deadlines
-            .filter_map(|feed| feed.feed.borrow().next_wake(now))
+            .filter_map(|feed| feed.feed.borrow().next_deadline(now))
             .min()
     }
 }
@@ -196,10 +196,10 @@
         let parameters = FeedParameters {
             node: self.peer.node,
             region: self.peer.region.clone(),
-            reads_after: times.reads_after,
-            listing_patience: LISTING_PATIENCE,
-            follows_after: times.follows_after,
-            settles_after: times.settles_after,
+            direct_read_timeout: times.reads_after,
+            listing_timeout: LISTING_PATIENCE,
+            store_timeout: times.follows_after,
+            restore_settle_time: times.settles_after,
         };
         let feed = Rc::new(OpenFeed {
             feed: RefCell::new(Feed::new(parameters, self.now())),
@@ -244,7 +244,7 @@
 
     /// Takes over what a peer last read, until the store or a watcher answers.
     pub fn take_word_of_peer(self: &Rc<Self>, name: &'static str, content: Vec<u8>) {
-        self.feed_event(name, Event::PeerDocument(content));
+        self.feed_event(name, Event::PeerSnapshot(content));
     }
 
     /// Whether other nodes hear of a feed's changes from this one.
@@ -257,7 +257,7 @@
     /// The revision of a feed's objects that this node holds; none before the first.
     #[must_use]
     pub fn held_of_feed(&self, name: &str) -> Option<StoreRevision> {
-        self.feeds.get(name)?.feed.borrow().held()
+        self.feeds.get(name)?.feed.borrow().held_revision()
     }
 
     /// Whether this node ranks as a watcher of a feed, from which others hear of changes.
@@ -295,7 +295,7 @@
             places.collect()
         };
         for (name, _) in self.feeds.all() {
-            self.feed_event(name, Event::Members(places.clone()));
+            self.feed_event(name, Event::MembersChanged(places.clone()));
         }
     }
 
@@ -321,7 +321,7 @@
         links.insert(follower, Rc::clone(outgoing));
         drop(links);
         let known = (known > 0).then_some(StoreRevision::from_number(known));
-        self.feed_event(name.as_str(), Event::FollowerAsked { follower, known });
+        self.feed_event(name.as_str(), Event::FollowRequested { follower, known });
     }
 
     /// Another node no longer follows a feed.
@@ -331,7 +331,7 @@
 
     /// Another node has taken over what it lacked of a feed.
     pub(crate) fn follower_took(self: &Rc<Self>, link: u64, name: &Text, held: u64) {
-        let took = Event::FollowerTook {
+        let took = Event::FollowerAcknowledged {
             follower: FollowerId(link),
             held: StoreRevision::from_number(held),
         };
@@ -346,7 +346,7 @@
         };
         let (sources, held) = {
             let feed = open.feed.borrow();
-            (feed.sources().collect::<Vec<_>>(), feed.held())
+            (feed.sources().collect::<Vec<_>>(), feed.held_revision())
         };
         let message = NeighbourMessage::FeedTaken {
             name: name.clone(),
@@ -378,8 +378,8 @@
             return;
         };
         let came_in_turn = match &content {
-            FeedContent::Whole(_) | FeedContent::Since { .. } => true,
-            FeedContent::Changes(bytes) => bytes.len() > MOST_AT_ONCE,
+            FeedContent::Snapshot(_) | FeedContent::ChangesSince { .. } => true,
+            FeedContent::Changes(bytes) => bytes.len() > MAXIMUM_IMMEDIATE_PUSH_BYTES,
             FeedContent::Unchanged => false,
         };
         let current_at = Some(message.current_at_microseconds)
@@ -410,7 +410,7 @@
     fn keep_clock_known(self: &Rc<Self>, source: NodeId) {
         let now = self.now();
         let clock = self.feeds.source_clocks.borrow().get(&source).copied();
-        if clock.is_some_and(|clock| clock.is_old(now)) {
+        if clock.is_some_and(|clock| clock.is_stale(now)) {
             self.ask_clock(source);
         }
     }
@@ -420,9 +420,9 @@
             return;
         };
         let now = self.now();
-        let held_before = open.feed.borrow().held();
+        let held_before = open.feed.borrow().held_revision();
         let effects = open.feed.borrow_mut().handle(now, event);
-        let held = open.feed.borrow().held();
+        let held = open.feed.borrow().held_revision();
         if let Some(held) = held.filter(|_| held != held_before) {
             figures::show_feed_revision(name, held);
         }
@@ -455,7 +455,7 @@
 
     fn carry_out_feed(self: &Rc<Self>, name: &str, open: &Rc<OpenFeed>, effect: Effect) {
         match effect {
-            Effect::Read(is_reading) => {
+            Effect::ReadStore(is_reading) => {
                 let event = if is_reading {
                     LogEvent::WatcherStarted
                 } else {
@@ -479,22 +479,22 @@
                     self.tell_neighbour(source, &NeighbourMessage::UnfollowFeed { name });
                 }
             }
-            Effect::Take { at, content, since } => {
+            Effect::Apply { at, content, since } => {
                 let is_consistent = open.take(at, &content, since);
                 self.show(open);
                 if !is_consistent {
                     let event = LogEvent::FeedInconsistent;
                     tracing::warn!(event = event.number(), name = event.name(), feed = name);
-                    self.feed_event(name, Event::ContentRefused);
+                    self.feed_event(name, Event::ContentMismatch);
                 }
             }
-            Effect::Settled => {
+            Effect::RestoreSettled => {
                 open.objects.settle();
                 // What is shown from now on was known to the store when it came back, or has gone since.
                 open.note_unshown(None);
                 self.show(open);
             }
-            Effect::LeftOut { at, held } => {
+            Effect::OlderContentIgnored { at, held } => {
                 let event = LogEvent::StoreContentLeftOut;
                 tracing::warn!(
                     event = event.number(),
@@ -504,7 +504,7 @@
                     %held
                 );
             }
-            Effect::Tell {
+            Effect::Push {
                 followers,
                 at,
                 age,
@@ -545,11 +545,11 @@
                 message.kind = FeedStateMessage::CHANGES;
                 message.content = compress(bytes).into();
             }
-            FeedContent::Whole(_) => {
+            FeedContent::Snapshot(_) => {
                 message.kind = FeedStateMessage::WHOLE;
                 message.content = open.packed().into();
             }
-            FeedContent::Since { since, .. } => {
+            FeedContent::ChangesSince { since, .. } => {
                 message.kind = FeedStateMessage::SINCE;
                 message.since = since.number();
                 message.digest = open.objects.digest();
@@ -571,8 +571,8 @@
     Some(match message.kind {
         FeedStateMessage::UNCHANGED => FeedContent::Unchanged,
         FeedStateMessage::CHANGES => FeedContent::Changes(unpacked()?),
-        FeedStateMessage::WHOLE => FeedContent::Whole(unpacked()?),
-        FeedStateMessage::SINCE => FeedContent::Since {
+        FeedStateMessage::WHOLE => FeedContent::Snapshot(unpacked()?),
+        FeedStateMessage::SINCE => FeedContent::ChangesSince {
             since: StoreRevision::from_number(message.since),
             changes: unpacked()?,
             digest: message.digest,
--- a/crates/stairward-simulation/src/store_view.rs
+++ b/crates/stairward-simulation/src/store_view.rs
@@ -20,7 +20,7 @@
         self.0.revision
     }
 
-    fn says_the_same(&self, other: &Self) -> bool {
+    fn has_same_content(&self, other: &Self) -> bool {
         let as_this = BackendDescription {
             revision: self.0.revision,
             cold_left: self.0.cold_left,
@@ -39,7 +39,7 @@
         self.0
     }
 
-    fn says_the_same(&self, _: &Self) -> bool {
+    fn has_same_content(&self, _: &Self) -> bool {
         true
     }
 }
@@ -77,7 +77,9 @@
         let may_be_restored = self.restored.era().is_none() && era > 0;
         let names_before: BTreeSet<String> = before.keys().cloned().collect();
         let gone = self.gone.clone();
-        let is_restored = self.restored.listed(Some(era), before, gone, &self.listed);
+        let is_restored = self
+            .restored
+            .apply_listing(Some(era), before, gone, &self.listed);
         if is_restored || may_be_restored {
             self.settles_at = Some(now + SETTLES_AFTER);
         }
@@ -85,9 +87,9 @@
         self.gone.retain(|name| !self.listed.contains_key(name));
         if self.settles_at.is_some_and(|at| now >= at) {
             self.settles_at = None;
-            self.restored.settled();
+            self.restored.clear_retained();
         }
-        self.restored.shown(&self.listed)
+        self.restored.effective_objects(&self.listed)
     }
 
     /// Whether no loss of the store's is recent.
--- a/crates/stairward-simulation/src/world_store.rs
+++ b/crates/stairward-simulation/src/world_store.rs
@@ -125,7 +125,7 @@
             // An entry that reads as before was not written again.
             if let Some(before) = node.told_entries.get(name)
                 && before.revision().era() < entry.revision().era()
-                && before.says_the_same(entry)
+                && before.has_same_content(entry)
             {
                 entry.0.revision = before.revision();
             }
