--- a/crates/stairward-lab/src/configuration/fleet.rs
+++ b/crates/stairward-lab/src/configuration/fleet.rs
@@ -6,7 +6,7 @@
 use rand::{RngExt as _, SeedableRng as _};
 use rand_chacha::ChaCha8Rng;
 use stairward_membership::configuration::{
-    Effect, Event, ExchangeAnswer, ExchangeId, ExchangeRequest, OutgoingUpdate, PeerPlace,
+    Effect, Event, ExchangeAnswer, ExchangeId, ExchangeRequest, OutgoingUpdate, PeerLocation,
     Readiness, SettingsDigest, StoreAnswer, Update,
 };
 use stairward_types::{Duration, NodeId, Revision, Time};
@@ -75,7 +75,7 @@
     pub(super) refused_edits: u64,
     pub(super) lost_replies: u64,
     actions: Actions,
-    views: BTreeMap<(Time, bool), Arc<[PeerPlace]>>,
+    views: BTreeMap<(Time, bool), Arc<[PeerLocation]>>,
     is_over: bool,
 }
 
@@ -179,7 +179,7 @@
         let now = self.network.now();
         self.network.set_timer(index, now + TICK);
         for exchange in self.nodes[index].take_expired(now) {
-            self.handle(index, Event::AskFailed { exchange });
+            self.handle(index, Event::ExchangeFailed { exchange });
         }
         if self.nodes[index].take_expired_read(now) {
             self.handle(index, Event::StoreAnswered(StoreAnswer::Failed));
@@ -199,7 +199,7 @@
                 let from = node_id(from);
                 self.handle(
                     to,
-                    Event::Asked {
+                    Event::ExchangeRequested {
                         from,
                         call,
                         request,
@@ -208,7 +208,7 @@
             }
             Message::Answer { exchange, answer } => {
                 if self.nodes[to].open.remove(&exchange).is_some() {
-                    self.handle(to, Event::Answered { exchange, answer });
+                    self.handle(to, Event::ExchangeAnswered { exchange, answer });
                 }
             }
         }
@@ -229,13 +229,13 @@
 
     fn carry_out(&mut self, index: NodeIndex, effect: Effect) -> Option<Event> {
         match effect {
-            Effect::Ask {
+            Effect::StartExchange {
                 exchange,
                 to,
                 digest,
                 update,
             } => self.ask(index, exchange, node_index(to), digest, update),
-            Effect::Answer {
+            Effect::AnswerExchange {
                 call,
                 digest,
                 update,
@@ -354,17 +354,17 @@
     }
 
     /// Who is alive by all changes up to a moment, as seen from a node's region.
-    fn view(&mut self, index: NodeIndex, as_of: Time) -> Arc<[PeerPlace]> {
+    fn view(&mut self, index: NodeIndex, as_of: Time) -> Arc<[PeerLocation]> {
         let is_first = self.network.topology().is_in_first_region(index);
         if let Some(view) = self.views.get(&(as_of, is_first)) {
             return Arc::clone(view);
         }
         let is_apart = self.apart_since.is_some_and(|since| since <= as_of);
         let topology = self.network.topology();
-        let view: Arc<[PeerPlace]> = (0..self.nodes.len())
+        let view: Arc<[PeerLocation]> = (0..self.nodes.len())
             .filter(|other| self.down_since[*other].is_none_or(|since| since > as_of))
             .filter(|other| !is_apart || topology.is_in_first_region(*other) == is_first)
-            .map(|other| PeerPlace {
+            .map(|other| PeerLocation {
                 node: node_id(other),
                 region: topology.place(other).region.clone(),
                 leaving: false,
--- a/crates/stairward-lab/src/configuration/node.rs
+++ b/crates/stairward-lab/src/configuration/node.rs
@@ -5,7 +5,7 @@
 use rand::SeedableRng as _;
 use rand_chacha::ChaCha8Rng;
 use stairward_membership::configuration::{
-    ConfigurationSpreader, ExchangeAnswer, ExchangeId, ExchangeRequest, SpreaderParameters,
+    ConfigurationDisseminator, DisseminationParameters, ExchangeAnswer, ExchangeId, ExchangeRequest,
 };
 use stairward_types::{Duration, NodeId, RegionName, Revision, Time};
 
@@ -29,7 +29,7 @@
 
 /// One life of a process.
 pub(super) struct Node {
-    pub(super) spreader: ConfigurationSpreader,
+    pub(super) spreader: ConfigurationDisseminator,
     pub(super) rng: ChaCha8Rng,
     /// Distinguishes the lives of a place.
     pub(super) life: u32,
@@ -44,12 +44,12 @@
 impl Node {
     /// A process that starts now.
     pub(super) fn start(now: Time, node: NodeId, region: RegionName, life: u32, seed: u64) -> Self {
-        let parameters = SpreaderParameters::default();
+        let parameters = DisseminationParameters::default();
         let stream = node.0 * 1_000 + u64::from(life);
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         rng.set_stream(stream);
         Self {
-            spreader: ConfigurationSpreader::new(now, node, region, parameters),
+            spreader: ConfigurationDisseminator::new(now, node, region, parameters),
             rng,
             life,
             in_force: Revision(0),
--- a/crates/stairward-lab/src/simulate/configuration.rs
+++ b/crates/stairward-lab/src/simulate/configuration.rs
@@ -90,7 +90,7 @@
         out: &mut Outbox<'_>,
     ) -> Option<SpreadEvent> {
         match effect {
-            SpreadEffect::Ask {
+            SpreadEffect::StartExchange {
                 exchange,
                 to,
                 digest,
@@ -105,7 +105,7 @@
                     .ask(to, request, CallPurpose::Exchange(exchange), out);
                 None
             }
-            SpreadEffect::Answer {
+            SpreadEffect::AnswerExchange {
                 call,
                 digest,
                 update,
@@ -122,7 +122,7 @@
             }
             SpreadEffect::Apply(update) => match self.control.absorb(&update) {
                 Some(document) => self.put_in_force(document, out),
-                None => Some(SpreadEvent::ApplyRefused),
+                None => Some(SpreadEvent::ApplyFailed),
             },
             SpreadEffect::ReadStore { wait, .. } => {
                 self.read_store(wait, out);
@@ -150,7 +150,7 @@
         self.next_exchange += 1;
         self.asked_exchanges
             .insert(self.next_exchange, (from, call));
-        let asked = SpreadEvent::Asked {
+        let asked = SpreadEvent::ExchangeRequested {
             from,
             call: self.next_exchange,
             request,
--- a/crates/stairward-lab/src/simulate/control.rs
+++ b/crates/stairward-lab/src/simulate/control.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use stairward_membership::configuration::{
-    ConfigurationSpreader, Event as SpreadEvent, PeerPlace, SpreaderParameters,
+    ConfigurationDisseminator, DisseminationParameters, Event as SpreadEvent, PeerLocation,
 };
 use stairward_membership::{
     Candidate, Effect, Event, Packet, Profile, Ranking, SwimConfig, SwimMember, TermNews, Version,
@@ -53,7 +53,7 @@
 #[derive(Debug)]
 pub(super) struct Control {
     pub(super) swim: SwimMember,
-    pub(super) spreader: ConfigurationSpreader,
+    pub(super) spreader: ConfigurationDisseminator,
     pub(super) tick: Duration,
     pub(super) document: Option<Arc<SettingsDocument>>,
     /// The settings in force.
@@ -83,7 +83,7 @@
             zone: identity.zone.clone(),
             leaving: false,
         };
-        let parameters = SpreaderParameters::default();
+        let parameters = DisseminationParameters::default();
         Self {
             swim: SwimMember::new(
                 profile,
@@ -92,8 +92,8 @@
                 now,
                 random.generator(),
             ),
-            tick: parameters.tick,
-            spreader: ConfigurationSpreader::new(
+            tick: parameters.tick_interval,
+            spreader: ConfigurationDisseminator::new(
                 now,
                 identity.node,
                 identity.region.clone(),
@@ -172,7 +172,7 @@
                 node,
                 settings_revision,
             } => {
-                let heard = SpreadEvent::Heard {
+                let heard = SpreadEvent::RevisionHeard {
                     from: node,
                     revision: settings_revision,
                 };
@@ -188,7 +188,7 @@
         let before = std::mem::take(&mut self.control.members);
         self.control.members = self.control.swim.view().cloned().collect();
         let members = &self.control.members;
-        let places = members.iter().map(|member| PeerPlace {
+        let places = members.iter().map(|member| PeerLocation {
             node: member.node,
             region: member.region.clone(),
             leaving: member.leaving,
--- a/crates/stairward-lab/src/simulate/proxy.rs
+++ b/crates/stairward-lab/src/simulate/proxy.rs
@@ -165,7 +165,7 @@
         };
         match (open.purpose, reply) {
             (CallPurpose::Exchange(exchange), CallReply::Settings(answer)) => {
-                self.feed_settings(SpreadEvent::Answered { exchange, answer }, out);
+                self.feed_settings(SpreadEvent::ExchangeAnswered { exchange, answer }, out);
             }
             (
                 CallPurpose::Backend(question),
@@ -203,7 +203,7 @@
     fn call_failed(&mut self, purpose: CallPurpose, out: &mut Outbox<'_>) {
         match purpose {
             CallPurpose::Exchange(exchange) => {
-                self.feed_settings(SpreadEvent::AskFailed { exchange }, out);
+                self.feed_settings(SpreadEvent::ExchangeFailed { exchange }, out);
             }
             CallPurpose::Backend(question) => self.backend_unanswered(question, out),
             CallPurpose::HandOver => {}
--- a/crates/stairward-membership/src/configuration/spreader.rs
+++ b/crates/stairward-membership/src/configuration/disseminator.rs
@@ -8,9 +8,9 @@
 
 use super::digest::{SettingsDigest, SourceAge, WantedContent};
 use super::exchange::{OpenExchanges, PeerKnowledge};
-use super::message::{Effect, Event, ExchangeId, PeerPlace, StoreAnswer};
+use super::message::{Effect, Event, ExchangeId, PeerLocation, StoreAnswer};
 use super::overlay::neighbours;
-use super::parameters::SpreaderParameters;
+use super::parameters::DisseminationParameters;
 use super::readiness::{Readiness, ReadinessFacts, ReadinessGate};
 use super::source::{SourceEvidence, SourceStatus};
 use super::watcher::{DutyChange, Watcher, ranked_watchers};
@@ -18,17 +18,17 @@
 
 /// Decides how one node learns of settings and passes them on.
 #[derive(Debug, Clone)]
-pub struct ConfigurationSpreader {
+pub struct ConfigurationDisseminator {
     pub(super) node: NodeId,
     region: RegionName,
-    pub(super) parameters: SpreaderParameters,
+    pub(super) parameters: DisseminationParameters,
     /// The revision in force on this node.
     pub(super) revision: Revision,
     /// The highest revision any peer or the store has told of.
     pub(super) newest_heard: Revision,
     /// The lowest revision from which the edits up to the one in force are known.
     pub(super) history_from: Revision,
-    pub(super) members: Arc<[PeerPlace]>,
+    pub(super) members: Arc<[PeerLocation]>,
     /// Neighbours, and what each is thought to hold.
     pub(super) neighbours: BTreeMap<NodeId, PeerKnowledge>,
     pub(super) exchanges: OpenExchanges,
@@ -52,14 +52,14 @@
     refused_at: Option<Time>,
 }
 
-impl ConfigurationSpreader {
+impl ConfigurationDisseminator {
     /// A node that has just started at `now`, without settings.
     #[must_use]
     pub fn new(
         now: Time,
         node: NodeId,
         region: RegionName,
-        parameters: SpreaderParameters,
+        parameters: DisseminationParameters,
     ) -> Self {
         Self {
             node,
@@ -94,21 +94,23 @@
         match event {
             Event::Tick => self.tick(now, rng, &mut effects),
             Event::MembersChanged(members) => self.members_changed(now, members),
-            Event::Heard { from, revision } => self.heard(now, from, revision, &mut effects),
-            Event::Asked {
+            Event::RevisionHeard { from, revision } => {
+                self.heard(now, from, revision, &mut effects)
+            }
+            Event::ExchangeRequested {
                 from,
                 call,
                 request,
             } => self.asked(now, from, call, request, &mut effects),
-            Event::Answered { exchange, answer } => {
+            Event::ExchangeAnswered { exchange, answer } => {
                 self.answered(now, exchange, answer, &mut effects);
             }
-            Event::AskFailed { exchange } => self.ask_failed(now, exchange, rng, &mut effects),
+            Event::ExchangeFailed { exchange } => self.ask_failed(now, exchange, rng, &mut effects),
             Event::Applied {
                 revision,
                 history_from,
             } => self.applied(now, revision, history_from, &mut effects),
-            Event::ApplyRefused => self.refused_at = Some(now),
+            Event::ApplyFailed => self.refused_at = Some(now),
             Event::StoreAnswered(answer) => self.store_answered(now, answer, rng, &mut effects),
         }
         self.judge_readiness(now, &mut effects);
@@ -142,7 +144,7 @@
     /// Whether newer settings may be in force elsewhere.
     #[must_use]
     pub fn source_status(&self, now: Time) -> SourceStatus {
-        let limit = self.parameters.source_limit;
+        let limit = self.parameters.source_timeout;
         if self.source.is_current(now, limit) {
             return SourceStatus::Current;
         }
@@ -162,7 +164,7 @@
     /// Until when the status will not become [`SourceStatus::CutOff`] without further news.
     #[must_use]
     pub fn trusted_until(&self, now: Time) -> Time {
-        let limit = self.parameters.source_limit;
+        let limit = self.parameters.source_timeout;
         let by_store = self.source.store_read_at();
         let by_watcher = self
             .source
@@ -227,7 +229,7 @@
     fn seek_quorum(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let is_current = self
             .source
-            .is_current(now, self.parameters.source_limit / 2);
+            .is_current(now, self.parameters.source_timeout / 2);
         if is_current || !self.watcher.is_watching() {
             return;
         }
@@ -249,12 +251,12 @@
         if self.watcher.start_read(now, self.revision) {
             effects.push(Effect::ReadStore {
                 after: self.revision,
-                wait: self.parameters.store_wait,
+                wait: self.parameters.store_poll_timeout,
             });
         }
     }
 
-    fn members_changed(&mut self, now: Time, members: Arc<[PeerPlace]>) {
+    fn members_changed(&mut self, now: Time, members: Arc<[PeerLocation]>) {
         let known: BTreeSet<NodeId> = self.members.iter().map(|member| member.node).collect();
         let joined = members
             .iter()
@@ -321,7 +323,7 @@
 
     fn store_read(&mut self, now: Time, revision: Revision, effects: &mut Vec<Effect>) {
         self.newest_heard = self.newest_heard.max(revision);
-        let wait = self.parameters.store_wait;
+        let wait = self.parameters.store_poll_timeout;
         if let Some(started_at) = self.watcher.read_succeeded(now, revision, wait) {
             self.source.store_read(started_at, revision, self.revision);
             self.source.watcher_heard(started_at);
@@ -345,7 +347,7 @@
     pub(super) fn wanted_content(&self, now: Time) -> WantedContent {
         match self.refused_at {
             None => WantedContent::Newer,
-            Some(at) if now.since(at) < self.parameters.refusal_pause => WantedContent::Nothing,
+            Some(at) if now.since(at) < self.parameters.refusal_backoff => WantedContent::Nothing,
             Some(_) => WantedContent::WholeTree,
         }
     }
--- a/crates/stairward-membership/src/configuration/gossip.rs
+++ b/crates/stairward-membership/src/configuration/gossip.rs
@@ -4,14 +4,14 @@
 use stairward_types::{Duration, NodeId, Revision, Time};
 
 use super::digest::{SettingsDigest, WantedContent};
+use super::disseminator::ConfigurationDisseminator;
 use super::exchange::{OpenExchange, PeerKnowledge};
 use super::message::{Effect, ExchangeAnswer, ExchangeId, ExchangeRequest, OutgoingUpdate, Update};
-use super::spreader::ConfigurationSpreader;
 
 /// Members tried before a random exchange is given up until the next tick.
 const RANDOM_CHOICES: usize = 4;
 
-impl ConfigurationSpreader {
+impl ConfigurationDisseminator {
     /// A membership datagram told of a peer's revision.
     pub(super) fn heard(
         &mut self,
@@ -41,7 +41,7 @@
             known.learn(now, &theirs);
         }
         let update = self.update_for(now, &theirs);
-        effects.push(Effect::Answer {
+        effects.push(Effect::AnswerExchange {
             call,
             digest: self.digest(now),
             update,
@@ -71,7 +71,7 @@
         let theirs = answer.digest;
         self.newest_heard = self.newest_heard.max(theirs.revision);
         self.source.learn(asked_at, &theirs, self.revision);
-        let quiet = self.parameters.source_limit;
+        let quiet = self.parameters.source_timeout;
         self.readiness.heard(to, &theirs, quiet);
         self.quorum.heard(to, asked_at, &theirs);
         if self.fleet_size == 0 && theirs.ready {
@@ -198,7 +198,7 @@
         if let Some(known) = self.neighbours.get_mut(&to) {
             known.learn(now, &digest);
         }
-        effects.push(Effect::Ask {
+        effects.push(Effect::StartExchange {
             exchange,
             to,
             digest,
@@ -276,7 +276,7 @@
 
     /// Whether a peer's proof is so much younger than this node's that it is worth asking for.
     fn is_fresher(&self, now: Time, theirs: &SettingsDigest) -> bool {
-        let step = self.parameters.notice_step;
+        let step = self.parameters.freshness_threshold;
         let is_younger = |age: Option<Duration>, own: Option<Time>| {
             age.is_some_and(|age| own.is_none_or(|own| now - age >= own + step))
         };
@@ -286,7 +286,7 @@
 
     /// Whether this node's proof is so much younger than a neighbour's that it should be told.
     fn is_notable(&self, known: &PeerKnowledge) -> bool {
-        let step = self.parameters.notice_step;
+        let step = self.parameters.freshness_threshold;
         let is_younger = |own: Option<Time>, theirs: Option<Time>| {
             own.is_some_and(|own| theirs.is_none_or(|theirs| own >= theirs + step))
         };
--- a/crates/stairward-membership/src/configuration/message.rs
+++ b/crates/stairward-membership/src/configuration/message.rs
@@ -56,7 +56,7 @@
 
 /// A member as the spreader needs to know it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct PeerPlace {
+pub struct PeerLocation {
     /// Its number.
     pub node: NodeId,
     /// Its region.
@@ -80,35 +80,35 @@
 /// Something the spreader must take into account.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
-    /// Some time has passed. Expected at least every [`super::SpreaderParameters::tick`].
+    /// Some time has passed. Expected at least every [`super::DisseminationParameters::tick_interval`].
     Tick,
     /// The membership view, this node included.
-    MembersChanged(Arc<[PeerPlace]>),
+    MembersChanged(Arc<[PeerLocation]>),
     /// A membership datagram told which revision a peer holds.
-    Heard {
+    RevisionHeard {
         /// The peer.
         from: NodeId,
         /// Its revision.
         revision: Revision,
     },
     /// A peer started an exchange.
-    Asked {
+    ExchangeRequested {
         /// The peer.
         from: NodeId,
-        /// Chosen by the driver to match [`Effect::Answer`].
+        /// Chosen by the driver to match [`Effect::AnswerExchange`].
         call: u64,
         /// What it said.
         request: ExchangeRequest,
     },
     /// A peer answered an exchange of this node's.
-    Answered {
+    ExchangeAnswered {
         /// Which exchange.
         exchange: ExchangeId,
         /// What it said.
         answer: ExchangeAnswer,
     },
     /// A peer did not answer an exchange in time.
-    AskFailed {
+    ExchangeFailed {
         /// Which exchange.
         exchange: ExchangeId,
     },
@@ -120,7 +120,7 @@
         history_from: Revision,
     },
     /// What a peer sent could not be put in force.
-    ApplyRefused,
+    ApplyFailed,
     /// A read of the store ended.
     StoreAnswered(StoreAnswer),
 }
@@ -128,8 +128,8 @@
 /// Something the driver must do.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Effect {
-    /// Start an exchange with a peer; report [`Event::Answered`] or [`Event::AskFailed`].
-    Ask {
+    /// Start an exchange with a peer; report [`Event::ExchangeAnswered`] or [`Event::ExchangeFailed`].
+    StartExchange {
         /// Which exchange.
         exchange: ExchangeId,
         /// The peer.
@@ -140,15 +140,15 @@
         update: OutgoingUpdate,
     },
     /// Answer a peer's exchange.
-    Answer {
-        /// As given by [`Event::Asked`].
+    AnswerExchange {
+        /// As given by [`Event::ExchangeRequested`].
         call: u64,
         /// What this node holds.
         digest: SettingsDigest,
         /// What the peer lacks.
         update: OutgoingUpdate,
     },
-    /// Put newer settings in force; report [`Event::Applied`] or [`Event::ApplyRefused`].
+    /// Put newer settings in force; report [`Event::Applied`] or [`Event::ApplyFailed`].
     Apply(Update),
     /// Read the store, letting it wait up to `wait` for a revision after `after`; report
     /// [`Event::StoreAnswered`].
--- a/crates/stairward-membership/src/configuration/mod.rs
+++ b/crates/stairward-membership/src/configuration/mod.rs
@@ -2,10 +2,11 @@
 //!
 //! A few watchers per region read the platform's store. Each node keeps exchanging digests with a
 //! handful of neighbours; whoever turns out to hold less is given the missing edits, or the whole
-//! tree. [`ConfigurationSpreader`] makes the decisions of one node. It does no I/O: the settings
+//! tree. [`ConfigurationDisseminator`] makes the decisions of one node. It does no I/O: the settings
 //! themselves pass through it as opaque bytes.
 
 mod digest;
+mod disseminator;
 mod exchange;
 mod gossip;
 mod message;
@@ -13,20 +14,19 @@
 mod parameters;
 mod readiness;
 mod source;
-mod spreader;
 mod watcher;
 mod watcher_quorum;
 mod wire;
 
 pub use digest::{SettingsDigest, SourceAge, WantedContent};
+pub use disseminator::ConfigurationDisseminator;
 pub use message::{
-    Effect, Event, ExchangeAnswer, ExchangeId, ExchangeRequest, OutgoingUpdate, PeerPlace,
+    Effect, Event, ExchangeAnswer, ExchangeId, ExchangeRequest, OutgoingUpdate, PeerLocation,
     StoreAnswer, Update,
 };
 pub use overlay::neighbours;
-pub use parameters::SpreaderParameters;
+pub use parameters::DisseminationParameters;
 pub use readiness::{NotReadyReason, Readiness};
 pub use source::SourceStatus;
-pub use spreader::ConfigurationSpreader;
 pub use watcher::ranked_watchers;
 pub use wire::{from_wire, to_wire};
--- a/crates/stairward-membership/src/configuration/readiness.rs
+++ b/crates/stairward-membership/src/configuration/readiness.rs
@@ -5,7 +5,7 @@
 use stairward_types::{Duration, NodeId, Revision, Time};
 
 use super::digest::SettingsDigest;
-use super::parameters::SpreaderParameters;
+use super::parameters::DisseminationParameters;
 
 /// Peers whose confirmations are remembered.
 const MAXIMUM_CONFIRMATIONS: usize = 16;
@@ -94,7 +94,7 @@
     pub(super) fn judge(
         &mut self,
         facts: &ReadinessFacts,
-        parameters: &SpreaderParameters,
+        parameters: &DisseminationParameters,
     ) -> Option<Readiness> {
         if self.is_ready() {
             return None;
@@ -105,7 +105,11 @@
         changed.then_some(state)
     }
 
-    fn next_state(&self, facts: &ReadinessFacts, parameters: &SpreaderParameters) -> Readiness {
+    fn next_state(
+        &self,
+        facts: &ReadinessFacts,
+        parameters: &DisseminationParameters,
+    ) -> Readiness {
         if facts.revision == Revision(0) {
             return Readiness::NotReady(NotReadyReason::NoSettings);
         }
@@ -121,7 +125,7 @@
         if self.peers_suffice(
             confirmations,
             facts,
-            parameters.confirmation_wait,
+            parameters.confirmation_timeout,
             parameters,
         ) {
             return Readiness::Ready;
@@ -141,7 +145,7 @@
         confirmations: usize,
         facts: &ReadinessFacts,
         wait: Duration,
-        parameters: &SpreaderParameters,
+        parameters: &DisseminationParameters,
     ) -> bool {
         let has_waited = facts.now.since(self.started_at) >= wait;
         let needed = parameters.confirmations.min(facts.other_members).max(1);
--- a/crates/stairward-membership/src/configuration/watcher.rs
+++ b/crates/stairward-membership/src/configuration/watcher.rs
@@ -10,8 +10,8 @@
 use stairward_types::{Duration, NodeId, RegionName, Revision, Time};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use super::message::PeerPlace;
-use super::parameters::SpreaderParameters;
+use super::message::PeerLocation;
+use super::parameters::DisseminationParameters;
 
 /// Keeps the ranking of watchers apart from other uses of the hash.
 const RANKING_SEED: u64 = 0x7761_7463_6865_7273;
@@ -27,7 +27,7 @@
 /// The members of a region that should watch the store: the first `count` by rendezvous hashing, of
 /// those not leaving.
 #[must_use]
-pub fn ranked_watchers(region: &RegionName, members: &[PeerPlace], count: usize) -> Vec<NodeId> {
+pub fn ranked_watchers(region: &RegionName, members: &[PeerLocation], count: usize) -> Vec<NodeId> {
     let seed = xxh3_64_with_seed(region.as_str().as_bytes(), RANKING_SEED);
     let mut ranked: Vec<(Reverse<u64>, NodeId)> = members
         .iter()
@@ -114,7 +114,7 @@
     pub(super) fn tick(
         &mut self,
         now: Time,
-        parameters: &SpreaderParameters,
+        parameters: &DisseminationParameters,
     ) -> Option<DutyChange> {
         match (self.duty, self.is_ranked) {
             (Duty::Idle, true) => {
@@ -188,11 +188,15 @@
     pub(super) fn read_failed(
         &mut self,
         now: Time,
-        parameters: &SpreaderParameters,
+        parameters: &DisseminationParameters,
         rng: &mut dyn Rng,
     ) {
         self.open_read = None;
-        let pause = doubled(FIRST_RETRY, self.failures, parameters.store_longest_retry);
+        let pause = doubled(
+            FIRST_RETRY,
+            self.failures,
+            parameters.maximum_store_retry_delay,
+        );
         self.failures = (self.failures + 1).min(MAXIMUM_DOUBLINGS);
         self.next_read = now + jittered(pause, rng);
     }
@@ -201,14 +205,14 @@
     pub(super) fn too_many_readers(
         &mut self,
         now: Time,
-        parameters: &SpreaderParameters,
+        parameters: &DisseminationParameters,
         rng: &mut dyn Rng,
     ) -> Option<DutyChange> {
         self.open_read = None;
         let pause = doubled(
-            parameters.stand_down,
+            parameters.stand_down_backoff,
             self.stand_downs,
-            parameters.longest_stand_down,
+            parameters.maximum_stand_down_backoff,
         );
         self.stand_downs = (self.stand_downs + 1).min(MAXIMUM_DOUBLINGS);
         let until = now + jittered(pause, rng);
@@ -221,11 +225,11 @@
         &mut self,
         now: Time,
         since: Time,
-        parameters: &SpreaderParameters,
+        parameters: &DisseminationParameters,
     ) -> Option<DutyChange> {
         let has_waited = now.since(since) >= parameters.watcher_start_delay;
         let is_settled = now.since(self.last_join) >= parameters.watcher_settle_time;
-        let is_overdue = now.since(since) >= parameters.watcher_longest_delay;
+        let is_overdue = now.since(since) >= parameters.maximum_watcher_start_delay;
         let starts = (has_waited && is_settled) || is_overdue;
         starts.then(|| {
             self.duty = Duty::Watching { since: now };
--- a/crates/stairward-membership/src/configuration/watcher_quorum.rs
+++ b/crates/stairward-membership/src/configuration/watcher_quorum.rs
@@ -10,7 +10,7 @@
 use stairward_types::{NodeId, RegionName, Time};
 
 use super::digest::SettingsDigest;
-use super::message::PeerPlace;
+use super::message::PeerLocation;
 use super::watcher::ranked_watchers;
 
 /// Watchers asked in all. With two a region this serves eight regions.
@@ -27,7 +27,7 @@
     pub(super) fn members_changed(
         &mut self,
         own: NodeId,
-        members: &[PeerPlace],
+        members: &[PeerLocation],
         per_region: usize,
     ) {
         let regions: BTreeSet<&RegionName> = members.iter().map(|member| &member.region).collect();
--- a/crates/stairward-membership/src/feed/follower.rs
+++ b/crates/stairward-membership/src/feed/follower.rs
@@ -9,7 +9,7 @@
 use super::message::{Effect, Event, FeedContent};
 use super::parameters::{FeedParameters, VIEW_SETTLES};
 use super::ranking;
-use crate::configuration::PeerPlace;
+use crate::configuration::PeerLocation;
 
 /// Pause before a watcher whose link ended is asked again.
 const ASK_AGAIN: Duration = Duration::from_millis(500);
@@ -207,7 +207,7 @@
         self.confirmed_by_source.unwrap_or(self.started_at)
     }
 
-    fn members_changed(&mut self, now: Time, members: &[PeerPlace]) {
+    fn members_changed(&mut self, now: Time, members: &[PeerLocation]) {
         let (node, region) = (self.parameters.node, &self.parameters.region);
         let watchers = ranking::watchers(region, members);
         let is_watcher = watchers.is_empty() || watchers.contains(&node);
--- a/crates/stairward-membership/src/feed/message.rs
+++ b/crates/stairward-membership/src/feed/message.rs
@@ -2,7 +2,7 @@
 
 use stairward_types::{Duration, NodeId, StoreRevision, Time};
 
-use crate::configuration::PeerPlace;
+use crate::configuration::PeerLocation;
 
 /// A node that follows this one, by the link over which it asked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -32,7 +32,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
     /// The membership view; this node is in it.
-    MembersChanged(Vec<PeerPlace>),
+    MembersChanged(Vec<PeerLocation>),
     /// The store answered this node: its state at a revision.
     StoreAnswered {
         /// The revision.
--- a/crates/stairward-membership/src/feed/ranking.rs
+++ b/crates/stairward-membership/src/feed/ranking.rs
@@ -4,17 +4,17 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::parameters::{FEWEST_WATCHERS, MEMBERS_PER_WATCHER, SOURCES};
-use crate::configuration::{PeerPlace, ranked_watchers};
+use crate::configuration::{PeerLocation, ranked_watchers};
 
 /// The watchers of a region, best rank first.
-pub(super) fn watchers(region: &RegionName, members: &[PeerPlace]) -> Vec<NodeId> {
+pub(super) fn watchers(region: &RegionName, members: &[PeerLocation]) -> Vec<NodeId> {
     let of_region = members.iter().filter(|member| member.region == *region);
     let wanted = of_region.count().div_ceil(MEMBERS_PER_WATCHER);
     ranked_watchers(region, members, wanted.max(FEWEST_WATCHERS))
 }
 
 /// How many nodes of a region follow each of its watchers in the mean, rounded up.
-pub(super) fn followers_each(region: &RegionName, members: &[PeerPlace]) -> u32 {
+pub(super) fn followers_each(region: &RegionName, members: &[PeerLocation]) -> u32 {
     let of_region = members.iter().filter(|member| member.region == *region);
     let count = of_region.count();
     let watchers = count.div_ceil(MEMBERS_PER_WATCHER).max(FEWEST_WATCHERS);
@@ -24,7 +24,7 @@
 
 /// The watchers that a node follows: those of its region, and where these are too few, any other members.
 /// Each node ranks them for itself, so that followers spread evenly.
-pub(super) fn sources(node: NodeId, region: &RegionName, members: &[PeerPlace]) -> Vec<NodeId> {
+pub(super) fn sources(node: NodeId, region: &RegionName, members: &[PeerLocation]) -> Vec<NodeId> {
     let watchers = watchers(region, members);
     let others = members
         .iter()
--- a/crates/stairward-membership/tests/configuration.rs
+++ b/crates/stairward-membership/tests/configuration.rs
@@ -6,7 +6,7 @@
 
 use configuration_support::{Fleet, id};
 use stairward_membership::configuration::{
-    Event, SourceStatus, SpreaderParameters, StoreAnswer, neighbours,
+    DisseminationParameters, Event, SourceStatus, StoreAnswer, neighbours,
 };
 use stairward_testing::check;
 use stairward_types::{Duration, NodeId, Revision, Time};
@@ -15,15 +15,15 @@
 const NODES: usize = 5;
 
 /// Parameters under which only the store, directly or through peers, makes a node ready.
-fn store_only() -> SpreaderParameters {
-    SpreaderParameters {
-        confirmation_wait: Duration::from_secs(1_000_000),
-        ..SpreaderParameters::default()
+fn store_only() -> DisseminationParameters {
+    DisseminationParameters {
+        confirmation_timeout: Duration::from_secs(1_000_000),
+        ..DisseminationParameters::default()
     }
 }
 
 fn settled_fleet(nodes: usize) -> Fleet {
-    let mut fleet = Fleet::new(nodes, SpreaderParameters::default());
+    let mut fleet = Fleet::new(nodes, DisseminationParameters::default());
     fleet.run(5 * SECOND);
     assert!((0..nodes).all(|node| fleet.is_ready(node)));
     fleet
@@ -74,10 +74,10 @@
 #[test]
 #[should_panic(expected = "serves 1 after 2")]
 fn a_node_that_believes_any_one_peer_is_caught() {
-    let credulous = SpreaderParameters {
-        confirmation_wait: Duration::ZERO,
+    let credulous = DisseminationParameters {
+        confirmation_timeout: Duration::ZERO,
         confirmations: 1,
-        ..SpreaderParameters::default()
+        ..DisseminationParameters::default()
     };
     let mut fleet = Fleet::new(NODES, credulous);
     fleet.run(5 * SECOND);
@@ -165,7 +165,7 @@
 
 #[test]
 fn without_store_and_peers_a_new_node_does_not_serve() {
-    let mut fleet = Fleet::new(3, SpreaderParameters::default());
+    let mut fleet = Fleet::new(3, DisseminationParameters::default());
     fleet.store_is_up = false;
     fleet.run(60 * SECOND);
     assert!((0..3).all(|node| !fleet.is_ready(node)));
@@ -174,7 +174,7 @@
 #[test]
 fn a_node_cut_off_from_all_stops_trusting_its_settings() {
     let mut fleet = settled_fleet(5);
-    let limit = SpreaderParameters::default().source_limit;
+    let limit = DisseminationParameters::default().source_timeout;
     let last_heard = fleet.now;
     // Time passes for one node, and nothing reaches it. Its view still shows everybody.
     while fleet.now < last_heard + limit + SECOND {
--- a/crates/stairward-membership/tests/configuration_support/mod.rs
+++ b/crates/stairward-membership/tests/configuration_support/mod.rs
@@ -6,8 +6,8 @@
 use rand::SeedableRng as _;
 use rand::rngs::StdRng;
 use stairward_membership::configuration::{
-    ConfigurationSpreader, Effect, Event, ExchangeAnswer, ExchangeId, ExchangeRequest,
-    OutgoingUpdate, PeerPlace, Readiness, SpreaderParameters, StoreAnswer, Update,
+    ConfigurationDisseminator, DisseminationParameters, Effect, Event, ExchangeAnswer, ExchangeId,
+    ExchangeRequest, OutgoingUpdate, PeerLocation, Readiness, StoreAnswer, Update,
 };
 use stairward_types::{Duration, NodeId, RegionName, Revision, Time};
 
@@ -44,7 +44,7 @@
 
 /// One place of the fleet.
 pub struct Node {
-    pub spreader: ConfigurationSpreader,
+    pub spreader: ConfigurationDisseminator,
     pub in_force: Revision,
     /// The highest revision in force while serving, over all lives of the place.
     pub highest_served: Revision,
@@ -64,12 +64,12 @@
     pub mail: VecDeque<Mail>,
     pub newest: Revision,
     pub store_is_up: bool,
-    parameters: SpreaderParameters,
+    parameters: DisseminationParameters,
 }
 
 impl Fleet {
     /// Nodes that have just started and see each other; the store holds revision 1.
-    pub fn new(nodes: usize, parameters: SpreaderParameters) -> Self {
+    pub fn new(nodes: usize, parameters: DisseminationParameters) -> Self {
         let now = Time::ZERO;
         let mut fleet = Self {
             now,
@@ -93,9 +93,9 @@
     }
 
     pub fn show_members(&mut self, node: usize, members: &[usize]) {
-        let places: Arc<[PeerPlace]> = members
+        let places: Arc<[PeerLocation]> = members
             .iter()
-            .map(|member| PeerPlace {
+            .map(|member| PeerLocation {
                 node: id(*member),
                 region: region(),
                 leaving: false,
@@ -145,7 +145,7 @@
             .collect();
         open.retain(|_, deadline| now < *deadline);
         for exchange in expired {
-            self.handle(node, Event::AskFailed { exchange });
+            self.handle(node, Event::ExchangeFailed { exchange });
         }
     }
 
@@ -180,7 +180,7 @@
                 receiver.next_call += 1;
                 receiver.asked.push((call, from, life, exchange));
                 let from = id(from);
-                let event = Event::Asked {
+                let event = Event::ExchangeRequested {
                     from,
                     call,
                     request,
@@ -196,7 +196,7 @@
             } => {
                 let receiver = &mut self.nodes[to];
                 if receiver.life == life && receiver.open.remove(&exchange).is_some() {
-                    self.handle(to, Event::Answered { exchange, answer });
+                    self.handle(to, Event::ExchangeAnswered { exchange, answer });
                 }
             }
         }
@@ -248,7 +248,7 @@
     fn carry_out(&mut self, node: usize, effect: Effect) -> Option<Event> {
         let held = self.nodes[node].in_force;
         match effect {
-            Effect::Ask {
+            Effect::StartExchange {
                 exchange,
                 to,
                 digest,
@@ -265,7 +265,7 @@
                     request,
                 });
             }
-            Effect::Answer {
+            Effect::AnswerExchange {
                 call,
                 digest,
                 update,
@@ -310,9 +310,9 @@
     }
 }
 
-fn start(now: Time, node: usize, life: u32, parameters: &SpreaderParameters) -> Node {
+fn start(now: Time, node: usize, life: u32, parameters: &DisseminationParameters) -> Node {
     Node {
-        spreader: ConfigurationSpreader::new(now, id(node), region(), parameters.clone()),
+        spreader: ConfigurationDisseminator::new(now, id(node), region(), parameters.clone()),
         in_force: Revision(0),
         highest_served: Revision(0),
         reads: VecDeque::new(),
--- a/crates/stairward-membership/tests/feed.rs
+++ b/crates/stairward-membership/tests/feed.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use stairward_membership::configuration::PeerPlace;
+use stairward_membership::configuration::PeerLocation;
 use stairward_membership::feed::{
     Effect, Event, Feed, FeedContent, FeedParameters, FollowerId, StoreRetry,
 };
@@ -18,8 +18,8 @@
     RegionName::new(name).expect("a region's name")
 }
 
-fn members(count: u64) -> Vec<PeerPlace> {
-    let place = |number| PeerPlace {
+fn members(count: u64) -> Vec<PeerLocation> {
+    let place = |number| PeerLocation {
         node: NodeId(number),
         region: region("north"),
         leaving: false,
--- a/crates/stairward-membership/tests/feed_age.rs
+++ b/crates/stairward-membership/tests/feed_age.rs
@@ -1,11 +1,11 @@
 //! How old what a feed takes over can be: never younger than it is, whoever held it up.
 
-use stairward_membership::configuration::PeerPlace;
+use stairward_membership::configuration::PeerLocation;
 use stairward_membership::feed::{Effect, Event, Feed, FeedContent, FeedParameters, FollowerId};
 use stairward_types::{Duration, NodeId, RegionName, StoreRevision, Time};
 
-fn members() -> Vec<PeerPlace> {
-    let place = |number| PeerPlace {
+fn members() -> Vec<PeerLocation> {
+    let place = |number| PeerLocation {
         node: NodeId(number),
         region: RegionName::new("north").expect("a region's name"),
         leaving: false,
--- a/crates/stairward-membership/tests/feed_deliveries.rs
+++ b/crates/stairward-membership/tests/feed_deliveries.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use stairward_membership::configuration::PeerPlace;
+use stairward_membership::configuration::PeerLocation;
 use stairward_membership::feed::{
     Effect, Event, Feed, FeedContent, FeedParameters, FollowerId, MAXIMUM_IMMEDIATE_PUSH_BYTES,
 };
@@ -14,8 +14,8 @@
 const PATIENCE: u64 = 500;
 const LISTING_PATIENCE: Duration = Duration::from_millis(600);
 
-fn members(count: u64) -> Vec<PeerPlace> {
-    let place = |number| PeerPlace {
+fn members(count: u64) -> Vec<PeerLocation> {
+    let place = |number| PeerLocation {
         node: NodeId(number),
         region: RegionName::new("north").unwrap(),
         leaving: false,
--- a/crates/stairward-membership/tests/feed_eras.rs
+++ b/crates/stairward-membership/tests/feed_eras.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use stairward_membership::configuration::PeerPlace;
+use stairward_membership::configuration::PeerLocation;
 use stairward_membership::feed::{Effect, Event, Feed, FeedContent, FeedParameters, FollowerId};
 use stairward_testing::check;
 use stairward_types::{Duration, NodeId, RegionName, StoreRevision, Time};
@@ -11,8 +11,8 @@
 const SETTLES_AFTER: u64 = 4_000;
 const MEMBERS: u64 = 24;
 
-fn members() -> Vec<PeerPlace> {
-    let place = |number| PeerPlace {
+fn members() -> Vec<PeerLocation> {
+    let place = |number| PeerLocation {
         node: NodeId(number),
         region: RegionName::new("north").unwrap(),
         leaving: false,
--- a/crates/stairward-proxy/src/control/configuration/driver.rs
+++ b/crates/stairward-proxy/src/control/configuration/driver.rs
@@ -5,8 +5,8 @@
 
 use rand::rngs::StdRng;
 use stairward_membership::configuration::{
-    ConfigurationSpreader, Effect, Event, ExchangeAnswer, ExchangeId, ExchangeRequest,
-    OutgoingUpdate, PeerPlace, Readiness, SettingsDigest, SpreaderParameters, Update, from_wire,
+    ConfigurationDisseminator, DisseminationParameters, Effect, Event, ExchangeAnswer, ExchangeId,
+    ExchangeRequest, OutgoingUpdate, PeerLocation, Readiness, SettingsDigest, Update, from_wire,
     to_wire,
 };
 use stairward_protocol::call::{CallReply, CallRequest};
@@ -72,7 +72,7 @@
     network: PeerNetwork,
     platform: Arc<PlatformClient>,
     tick: Duration,
-    spreader: ConfigurationSpreader,
+    spreader: ConfigurationDisseminator,
     random: StdRng,
     held: HeldSettings,
     store: StoreView,
@@ -90,17 +90,17 @@
         cluster: Cluster,
         network: PeerNetwork,
         platform: Arc<PlatformClient>,
-        parameters: SpreaderParameters,
+        parameters: DisseminationParameters,
         inputs: mpsc::Receiver<Input>,
         outputs: DriverOutputs,
     ) -> Self {
         let (completion_sender, completions) = mpsc::channel(COMPLETION_QUEUE_LENGTH);
         let identity = Arc::clone(&cluster.identity);
-        let tick = parameters.tick;
+        let tick = parameters.tick_interval;
         let now = cluster.clock.now();
         let region = identity.region.clone();
         Self {
-            spreader: ConfigurationSpreader::new(now, identity.node, region, parameters),
+            spreader: ConfigurationDisseminator::new(now, identity.node, region, parameters),
             cluster,
             network,
             platform,
@@ -150,7 +150,7 @@
 
     fn take_input(&mut self, input: Input) {
         match input {
-            Input::Heard { from, revision } => self.handle(Event::Heard { from, revision }),
+            Input::Heard { from, revision } => self.handle(Event::RevisionHeard { from, revision }),
             Input::Asked {
                 from,
                 exchange,
@@ -175,7 +175,7 @@
         self.waiting_calls.insert(call, reply);
         let (digest, update) = from_wire(exchange);
         let request = ExchangeRequest { digest, update };
-        self.handle(Event::Asked {
+        self.handle(Event::ExchangeRequested {
             from,
             call,
             request,
@@ -190,12 +190,12 @@
             } => {
                 let (digest, update) = from_wire(answer);
                 let answer = ExchangeAnswer { digest, update };
-                self.handle(Event::Answered { exchange, answer });
+                self.handle(Event::ExchangeAnswered { exchange, answer });
             }
             Completion::Exchange {
                 exchange,
                 answer: None,
-            } => self.handle(Event::AskFailed { exchange }),
+            } => self.handle(Event::ExchangeFailed { exchange }),
             Completion::StoreRead(read) => {
                 let answer = self.store.note(&read);
                 if let Ok(Some(object)) = *read {
@@ -225,13 +225,13 @@
 
     fn carry_out(&mut self, effect: Effect) {
         match effect {
-            Effect::Ask {
+            Effect::StartExchange {
                 exchange,
                 to,
                 digest,
                 update,
             } => self.ask(exchange, to, &digest, update),
-            Effect::Answer {
+            Effect::AnswerExchange {
                 call,
                 digest,
                 update,
@@ -283,7 +283,7 @@
                     %error,
                     "settings from a peer were refused"
                 );
-                self.events.push_back(Event::ApplyRefused);
+                self.events.push_back(Event::ApplyFailed);
             }
         }
     }
@@ -366,19 +366,19 @@
         });
     }
 
-    fn places(&self, view: &MembershipView) -> Arc<[PeerPlace]> {
+    fn places(&self, view: &MembershipView) -> Arc<[PeerLocation]> {
         let identity = &self.cluster.identity;
-        let mut places: Vec<PeerPlace> = view
+        let mut places: Vec<PeerLocation> = view
             .members
             .iter()
-            .map(|member| PeerPlace {
+            .map(|member| PeerLocation {
                 node: member.node,
                 region: member.region.clone(),
                 leaving: member.leaving,
             })
             .collect();
         if view.member(identity.node).is_none() {
-            places.push(PeerPlace {
+            places.push(PeerLocation {
                 node: identity.node,
                 region: identity.region.clone(),
                 leaving: false,
--- a/crates/stairward-proxy/src/control/configuration/mod.rs
+++ b/crates/stairward-proxy/src/control/configuration/mod.rs
@@ -14,7 +14,7 @@
 
 use std::sync::Arc;
 
-use stairward_membership::configuration::SpreaderParameters;
+use stairward_membership::configuration::DisseminationParameters;
 use stairward_store::PlatformClient;
 use stairward_types::Time;
 
@@ -31,7 +31,7 @@
     cluster: Cluster,
     network: PeerNetwork,
     platform: Arc<PlatformClient>,
-    parameters: SpreaderParameters,
+    parameters: DisseminationParameters,
 ) -> (ConfigurationHandle, ConfigurationDriver) {
     cluster.trust_settings_until(Time::ZERO);
     let (handle, inputs, outputs) = handle::connect(cluster.clone(), Arc::clone(&platform));
--- a/crates/stairward-proxy/src/node/mod.rs
+++ b/crates/stairward-proxy/src/node/mod.rs
@@ -14,7 +14,7 @@
 
 use rand::RngExt as _;
 use snafu::ResultExt as _;
-use stairward_membership::configuration::SpreaderParameters;
+use stairward_membership::configuration::DisseminationParameters;
 use stairward_protocol::ClusterKey;
 use stairward_session::TokenKey;
 use stairward_settings::ProcessSettings;
@@ -90,7 +90,7 @@
             cluster.clone(),
             network.clone(),
             platform,
-            SpreaderParameters::default(),
+            DisseminationParameters::default(),
         );
         let seeds = settings.cluster.seeds.clone();
         let membership = membership::run(cluster.clone(), listeners.membership, key, seeds)
--- a/crates/stairward-proxy/tests/configuration_support/mod.rs
+++ b/crates/stairward-proxy/tests/configuration_support/mod.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use stairward_membership::configuration::SpreaderParameters;
+use stairward_membership::configuration::DisseminationParameters;
 use stairward_protocol::ClusterKey;
 use stairward_protocol::call::{CallReply, CallRequest};
 use stairward_proxy::cluster::{Cluster, Identity, Member, MembershipView};
@@ -154,7 +154,7 @@
         cluster.clone(),
         network.clone(),
         Arc::new(client(store)),
-        SpreaderParameters::default(),
+        DisseminationParameters::default(),
     );
     let service = Arc::new(Service(configuration.clone()));
     let serving = tokio::spawn(async move {
--- a/crates/stairward-runtime/src/feeds.rs
+++ b/crates/stairward-runtime/src/feeds.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use stairward_membership::PeerClock;
-use stairward_membership::configuration::PeerPlace;
+use stairward_membership::configuration::PeerLocation;
 use stairward_membership::feed::{
     Effect, Event, Feed, FeedContent, FeedParameters, FollowerId, MAXIMUM_IMMEDIATE_PUSH_BYTES,
 };
@@ -287,7 +287,7 @@
     pub(crate) fn tell_feeds_of_members(self: &Rc<Self>) {
         let places: Vec<_> = {
             let members = self.members.borrow();
-            let places = members.iter().map(|member| PeerPlace {
+            let places = members.iter().map(|member| PeerLocation {
                 node: member.node,
                 region: member.region.clone(),
                 leaving: member.leaving,
