--- a/crates/stairward-lab/src/membership/fleet.rs
+++ b/crates/stairward-lab/src/membership/fleet.rs
@@ -6,7 +6,7 @@
 use rand::{RngExt as _, SeedableRng as _};
 use rand_chacha::ChaCha8Rng;
 use stairward_membership::{
-    Effect, Event, MemberChange, Packet, Profile, SwimConfig, SwimMember, TermNews, Version,
+    Effect, Event, MemberChange, Packet, Profile, SwimConfig, SwimMember, TermUpdate, Version,
     encoded_length,
 };
 use stairward_types::{Duration, Incarnation, NodeId, Time};
@@ -51,7 +51,7 @@
     /// When.
     pub at: Time,
     /// What it learnt.
-    pub news: Arc<TermNews>,
+    pub news: Arc<TermUpdate>,
 }
 
 /// A simulated fleet.
@@ -163,7 +163,7 @@
     }
 
     /// Lets a node learn of a newer term by itself.
-    pub fn learn_term(&mut self, node: NodeIndex, news: TermNews) {
+    pub fn learn_term(&mut self, node: NodeIndex, news: TermUpdate) {
         self.feed(node, Event::TermLearnt(news));
     }
 
@@ -206,7 +206,7 @@
                 node: member,
                 change,
             } => self.observe(node, index_of(member), change),
-            Effect::TermArrived(news) => {
+            Effect::TermReceived(news) => {
                 let at = self.network.now();
                 self.arrivals.push(TermArrival { node, at, news });
             }
--- a/crates/stairward-lab/src/membership/terms.rs
+++ b/crates/stairward-lab/src/membership/terms.rs
@@ -8,7 +8,7 @@
 use rand::{RngExt as _, SeedableRng as _};
 use rand_chacha::ChaCha8Rng;
 use serde::Serialize;
-use stairward_membership::{SwimConfig, TermNews};
+use stairward_membership::{SwimConfig, TermUpdate};
 use stairward_types::{BackendId, Duration, GroupId, Term, Time};
 
 use super::fault::Action;
@@ -141,8 +141,8 @@
 }
 
 /// Each term is of another group, so that none overtakes another.
-fn news(number: u64) -> TermNews {
-    TermNews {
+fn news(number: u64) -> TermUpdate {
+    TermUpdate {
         group: GroupId::new(format!("group-{number}")).expect("a valid name"),
         term: Term(number),
         primary: BackendId::new(format!("group-{number}-primary")).expect("a valid name"),
--- a/crates/stairward-lab/src/simulate/control.rs
+++ b/crates/stairward-lab/src/simulate/control.rs
@@ -8,8 +8,8 @@
     ConfigurationDisseminator, DisseminationParameters, Event as SpreadEvent, PeerLocation,
 };
 use stairward_membership::{
-    Candidate, Effect, Event, Packet, Profile, Ranking, SwimConfig, SwimMember, TermNews, Version,
-    rank_owners,
+    Candidate, Effect, Event, Packet, Profile, Ranking, SwimConfig, SwimMember, TermUpdate,
+    Version, rank_owners,
 };
 use stairward_settings::{ResolvedSettings, SettingsDocument};
 use stairward_types::{BackendId, Incarnation, NodeId, RegionName, Revision, Time, ZoneName};
@@ -178,7 +178,7 @@
                 };
                 self.feed_settings(heard, out);
             }
-            Effect::TermArrived(news) => {
+            Effect::TermReceived(news) => {
                 self.learn_primary(&news.group, news.term, &news.primary, out);
             }
         }
@@ -209,7 +209,7 @@
     }
 
     /// Spreads a newer primary to the others.
-    pub(super) fn spread_term(&mut self, news: TermNews, out: &mut Outbox<'_>) {
+    pub(super) fn spread_term(&mut self, news: TermUpdate, out: &mut Outbox<'_>) {
         self.feed_membership(Event::TermLearnt(news), out);
     }
 }
--- a/crates/stairward-lab/src/simulate/edge/mod.rs
+++ b/crates/stairward-lab/src/simulate/edge/mod.rs
@@ -145,7 +145,7 @@
         out.log(|| format!("learns that {primary} leads {group} in term {term}"));
         self.newest_term_for_claims(group, term, out);
         if self.policy == Policy::Stairward {
-            let news = stairward_membership::TermNews {
+            let news = stairward_membership::TermUpdate {
                 group: group.clone(),
                 term,
                 primary: primary.clone(),
--- a/crates/stairward-membership/src/config.rs
+++ b/crates/stairward-membership/src/config.rs
@@ -19,7 +19,7 @@
     pub suspicion_maximum: Duration,
     /// Whether both times grow with the logarithm (base 10) of the number of members. A few members that all others
     /// ask first when a fleet starts answer late then: in a fleet of 300, 28 of them were declared failed after 1 s.
-    pub suspicion_grows: bool,
+    pub scale_suspicion_timeout: bool,
     /// How many other accusers bring the time down to its minimum.
     pub confirmations: usize,
     /// Time between rounds of gossip while there is news.
@@ -50,9 +50,9 @@
     /// Time from an unanswered introduction to the next at the same address, at first.
     pub introduction_interval: Duration,
     /// The same after many, for a node that knows no other.
-    pub introduction_maximum_alone: Duration,
+    pub maximum_introduction_interval_alone: Duration,
     /// The same after many, for a node that knows others.
-    pub introduction_maximum: Duration,
+    pub maximum_introduction_interval: Duration,
     /// A node that was not run for so long takes itself, not the others, to have been silent.
     pub pause_threshold: Duration,
 }
@@ -66,7 +66,7 @@
             indirect_probes: 3,
             suspicion_minimum: Duration::from_millis(1_000),
             suspicion_maximum: Duration::from_millis(2_000),
-            suspicion_grows: false,
+            scale_suspicion_timeout: false,
             confirmations: 2,
             gossip_interval: Duration::from_millis(50),
             gossip_fanout: 3,
@@ -81,8 +81,8 @@
             sync_joining_interval: Duration::from_millis(100),
             sync_buckets_per_answer: 16,
             introduction_interval: Duration::from_millis(250),
-            introduction_maximum_alone: Duration::from_secs(2),
-            introduction_maximum: Duration::from_secs(30),
+            maximum_introduction_interval_alone: Duration::from_secs(2),
+            maximum_introduction_interval: Duration::from_secs(30),
             pause_threshold: Duration::from_millis(500),
         }
     }
@@ -91,8 +91,8 @@
 impl SwimConfig {
     /// By how much the time to refute a suspicion is stretched in a fleet of this many members.
     #[must_use]
-    pub fn suspicion_stretch(&self, members: usize) -> f64 {
-        if !self.suspicion_grows {
+    pub fn suspicion_multiplier(&self, members: usize) -> f64 {
+        if !self.scale_suspicion_timeout {
             return 1.0;
         }
         f64::from(u32::try_from(members).unwrap_or(u32::MAX))
--- a/crates/stairward-membership/src/lib.rs
+++ b/crates/stairward-membership/src/lib.rs
@@ -29,7 +29,7 @@
 pub use holder_ranking::HolderRanking;
 pub use member::{Profile, Status, Version};
 pub use ownership::{Candidate, Ranking, rank_owners};
-pub use packet::{Message, Packet, PacketDigest, TermNews, Update};
+pub use packet::{Message, Packet, PacketDigest, TermUpdate, Update};
 pub use peer_clock::PeerClock;
 pub use swim::{Effect, Event, MemberChange, SwimMember};
 pub use wire::{decode, encode, encoded_length};
--- a/crates/stairward-membership/src/packet.rs
+++ b/crates/stairward-membership/src/packet.rs
@@ -116,7 +116,7 @@
 
 /// A group's newest term and its primary.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct TermNews {
+pub struct TermUpdate {
     /// The group.
     pub group: GroupId,
     /// Its newest term.
@@ -139,5 +139,5 @@
     /// News of members.
     pub updates: Vec<Update>,
     /// News of terms.
-    pub terms: Vec<Arc<TermNews>>,
+    pub terms: Vec<Arc<TermUpdate>>,
 }
--- a/crates/stairward-membership/src/suspicion.rs
+++ b/crates/stairward-membership/src/suspicion.rs
@@ -48,7 +48,7 @@
         let confirmations = suspicion.accusers.len().saturating_sub(1);
         self.deadlines.remove(&(suspicion.deadline, node));
         suspicion.deadline = suspicion.started
-            + timeout(confirmations, config).mul_f64(config.suspicion_stretch(members));
+            + timeout(confirmations, config).mul_f64(config.suspicion_multiplier(members));
         self.deadlines.insert((suspicion.deadline, node));
         grew
     }
--- a/crates/stairward-membership/src/swim.rs
+++ b/crates/stairward-membership/src/swim.rs
@@ -18,7 +18,7 @@
 use crate::introduction::Introductions;
 use crate::local_health::LocalHealth;
 use crate::member::{Profile, Record, Status, Version};
-use crate::packet::{Packet, TermNews, Update};
+use crate::packet::{Packet, TermUpdate, Update};
 use crate::probe::{Outstanding, ProbeOrder};
 use crate::suspicion::Suspicions;
 use crate::table::MemberTable;
@@ -49,7 +49,7 @@
     /// A newer settings revision is in force here.
     SettingsApplied(Revision),
     /// A newer term was learnt here.
-    TermLearnt(TermNews),
+    TermLearnt(TermUpdate),
     /// A planned stop has begun: the node gets no new ownership, and goes on.
     LeaveAnnounced,
     /// The planned stop has ended: the process exits soon.
@@ -83,7 +83,7 @@
         settings_revision: Revision,
     },
     /// A newer term arrived from a peer.
-    TermArrived(Arc<TermNews>),
+    TermReceived(Arc<TermUpdate>),
 }
 
 /// How the belief about a member changed.
--- a/crates/stairward-membership/src/swim/comparison.rs
+++ b/crates/stairward-membership/src/swim/comparison.rs
@@ -14,7 +14,7 @@
 
 use super::{Step, SwimMember};
 use crate::member::{Record, Status, Version};
-use crate::packet::{BucketDigests, Message, PacketDigest, TermNews, Update};
+use crate::packet::{BucketDigests, Message, PacketDigest, TermUpdate, Update};
 use crate::wire::{term_length, update_length};
 
 /// Room kept for header, message and proof, in bytes.
@@ -191,12 +191,12 @@
         &mut self,
         to: SocketAddr,
         bucket: u8,
-        theirs: &[Arc<TermNews>],
+        theirs: &[Arc<TermUpdate>],
         step: &mut Step<'_>,
     ) {
         let bucket = usize::from(bucket);
         let groups = self.terms.group_by_bucket(&[bucket]);
-        let lacking: Vec<Arc<TermNews>> = groups
+        let lacking: Vec<Arc<TermUpdate>> = groups
             .into_values()
             .flatten()
             .filter(|news| {
--- a/crates/stairward-membership/src/swim/dissemination.rs
+++ b/crates/stairward-membership/src/swim/dissemination.rs
@@ -10,7 +10,7 @@
 use super::{Effect, Step, SwimMember};
 use crate::broadcast::News;
 use crate::member::{Status, Version};
-use crate::packet::{Message, Packet, PacketDigest, TermNews, Update};
+use crate::packet::{Message, Packet, PacketDigest, TermUpdate, Update};
 use crate::wire::{encoded_length, update_length};
 
 /// Fresh news waits up to this long for more to share the round.
@@ -60,14 +60,19 @@
         to: SocketAddr,
         message: Message,
         updates: Vec<Update>,
-        terms: Vec<Arc<TermNews>>,
+        terms: Vec<Arc<TermUpdate>>,
         step: &mut Step<'_>,
     ) {
         let packet = self.packet(message, updates, terms);
         step.effects.push(Effect::Send { to, packet });
     }
 
-    fn packet(&self, message: Message, updates: Vec<Update>, terms: Vec<Arc<TermNews>>) -> Packet {
+    fn packet(
+        &self,
+        message: Message,
+        updates: Vec<Update>,
+        terms: Vec<Arc<TermUpdate>>,
+    ) -> Packet {
         Packet {
             sender: self.me.node,
             sender_version: self.me.version,
@@ -152,7 +157,7 @@
     }
 
     /// Spreads a newer term learnt here.
-    pub(super) fn spread_term(&mut self, news: &Arc<TermNews>, step: &mut Step<'_>) {
+    pub(super) fn spread_term(&mut self, news: &Arc<TermUpdate>, step: &mut Step<'_>) {
         if self.terms.learn(news) {
             self.terms.queue.push(Arc::clone(news));
             self.schedule_gossip(step);
@@ -162,7 +167,7 @@
     /// Takes a term from a peer; fresh ones are passed on.
     pub(super) fn apply_term(
         &mut self,
-        news: &Arc<TermNews>,
+        news: &Arc<TermUpdate>,
         is_fresh: bool,
         step: &mut Step<'_>,
     ) -> bool {
@@ -174,7 +179,7 @@
         } else {
             self.terms.learn(news);
         }
-        step.effects.push(Effect::TermArrived(Arc::clone(news)));
+        step.effects.push(Effect::TermReceived(Arc::clone(news)));
         true
     }
 }
--- a/crates/stairward-membership/src/swim/probing.rs
+++ b/crates/stairward-membership/src/swim/probing.rs
@@ -192,9 +192,9 @@
     pub(super) fn introduce(&mut self, step: &mut Step<'_>) {
         let is_alone = self.table.live_count() <= 1;
         let maximum = if is_alone {
-            self.config.introduction_maximum_alone
+            self.config.maximum_introduction_interval_alone
         } else {
-            self.config.introduction_maximum
+            self.config.maximum_introduction_interval
         };
         for address in self.introductions.take_due(step.now, maximum) {
             if self.table.live_at(address).is_none() {
--- a/crates/stairward-membership/src/terms.rs
+++ b/crates/stairward-membership/src/terms.rs
@@ -8,13 +8,13 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::broadcast::{BroadcastQueue, News};
-use crate::packet::{BucketDigests, TermNews};
+use crate::packet::{BucketDigests, TermUpdate};
 use crate::wire::term_length;
 
 /// Groups whose terms are kept at most; news of further groups is not taken.
 const CAPACITY: usize = 16_384;
 
-impl News for Arc<TermNews> {
+impl News for Arc<TermUpdate> {
     type Key = GroupId;
 
     fn key(&self) -> GroupId {
@@ -29,9 +29,9 @@
 /// The newest terms known, with digests to compare them by.
 #[derive(Debug, Clone)]
 pub(crate) struct Terms {
-    newest: BTreeMap<GroupId, Arc<TermNews>>,
+    newest: BTreeMap<GroupId, Arc<TermUpdate>>,
     /// What is still to be passed on.
-    pub queue: BroadcastQueue<Arc<TermNews>>,
+    pub queue: BroadcastQueue<Arc<TermUpdate>>,
     digest: u64,
     buckets: Box<BucketDigests>,
 }
@@ -49,7 +49,7 @@
 
 impl Terms {
     /// Takes news if its term is newer than the one known; says whether it was.
-    pub fn learn(&mut self, news: &Arc<TermNews>) -> bool {
+    pub fn learn(&mut self, news: &Arc<TermUpdate>) -> bool {
         if !self.is_newer(news) {
             return false;
         }
@@ -61,7 +61,7 @@
     }
 
     /// Whether news would change what is known.
-    pub fn is_newer(&self, news: &TermNews) -> bool {
+    pub fn is_newer(&self, news: &TermUpdate) -> bool {
         match self.newest.get(&news.group) {
             Some(known) => news.term > known.term,
             None => self.newest.len() < CAPACITY,
@@ -79,7 +79,7 @@
     }
 
     /// Every term of the wanted buckets, by bucket.
-    pub fn group_by_bucket(&self, wanted: &[usize]) -> BTreeMap<usize, Vec<Arc<TermNews>>> {
+    pub fn group_by_bucket(&self, wanted: &[usize]) -> BTreeMap<usize, Vec<Arc<TermUpdate>>> {
         let mut groups: BTreeMap<usize, Vec<_>> =
             wanted.iter().map(|bucket| (*bucket, Vec::new())).collect();
         for news in self.newest.values() {
@@ -90,14 +90,14 @@
         groups
     }
 
-    fn toggle(&mut self, news: &TermNews) {
+    fn toggle(&mut self, news: &TermUpdate) {
         let hash = news_hash(news);
         self.digest ^= hash;
         self.buckets[bucket_of(&news.group)] ^= (hash >> 32) as u32;
     }
 }
 
-fn news_hash(news: &TermNews) -> u64 {
+fn news_hash(news: &TermUpdate) -> u64 {
     xxh3_64(format!("{} {}", news.group, news.term.0).as_bytes())
 }
 
--- a/crates/stairward-membership/src/wire.rs
+++ b/crates/stairward-membership/src/wire.rs
@@ -13,7 +13,7 @@
 };
 
 use crate::member::{Profile, Version};
-use crate::packet::{Message, Packet, PacketDigest, TermNews, Update};
+use crate::packet::{Message, Packet, PacketDigest, TermUpdate, Update};
 
 /// Version, sender, its version, digest, and the two counts, in bytes.
 const HEADER_BYTES: usize = 2 + 8 + VERSION_BYTES + 24 + 1 + 1;
@@ -64,7 +64,7 @@
     TAG_BYTES + NODE_BYTES + VERSION_BYTES + payload
 }
 
-pub(crate) fn term_length(news: &TermNews) -> usize {
+pub(crate) fn term_length(news: &TermUpdate) -> usize {
     text_length(news.group.as_str()) + 8 + text_length(news.primary.as_str())
 }
 
@@ -178,7 +178,7 @@
     }
 }
 
-fn to_wire_term(news: &TermNews) -> WireTerm {
+fn to_wire_term(news: &TermUpdate) -> WireTerm {
     WireTerm {
         group: Text::new(news.group.as_str()),
         term: news.term.0,
@@ -284,8 +284,8 @@
     })
 }
 
-fn from_wire_term(news: &WireTerm) -> Result<Arc<TermNews>, InvalidName> {
-    Ok(Arc::new(TermNews {
+fn from_wire_term(news: &WireTerm) -> Result<Arc<TermUpdate>, InvalidName> {
+    Ok(Arc::new(TermUpdate {
         group: GroupId::new(news.group.as_str())?,
         term: Term(news.term),
         primary: BackendId::new(news.primary.as_str())?,
--- a/crates/stairward-membership/tests/swim.rs
+++ b/crates/stairward-membership/tests/swim.rs
@@ -63,7 +63,7 @@
 #[test]
 fn where_suspicion_grows_with_the_fleet_a_member_of_many_has_longer_to_refute() {
     let growing = SwimConfig {
-        suspicion_grows: true,
+        scale_suspicion_timeout: true,
         ..SwimConfig::default()
     };
     let fails_within = |count, config: SwimConfig, time| {
--- a/crates/stairward-membership/tests/wire.rs
+++ b/crates/stairward-membership/tests/wire.rs
@@ -7,7 +7,7 @@
 
 use bolero::TypeGenerator;
 use stairward_membership::{
-    Message, Packet, PacketDigest, Profile, TermNews, Update, Version, decode, encode,
+    Message, Packet, PacketDigest, Profile, TermUpdate, Update, Version, decode, encode,
     encoded_length,
 };
 use stairward_protocol::ClusterKey;
@@ -110,8 +110,8 @@
     }
 }
 
-fn news(term: u64) -> Arc<TermNews> {
-    Arc::new(TermNews {
+fn news(term: u64) -> Arc<TermUpdate> {
+    Arc::new(TermUpdate {
         group: GroupId::new("orders").unwrap(),
         term: Term(term),
         primary: BackendId::new("orders-1").unwrap(),
--- a/crates/stairward-proxy/src/control/membership/driver.rs
+++ b/crates/stairward-proxy/src/control/membership/driver.rs
@@ -6,7 +6,7 @@
 
 use rand::rngs::StdRng;
 use stairward_membership::{
-    Effect, Event, MemberChange, Packet, Profile, SwimMember, TermNews, Version, decode, encode,
+    Effect, Event, MemberChange, Packet, Profile, SwimMember, TermUpdate, Version, decode, encode,
 };
 use stairward_protocol::ClusterKey;
 use stairward_protocol::datagram::{DatagramError, MAXIMUM_DATAGRAM_BYTES};
@@ -209,7 +209,7 @@
         let known = Arc::clone(&self.primaries.borrow_and_update());
         for (group, primary) in known.iter() {
             if self.spread.get(group) != Some(primary) {
-                let news = TermNews {
+                let news = TermUpdate {
                     group: group.clone(),
                     term: primary.term,
                     primary: primary.backend.clone(),
@@ -243,7 +243,7 @@
                     settings_revision,
                 });
             }
-            Effect::TermArrived(news) => self.learn_primary(&news),
+            Effect::TermReceived(news) => self.learn_primary(&news),
         }
     }
 
@@ -263,7 +263,7 @@
         }
     }
 
-    fn learn_primary(&self, news: &TermNews) {
+    fn learn_primary(&self, news: &TermUpdate) {
         let primary = KnownPrimary {
             term: news.term,
             backend: news.primary.clone(),
--- a/crates/stairward-runtime/src/membership.rs
+++ b/crates/stairward-runtime/src/membership.rs
@@ -70,7 +70,7 @@
         };
         let config = SwimConfig {
             probe_interval: PROBE_INTERVAL,
-            suspicion_grows: true,
+            scale_suspicion_timeout: true,
             ..SwimConfig::default()
         };
         let now = self.now();
@@ -118,7 +118,7 @@
                         changed_at = now;
                     }
                     Effect::MemberChanged { node, change } => self.log_member(node, change),
-                    Effect::PeerDigest { .. } | Effect::TermArrived(_) => {}
+                    Effect::PeerDigest { .. } | Effect::TermReceived(_) => {}
                 }
             }
             let since_told = now.since(told_count);
