--- a/crates/stairward-lab/src/simulate/control.rs
+++ b/crates/stairward-lab/src/simulate/control.rs
@@ -5,11 +5,11 @@
 use std::time::Duration;
 
 use stairward_membership::configuration::{
-    ConfigurationSpreader, Event as SpreadEvent, PeerPlace, SpreaderParameters,
+    ConfigurationDisseminator, DisseminationParameters, Event as SpreadEvent, PeerLocation,
 };
 use stairward_membership::{
-    Candidate, Effect, Event, Packet, Profile, Ranking, SwimConfig, SwimMember, TermNews, Version,
-    rank_owners,
+    Candidate, Effect, Event, Packet, Profile, Ranking, SwimConfig, SwimMember, TermUpdate,
+    Version, rank_owners,
 };
 use stairward_settings::{ResolvedSettings, SettingsDocument};
 use stairward_types::{BackendId, Incarnation, NodeId, RegionName, Revision, Time, ZoneName};
@@ -53,7 +53,7 @@
 #[derive(Debug)]
 pub(super) struct Control {
     pub(super) swim: SwimMember,
-    pub(super) spreader: ConfigurationSpreader,
+    pub(super) spreader: ConfigurationDisseminator,
     pub(super) tick: Duration,
     pub(super) document: Option<Arc<SettingsDocument>>,
     /// The settings in force.
@@ -83,7 +83,7 @@
             zone: identity.zone.clone(),
             leaving: false,
         };
-        let parameters = SpreaderParameters::default();
+        let parameters = DisseminationParameters::default();
         Self {
             swim: SwimMember::new(
                 profile,
@@ -92,8 +92,8 @@
                 now,
                 random.generator(),
             ),
-            tick: parameters.tick,
-            spreader: ConfigurationSpreader::new(
+            tick: parameters.tick_interval,
+            spreader: ConfigurationDisseminator::new(
                 now,
                 identity.node,
                 identity.region.clone(),
@@ -172,13 +172,13 @@
                 node,
                 settings_revision,
             } => {
-                let heard = SpreadEvent::Heard {
+                let heard = SpreadEvent::RevisionHeard {
                     from: node,
                     revision: settings_revision,
                 };
                 self.feed_settings(heard, out);
             }
-            Effect::TermArrived(news) => {
+            Effect::TermReceived(news) => {
                 self.learn_primary(&news.group, news.term, &news.primary, out);
             }
         }
@@ -188,7 +188,7 @@
         let before = std::mem::take(&mut self.control.members);
         self.control.members = self.control.swim.view().cloned().collect();
         let members = &self.control.members;
-        let places = members.iter().map(|member| PeerPlace {
+        let places = members.iter().map(|member| PeerLocation {
             node: member.node,
             region: member.region.clone(),
             leaving: member.leaving,
@@ -209,7 +209,7 @@
     }
 
     /// Spreads a newer primary to the others.
-    pub(super) fn spread_term(&mut self, news: TermNews, out: &mut Outbox<'_>) {
+    pub(super) fn spread_term(&mut self, news: TermUpdate, out: &mut Outbox<'_>) {
         self.feed_membership(Event::TermLearnt(news), out);
     }
 }
