--- a/crates/stairward-membership/src/feed/follower.rs
+++ b/crates/stairward-membership/src/feed/follower.rs
@@ -1,4 +1,5 @@
-//! One node's part in one feed: as a follower, and as a watcher with followers of its own.
+//! State machine of one node for one feed. A node may follow watchers and, as a watcher, serve
+//! followers of its own.
 
 use std::collections::BTreeMap;
 
@@ -7,110 +8,113 @@
 
 use super::followers::Followers;
 use super::message::{Effect, Event, FeedContent};
-use super::parameters::{FeedParameters, VIEW_SETTLES};
+use super::parameters::{FeedParameters, VIEW_SETTLE_TIME};
 use super::ranking;
 use crate::configuration::PeerLocation;
 
-/// Pause before a watcher whose link ended is asked again.
-const ASK_AGAIN: Duration = Duration::from_millis(500);
+/// Delay before a follow request is repeated to a watcher whose link was lost.
+const FOLLOW_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Bytes of a change that go to all followers at once; a longer one, such as a whole configuration, goes to them in turn.
-/// 50 followers take 4 kB each in 0.04 s over a link of 10 Mbit/s, as compressed; a configuration of 35 kB took 1.4 s,
-/// in which the watcher's probes were lost.
+/// Largest change, in bytes, that is pushed to all followers at once. Larger ones, such as a whole
+/// configuration, are queued and delivered to a few followers at a time. Pushing 4 kB to 50
+/// followers takes 0.04 s on a 10 Mbit/s link with compression; a configuration of 35 kB took 1.4
+/// s, during which the watcher's membership probes were lost.
 pub const MAXIMUM_IMMEDIATE_PUSH_BYTES: usize = 4 * 1024;
 
-/// A node that starts gives its first watcher this many times as long as the store's stale listing: it may be the
-/// last of some 50 followers in turn.
-const FIRST_PATIENCE: u32 = 2;
+/// The first watcher that a starting node follows gets this multiple of `listing_timeout` to
+/// answer, because the node may be the last of about 50 queued followers.
+const FIRST_WATCHER_TIMEOUT_FACTOR: u32 = 2;
 
-/// What a watcher takes to tell one follower in turn all that it lacks, and the follower to take it over.
-const DELIVERY_TIME: Duration = Duration::from_millis(80);
+/// Estimated time for a watcher to deliver the missing content to one queued follower and for the
+/// follower to apply it.
+const DELIVERY_TIME_PER_FOLLOWER: Duration = Duration::from_millis(80);
 
-/// Moments among which nodes that give up waiting are spread.
-const SHARES: u64 = 1_024;
+/// Steps into which the jitter of direct reads is divided.
+const JITTER_STEPS: u64 = 1_024;
 
-/// A watcher that this node follows.
+/// State of a watcher that this node follows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Source {
-    /// It was asked and has not answered yet.
-    Asked,
-    /// All that it tells from here on reaches this node in order.
-    InStep,
-    /// Its link ended at this moment.
-    Lost(Time),
+    /// The follow request was sent; no answer has arrived yet.
+    Requested,
+    /// The watcher has answered: its further messages arrive in order and without gaps.
+    Synchronized,
+    /// The link was lost at this time.
+    Disconnected(Time),
 }
 
-/// Decides how one node follows one kind of the store's objects.
+/// Decides how one node obtains the objects of one kind: from the store, or from watchers.
 #[derive(Debug, Clone)]
 pub struct Feed {
     parameters: FeedParameters,
-    /// The watchers that this node follows when it needs to.
-    wanted_sources: Vec<NodeId>,
-    /// Since when this node has ranked as a watcher; none while it does not.
+    /// The watchers to follow when this node needs any, best rank first.
+    preferred_sources: Vec<NodeId>,
+    /// Since when this node has ranked as a watcher; `None` while it does not.
     watcher_since: Option<Time>,
-    /// The watchers of the others are given as long to confirm the feed to a node that starts as to one that has
-    /// lost them.
+    /// When this node started. Counts as the last confirmation until a watcher confirms the feed,
+    /// so that a starting node waits as long for its watchers as one that has lost them.
     started_at: Time,
     is_reading: bool,
-    /// When the first watcher was asked.
-    first_asked_at: Option<Time>,
-    /// The revision held; none before the first content.
-    at: Option<StoreRevision>,
-    /// The latest copy of the store that anything was taken over from; none before the first content.
+    /// When this node first chose watchers to follow.
+    first_follow_at: Option<Time>,
+    /// The revision held; `None` before the first content.
+    held: Option<StoreRevision>,
+    /// Era (the copy of the store) of the newest content applied; `None` before the first content.
     era: Option<u64>,
-    /// When the store last confirmed to this node itself that what it holds is the newest.
-    confirmed_by_store: Option<Time>,
-    /// When a watcher's word last did.
-    confirmed_by_source: Option<Time>,
-    /// The latest moment at which what is held was certainly the newest: what is not held came later. A confirmation
-    /// that was held up on its way, or by this node's own pause, does not move it further than to when it was given.
+    /// When the store last confirmed to this node directly that the held content is the newest.
+    store_confirmed_at: Option<Time>,
+    /// When a watcher last did so.
+    source_confirmed_at: Option<Time>,
+    /// The latest time at which the held content is known to have been the newest; any other change
+    /// was made later. A confirmation delayed in transit, or by a pause of this process, counts
+    /// from when it was given.
     current_at: Option<Time>,
     sources: BTreeMap<NodeId, Source>,
     followers: Followers,
-    /// How long a watcher takes to tell all of its followers in turn what they lack.
-    turn_patience: Duration,
-    /// Whether content of the store's was left out since some was last taken over.
-    leaves_out: bool,
-    /// Until when what the store lost may still be written again; none where it has not come back from an older copy
-    /// lately.
-    settled_at: Option<Time>,
+    /// Estimated time for a watcher to deliver missing content to all its followers in turn.
+    expected_delivery_time: Duration,
+    /// Whether content from the store has been ignored as older since content was last applied.
+    is_ignoring_store: bool,
+    /// Until when writers may still rewrite what the store lost in a restore from an older copy;
+    /// `None` when there was no recent restore.
+    restore_settles_at: Option<Time>,
 }
 
 impl Feed {
-    /// A node that knows nothing yet. It reads the store once its view of the others has had time to settle,
-    /// unless it turns out that others read it for this node.
+    /// Creates the state of a node without content. It starts to read the store once its membership
+    /// view has settled, unless the view shows that other nodes read it on this node's behalf.
     #[must_use]
     pub fn new(parameters: FeedParameters, now: Time) -> Self {
         Self {
             parameters,
-            wanted_sources: Vec::new(),
+            preferred_sources: Vec::new(),
             watcher_since: Some(now),
             started_at: now,
             is_reading: false,
-            first_asked_at: None,
-            at: None,
+            first_follow_at: None,
+            held: None,
             era: None,
-            confirmed_by_store: None,
-            confirmed_by_source: None,
+            store_confirmed_at: None,
+            source_confirmed_at: None,
             current_at: None,
             sources: BTreeMap::new(),
             followers: Followers::default(),
-            turn_patience: Duration::ZERO,
-            leaves_out: false,
-            settled_at: None,
+            expected_delivery_time: Duration::ZERO,
+            is_ignoring_store: false,
+            restore_settles_at: None,
         }
     }
 
-    /// Takes an event into account and says what to do. `now` never goes back.
+    /// Handles an event and returns the resulting effects. `now` must not decrease between calls.
     pub fn handle(&mut self, now: Time, event: Event) -> Vec<Effect> {
         let mut effects = Vec::new();
         match event {
             Event::MembersChanged(members) => self.members_changed(now, &members),
             Event::StaleListing { at, objects } => {
-                self.take(now, at, FeedContent::Snapshot(objects), &mut effects);
+                self.apply(now, at, FeedContent::Snapshot(objects), &mut effects);
             }
-            // It may be older than anything that came with a revision.
-            Event::PeerSnapshot(objects) if self.at.is_none() => effects.push(Effect::Apply {
+            // A peer's snapshot has no revision and may be older than any content that has one.
+            Event::PeerSnapshot(objects) if self.held.is_none() => effects.push(Effect::Apply {
                 at: None,
                 content: FeedContent::Snapshot(objects),
                 since: None,
@@ -131,24 +135,28 @@
                 content,
             } => {
                 if self.source_answered(now, source, at, age, content, &mut effects) {
-                    self.note_current(current_at);
+                    self.advance_current_at(current_at);
                 }
             }
             Event::SourceLost(source) => self.source_lost(now, source),
-            Event::FollowRequested { follower, known } => self.followers.asked(follower, known),
+            Event::FollowRequested { follower, known } => {
+                self.followers.follow_requested(follower, known)
+            }
             Event::FollowerLeft(follower) => self.followers.remove(follower),
-            Event::FollowerAcknowledged { follower, held } => self.followers.took(follower, held),
-            // All is asked for anew.
+            Event::FollowerAcknowledged { follower, held } => {
+                self.followers.acknowledge(follower, held)
+            }
+            // Follow again without a base, so that the watchers send a snapshot.
             Event::ContentMismatch => {
-                self.at = None;
+                self.held = None;
                 self.current_at = None;
                 self.sources.clear();
             }
             Event::Tick => {}
         }
-        self.settle(now, &mut effects);
-        self.choose_sources(now, &mut effects);
-        self.choose_reading(now, &mut effects);
+        self.finish_restore(now, &mut effects);
+        self.update_sources(now, &mut effects);
+        self.update_store_reading(now, &mut effects);
         self.deliver(now, &mut effects);
         effects
     }
@@ -156,30 +164,32 @@
     /// When [`Event::Tick`] is next due.
     #[must_use]
     pub fn next_deadline(&self, now: Time) -> Option<Time> {
-        let reads_at = self.last_source_word() + self.direct_read_timeout();
-        let settles_at = self.watcher_since.map(|since| since + VIEW_SETTLES);
-        let follows_at = self
-            .confirmed_by_store
+        let direct_read_at = self.last_source_confirmation() + self.direct_read_timeout();
+        let view_settles_at = self.watcher_since.map(|since| since + VIEW_SETTLE_TIME);
+        let store_times_out_at = self
+            .store_confirmed_at
             .map(|at| at + self.parameters.store_timeout);
-        let asks = self.sources.values().filter_map(|source| match source {
-            Source::Lost(at) => Some(*at + ASK_AGAIN),
-            Source::Asked | Source::InStep => None,
+        let retries = self.sources.values().filter_map(|source| match source {
+            Source::Disconnected(at) => Some(*at + FOLLOW_RETRY_DELAY),
+            Source::Requested | Source::Synchronized => None,
         });
-        let begins_at = self.started_at + self.parameters.listing_timeout;
-        let all_asked_at = self.first_asked_at.map(|at| at + self.first_patience());
-        // What has passed was dealt with when it passed.
-        let deadlines = [reads_at, begins_at]
+        let listing_times_out_at = self.started_at + self.parameters.listing_timeout;
+        let all_followed_at = self
+            .first_follow_at
+            .map(|at| at + self.first_watcher_timeout());
+        // Deadlines in the past were handled when they expired.
+        let deadlines = [direct_read_at, listing_times_out_at]
             .into_iter()
-            .chain(all_asked_at)
-            .chain(settles_at)
-            .chain(self.settled_at)
-            .chain(follows_at)
+            .chain(all_followed_at)
+            .chain(view_settles_at)
+            .chain(self.restore_settles_at)
+            .chain(store_times_out_at)
             .chain(self.followers.next_deadline())
-            .chain(asks);
+            .chain(retries);
         deadlines.filter(|at| *at > now).min()
     }
 
-    /// Whether other nodes hear of changes from this one.
+    /// Whether other nodes follow this one.
     #[must_use]
     pub fn has_followers(&self) -> bool {
         !self.followers.is_empty()
@@ -196,15 +206,15 @@
         self.sources.keys().copied()
     }
 
-    /// The revision held; none before the first content.
+    /// The revision held; `None` before the first content.
     #[must_use]
     pub const fn held_revision(&self) -> Option<StoreRevision> {
-        self.at
+        self.held
     }
 
-    /// When a watcher last confirmed the feed, or this node started.
-    fn last_source_word(&self) -> Time {
-        self.confirmed_by_source.unwrap_or(self.started_at)
+    /// When a watcher last confirmed the feed, or when this node started.
+    fn last_source_confirmation(&self) -> Time {
+        self.source_confirmed_at.unwrap_or(self.started_at)
     }
 
     fn members_changed(&mut self, now: Time, members: &[PeerLocation]) {
@@ -212,22 +222,24 @@
         let watchers = ranking::watchers(region, members);
         let is_watcher = watchers.is_empty() || watchers.contains(&node);
         self.watcher_since = is_watcher.then(|| self.watcher_since.unwrap_or(now));
-        self.wanted_sources = ranking::sources(node, region, members);
-        self.turn_patience = DELIVERY_TIME * ranking::followers_each(region, members);
+        self.preferred_sources = ranking::sources(node, region, members);
+        self.expected_delivery_time =
+            DELIVERY_TIME_PER_FOLLOWER * ranking::followers_per_watcher(region, members);
     }
 
-    /// How long after the last word of its watchers this node reads the store itself. One that holds nothing can't act
-    /// on anything outdated and may be the last in turn of a watcher's followers: a fleet that starts and reads the store
-    /// as one takes all of its link.
+    /// How long after the last confirmation by a watcher this node reads the store directly. A node
+    /// without content waits longer: it cannot act on outdated content, and it may be the last in a
+    /// watcher's delivery queue. If all nodes of a starting fleet read the store at once, they
+    /// saturate its link.
     fn direct_read_timeout(&self) -> Duration {
-        let usual = self.parameters.direct_read_timeout;
-        if self.at.is_some() || self.turn_patience <= usual {
-            return usual;
+        let base_timeout = self.parameters.direct_read_timeout;
+        if self.held.is_some() || self.expected_delivery_time <= base_timeout {
+            return base_timeout;
         }
-        // Those who give up don't all read the store at once.
-        let share = xxh3_64(&self.parameters.node.0.to_be_bytes()) % SHARES;
-        let spread = microseconds(self.turn_patience - usual) * share / SHARES;
-        self.turn_patience + Duration::from_micros(spread)
+        // Spread nodes that give up waiting, so that they do not all read the store at once.
+        let step = xxh3_64(&self.parameters.node.0.to_be_bytes()) % JITTER_STEPS;
+        let spread = microseconds(self.expected_delivery_time - base_timeout) * step / JITTER_STEPS;
+        self.expected_delivery_time + Duration::from_micros(spread)
     }
 
     fn store_answered(
@@ -238,42 +250,43 @@
         current_at: Time,
         effects: &mut Vec<Effect>,
     ) {
-        let goes_in_turn = match &content {
+        let is_queued = match &content {
             FeedContent::Snapshot(_) => true,
             FeedContent::Changes(bytes) => bytes.len() > MAXIMUM_IMMEDIATE_PUSH_BYTES,
             FeedContent::ChangesSince { .. } | FeedContent::Unchanged => false,
         };
-        // Followers get every word of the store's, so that none is missing to those in step.
-        let told = content.clone();
+        // Forward every answer of the store, even without new content, so that synchronized
+        // followers miss nothing.
+        let pushed = content.clone();
         if content != FeedContent::Unchanged {
-            self.note_left_out(at, effects);
+            self.report_ignored_content(at, effects);
         }
-        if !self.take(now, at, content, effects) {
+        if !self.apply(now, at, content, effects) {
             return;
         }
-        self.confirmed_by_store = Some(now);
-        self.note_current(Some(current_at));
-        if goes_in_turn {
-            self.followers.queue_all(self.at.unwrap_or(at));
+        self.store_confirmed_at = Some(now);
+        self.advance_current_at(Some(current_at));
+        if is_queued {
+            self.followers.queue_all(self.held.unwrap_or(at));
             return;
         }
-        let followers = self.followers.tell_in_step(at);
+        let followers = self.followers.push_to_synchronized(at);
         if !followers.is_empty() {
             effects.push(Effect::Push {
                 followers,
                 at,
                 age: Duration::ZERO,
-                // Of the state that is told, which may be older than what is held.
+                // Must describe the pushed state, which may be older than the held one.
                 current_at: self.current_at.min(Some(current_at)),
-                content: told,
+                content: pushed,
             });
         }
     }
 
-    /// Tells followers that wait what they lack of the state here, a few at a time.
+    /// Delivers the missing content to a limited number of queued followers.
     fn deliver(&mut self, now: Time, effects: &mut Vec<Effect>) {
-        // Until the store has answered, nothing here is confirmed.
-        let (Some(at), Some(confirmed)) = (self.at, self.confirmed_by_store) else {
+        // Nothing held here is confirmed until the store has answered.
+        let (Some(at), Some(confirmed)) = (self.held, self.store_confirmed_at) else {
             return;
         };
         for (followers, content) in self.followers.next_deliveries(now, at) {
@@ -287,7 +300,7 @@
         }
     }
 
-    /// Takes a watcher's word over. Returns whether it could be.
+    /// Handles an answer of a watcher. Returns whether it was accepted.
     fn source_answered(
         &mut self,
         now: Time,
@@ -300,62 +313,65 @@
         if !self.sources.contains_key(&source) {
             return false;
         }
-        if self.is_outdated(at) {
+        if self.is_from_earlier_era(at) {
             return false;
         }
-        self.sources.insert(source, Source::InStep);
-        // What follows on something that is not held can't be taken over.
-        let lacks_base =
-            matches!(&content, FeedContent::ChangesSince { since, .. } if self.at < Some(*since));
-        if lacks_base {
-            self.at = None;
+        self.sources.insert(source, Source::Synchronized);
+        // Changes after a revision that is not held cannot be applied.
+        let is_base_missing =
+            matches!(&content, FeedContent::ChangesSince { since, .. } if self.held < Some(*since));
+        if is_base_missing {
+            self.held = None;
             self.sources.clear();
             return false;
         }
-        if !self.take(now, at, content, effects) {
-            // A change of a copy of the store of which nothing is held: the watcher is asked for all of it.
+        if !self.apply(now, at, content, effects) {
+            // The change belongs to an era of which nothing is held: request a snapshot from this
+            // watcher.
             self.sources.remove(&source);
             return false;
         }
-        // A watcher that is behind confirms all the same: what it has not seen came later than its confirmation.
+        // A watcher that lags behind still confirms the feed: changes that it has not seen were
+        // made after its confirmation.
         let confirmed = Time(now.0.saturating_sub(microseconds(age)));
-        self.confirmed_by_source = self.confirmed_by_source.max(Some(confirmed));
+        self.source_confirmed_at = self.source_confirmed_at.max(Some(confirmed));
         true
     }
 
-    /// Tells, once, that the store's content is older than what is held.
-    fn note_left_out(&mut self, at: StoreRevision, effects: &mut Vec<Effect>) {
-        let newer = self.at.filter(|held| at < *held);
-        let was_left_out = std::mem::replace(&mut self.leaves_out, newer.is_some());
-        if let Some(held) = newer.filter(|_| !was_left_out) {
+    /// Reports once that the store's content is older than the held content.
+    fn report_ignored_content(&mut self, at: StoreRevision, effects: &mut Vec<Effect>) {
+        let newer = self.held.filter(|held| at < *held);
+        let was_ignoring = std::mem::replace(&mut self.is_ignoring_store, newer.is_some());
+        if let Some(held) = newer.filter(|_| !was_ignoring) {
             effects.push(Effect::OlderContentIgnored { at, held });
         }
     }
 
-    /// Takes over what is newer than what is held. Returns whether that is now at least as new; not so for what is of an
-    /// earlier copy of the store than what is held, and for a change in a later one, which leads from nothing that is held.
-    fn take(
+    /// Applies content that is newer than the held one. Returns whether the held content is now at
+    /// least as new. Content of an earlier era is rejected, and so are changes in a later era,
+    /// which have no base here.
+    fn apply(
         &mut self,
         now: Time,
         at: StoreRevision,
         content: FeedContent,
         effects: &mut Vec<Effect>,
     ) -> bool {
-        if self.is_outdated(at) {
+        if self.is_from_earlier_era(at) {
             return false;
         }
         let is_other_copy = self.era.is_some_and(|era| era != at.era());
         if is_other_copy && !matches!(content, FeedContent::Snapshot(_)) {
             return false;
         }
-        // A node that has just started can't know when the store last came back.
+        // A node that has just started cannot know when the store was last restored.
         let may_be_restored = self.era.is_none() && at.era() > 0;
         if is_other_copy || may_be_restored {
-            self.settled_at = Some(now + self.parameters.restore_settle_time);
+            self.restore_settles_at = Some(now + self.parameters.restore_settle_time);
         }
         self.era = Some(at.era());
-        let is_newer = self.at.is_none_or(|held| at > held);
-        self.at = self.at.max(Some(at));
+        let is_newer = self.held.is_none_or(|held| at > held);
+        self.held = self.held.max(Some(at));
         if is_newer && content != FeedContent::Unchanged {
             effects.push(Effect::Apply {
                 at: Some(at),
@@ -366,60 +382,64 @@
         true
     }
 
-    /// Whether something is told of a copy of the store that is gone.
-    fn is_outdated(&self, at: StoreRevision) -> bool {
+    /// Whether content belongs to a copy of the store that has since been replaced by a restore.
+    fn is_from_earlier_era(&self, at: StoreRevision) -> bool {
         self.era.is_some_and(|era| at.era() < era)
     }
 
-    /// What is held was the newest at this moment. While what the store lost may still be written again, that dates
-    /// nothing: what comes may have been said before the store lost it.
-    fn note_current(&mut self, moment: Option<Time>) {
-        if self.settled_at.is_none() {
+    /// Records that the held content was the newest at `moment`. Has no effect while writers may
+    /// still rewrite what a restore lost, because such content may have been created before the
+    /// loss.
+    fn advance_current_at(&mut self, moment: Option<Time>) {
+        if self.restore_settles_at.is_none() {
             self.current_at = self.current_at.max(moment);
         }
     }
 
-    fn settle(&mut self, now: Time, effects: &mut Vec<Effect>) {
-        if self.settled_at.is_some_and(|at| now >= at) {
-            self.settled_at = None;
+    fn finish_restore(&mut self, now: Time, effects: &mut Vec<Effect>) {
+        if self.restore_settles_at.is_some_and(|at| now >= at) {
+            self.restore_settles_at = None;
             effects.push(Effect::RestoreSettled);
         }
     }
 
     fn source_lost(&mut self, now: Time, source: NodeId) {
         if let Some(known) = self.sources.get_mut(&source) {
-            *known = Source::Lost(now);
+            *known = Source::Disconnected(now);
         }
     }
 
-    /// How long a node that starts gives its first watcher before it follows the second as well.
-    fn first_patience(&self) -> Duration {
-        self.parameters.listing_timeout * FIRST_PATIENCE
+    /// How long a starting node waits for its first watcher before it follows the second one too.
+    fn first_watcher_timeout(&self) -> Duration {
+        self.parameters.listing_timeout * FIRST_WATCHER_TIMEOUT_FACTOR
     }
 
-    /// The watchers to follow now. A node that starts begins with one: two would both send it all that it lacks.
+    /// The watchers to follow now. A starting node begins with one, since two would both send it
+    /// all the missing content.
     fn sources_to_follow(&mut self, now: Time) -> Vec<NodeId> {
-        let asked_at = *self.first_asked_at.get_or_insert(now);
-        let awaits_first =
-            self.confirmed_by_source.is_none() && now.since(asked_at) < self.first_patience();
-        if !awaits_first {
-            return self.wanted_sources.clone();
+        let followed_at = *self.first_follow_at.get_or_insert(now);
+        let is_awaiting_first = self.source_confirmed_at.is_none()
+            && now.since(followed_at) < self.first_watcher_timeout();
+        if !is_awaiting_first {
+            return self.preferred_sources.clone();
         }
-        let is_lost = |node: &&NodeId| matches!(self.sources.get(*node), Some(Source::Lost(_)));
-        let first = self.wanted_sources.iter().find(|node| !is_lost(node));
+        let is_lost =
+            |node: &&NodeId| matches!(self.sources.get(*node), Some(Source::Disconnected(_)));
+        let first = self.preferred_sources.iter().find(|node| !is_lost(node));
         first.copied().into_iter().collect()
     }
 
-    /// A node that doesn't rank as a watcher follows some; so does a watcher that the store doesn't answer.
-    fn choose_sources(&mut self, now: Time, effects: &mut Vec<Effect>) {
-        let awaits_listing =
-            self.at.is_none() && now.since(self.started_at) < self.parameters.listing_timeout;
-        if awaits_listing {
+    /// Follows watchers if this node is not a watcher itself, or if it is one and the store does
+    /// not answer.
+    fn update_sources(&mut self, now: Time, effects: &mut Vec<Effect>) {
+        let is_awaiting_listing =
+            self.held.is_none() && now.since(self.started_at) < self.parameters.listing_timeout;
+        if is_awaiting_listing {
             return;
         }
         let store_timeout = self.parameters.store_timeout;
         let is_confirmed = self
-            .confirmed_by_store
+            .store_confirmed_at
             .is_some_and(|at| now.since(at) < store_timeout);
         let wanted = if self.is_watcher() && is_confirmed {
             Vec::new()
@@ -439,22 +459,23 @@
         for source in wanted {
             let is_due = match self.sources.get(&source) {
                 None => true,
-                Some(Source::Lost(at)) => now.since(*at) >= ASK_AGAIN,
-                Some(Source::Asked | Source::InStep) => false,
+                Some(Source::Disconnected(at)) => now.since(*at) >= FOLLOW_RETRY_DELAY,
+                Some(Source::Requested | Source::Synchronized) => false,
             };
             if is_due {
-                self.sources.insert(source, Source::Asked);
-                let known = self.at;
+                self.sources.insert(source, Source::Requested);
+                let known = self.held;
                 effects.push(Effect::Follow { source, known });
             }
         }
     }
 
-    fn choose_reading(&mut self, now: Time, effects: &mut Vec<Effect>) {
+    fn update_store_reading(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let is_settled_watcher = self
             .watcher_since
-            .is_some_and(|since| now.since(since) >= VIEW_SETTLES);
-        let is_unconfirmed = now.since(self.last_source_word()) >= self.direct_read_timeout();
+            .is_some_and(|since| now.since(since) >= VIEW_SETTLE_TIME);
+        let is_unconfirmed =
+            now.since(self.last_source_confirmation()) >= self.direct_read_timeout();
         let wants = is_settled_watcher || is_unconfirmed;
         if wants != self.is_reading {
             self.is_reading = wants;
--- a/crates/stairward-membership/src/feed/followers.rs
+++ b/crates/stairward-membership/src/feed/followers.rs
@@ -1,9 +1,10 @@
-//! The nodes that follow a watcher, and what each of them is still to be told.
+//! The followers of a watcher and the content that each still has to receive.
 //!
-//! Followers in step get every change at once. One that lacks more, since it has just begun to follow or since the
-//! watcher itself had lost touch, waits for its turn: a fleet that starts asks a watcher within a moment for more than
-//! its link carries in seconds, and behind that its packets and probes would be lost, so that the others declare it
-//! failed.
+//! Synchronized followers get each change at once. A follower that lacks more, because it has just
+//! started to follow or because the watcher itself lost its position in the store, waits in a
+//! queue. In a starting fleet the followers request, almost at the same time, more than the
+//! watcher's link carries in several seconds. Its packets and probes would be lost behind that
+//! traffic, and other members would declare it failed.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -11,88 +12,88 @@
 
 use super::message::{FeedContent, FollowerId};
 
-/// Followers that are told at once all that they lack. Of 35 kB each they take 0.1 s of a link of 10 Mbit/s, which
-/// is less than a probe's time-out.
-const DELIVERIES_AT_ONCE: usize = 4;
-/// A follower that has not confirmed what it was told after this long no longer holds others up.
-const DELIVERY_PATIENCE: Duration = Duration::from_millis(500);
+/// Deliveries of missing content in progress at a time. At 35 kB each, four take 0.1 s of a 10
+/// Mbit/s link, which is less than the probe timeout.
+const MAXIMUM_CONCURRENT_DELIVERIES: usize = 4;
+/// A delivery that is not acknowledged within this time no longer counts against the limit.
+const DELIVERY_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What is known of one follower.
+/// Delivery state of one follower.
 #[derive(Debug, Clone, Copy)]
 struct Follower {
-    /// The revision that it holds once all that it was told has reached it; none while it holds nothing.
+    /// The revision that the follower holds once everything sent has arrived; `None` while it holds
+    /// nothing.
     held: Option<StoreRevision>,
-    /// Whether it is still to be told what it lacks.
+    /// Whether the follower is queued for missing content.
     is_waiting: bool,
 }
 
 /// All followers of a watcher.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Followers {
-    known: BTreeMap<FollowerId, Follower>,
-    /// Those that wait, in turn.
+    by_id: BTreeMap<FollowerId, Follower>,
+    /// Followers that wait for missing content, in order of delivery.
     queue: VecDeque<FollowerId>,
-    /// Those that were told a while ago and have not confirmed it.
+    /// Unacknowledged deliveries and when they were sent.
     in_flight: BTreeMap<FollowerId, Time>,
 }
 
 impl Followers {
-    /// Whether there is none.
     pub fn is_empty(&self) -> bool {
-        self.known.is_empty()
+        self.by_id.is_empty()
     }
 
-    /// A node begins to follow, or asks again.
-    pub fn asked(&mut self, follower: FollowerId, held: Option<StoreRevision>) {
-        let asked = Follower {
+    /// Handles a new or repeated follow request.
+    pub fn follow_requested(&mut self, follower: FollowerId, held: Option<StoreRevision>) {
+        let requested = Follower {
             held,
             is_waiting: true,
         };
-        let before = self.known.insert(follower, asked);
+        let before = self.by_id.insert(follower, requested);
         if !before.is_some_and(|before| before.is_waiting) {
             self.queue.push_back(follower);
         }
     }
 
-    /// A node follows no longer.
+    /// Removes a follower.
     pub fn remove(&mut self, follower: FollowerId) {
-        self.known.remove(&follower);
+        self.by_id.remove(&follower);
         self.in_flight.remove(&follower);
         self.queue.retain(|waiting| *waiting != follower);
     }
 
-    /// A follower has taken something over, from this watcher or from the other one that it follows, and holds this
-    /// revision now.
-    pub fn took(&mut self, follower: FollowerId, held: StoreRevision) {
+    /// Records the revision that a follower holds after it applied content, from this watcher or
+    /// from the other one that it follows.
+    pub fn acknowledge(&mut self, follower: FollowerId, held: StoreRevision) {
         self.in_flight.remove(&follower);
-        if let Some(known) = self.known.get_mut(&follower) {
+        if let Some(known) = self.by_id.get_mut(&follower) {
             known.held = known.held.max(Some(held));
         }
     }
 
-    /// The followers in step, which are told of a change that leads to this revision.
-    pub fn tell_in_step(&mut self, at: StoreRevision) -> Vec<FollowerId> {
-        let mut told = Vec::new();
-        for (id, follower) in &mut self.known {
+    /// Returns the synchronized followers, recorded as having received a change that leads to `at`.
+    pub fn push_to_synchronized(&mut self, at: StoreRevision) -> Vec<FollowerId> {
+        let mut deliveries = Vec::new();
+        for (id, follower) in &mut self.by_id {
             if !follower.is_waiting {
                 follower.held = Some(at);
-                told.push(*id);
+                deliveries.push(*id);
             }
         }
-        told
+        deliveries
     }
 
-    /// The watcher has read a whole state anew, or a change that is too long for all at once: nobody is in step who holds
-    /// less.
+    /// Queues all followers, after the watcher received a snapshot or a change too large to push at
+    /// once. Followers that hold less than `at` are no longer synchronized.
     pub fn queue_all(&mut self, at: StoreRevision) {
-        for (id, follower) in &mut self.known {
+        for (id, follower) in &mut self.by_id {
             if !follower.is_waiting {
                 follower.is_waiting = true;
                 self.queue.push_back(*id);
             }
         }
-        // Who holds as much only has to hear so, and goes first.
-        let known = &self.known;
+        // Followers that already hold `at` need only a confirmation and go first.
+        let known = &self.by_id;
         let is_behind = |id: &FollowerId| {
             known
                 .get(id)
@@ -101,58 +102,60 @@
         self.queue.make_contiguous().sort_by_key(is_behind);
     }
 
-    /// Who is told what now, of the state at a revision.
+    /// Takes the next deliveries of the state at `at`, grouped by content.
     pub fn next_deliveries(
         &mut self,
         now: Time,
         at: StoreRevision,
     ) -> Vec<(Vec<FollowerId>, FeedContent)> {
         self.in_flight
-            .retain(|_, sent| now.since(*sent) < DELIVERY_PATIENCE);
-        // What changed after the oldest revision held serves all that wait, and is made once: for each by itself it
-        // took a watcher on an eighth of a core 0.7 s (60 revisions, 35 kB).
-        let waiting = self.queue.iter().filter_map(|id| self.known.get(id)?.held);
+            .retain(|_, sent| now.since(*sent) < DELIVERY_TIMEOUT);
+        // One set of changes since the oldest held revision serves all queued followers. Encoding a
+        // set for each follower took a watcher with an eighth of a core 0.7 s (60 revisions, 35
+        // kB).
+        let waiting = self.queue.iter().filter_map(|id| self.by_id.get(id)?.held);
         let oldest = waiting.filter(|held| held.era() == at.era()).min();
-        let mut told: BTreeMap<Option<StoreRevision>, Vec<FollowerId>> = BTreeMap::new();
+        let mut deliveries: BTreeMap<Option<StoreRevision>, Vec<FollowerId>> = BTreeMap::new();
         while let Some(id) = self.queue.front().copied() {
-            let Some(follower) = self.known.get_mut(&id) else {
+            let Some(follower) = self.by_id.get_mut(&id) else {
                 self.queue.pop_front();
                 continue;
             };
             let is_behind = follower.held < Some(at);
-            if is_behind && self.in_flight.len() >= DELIVERIES_AT_ONCE {
+            if is_behind && self.in_flight.len() >= MAXIMUM_CONCURRENT_DELIVERIES {
                 break;
             }
             self.queue.pop_front();
-            let told_from = if is_behind {
-                // Of another copy of the store all objects are told.
+            let base = if is_behind {
+                // A follower that holds content of another era needs a snapshot.
                 let held = follower.held.filter(|held| held.era() == at.era());
                 held.and(oldest)
             } else {
                 follower.held
             };
-            told.entry(told_from).or_default().push(id);
+            deliveries.entry(base).or_default().push(id);
             follower.held = Some(at);
             follower.is_waiting = false;
             if is_behind {
                 self.in_flight.insert(id, now);
             }
         }
-        let told = told.into_iter();
-        told.map(|(held, followers)| (followers, content_for(held, at)))
+        let deliveries = deliveries.into_iter();
+        deliveries
+            .map(|(held, followers)| (followers, content_for(held, at)))
             .collect()
     }
 
-    /// When a follower that does not confirm gives way to the next; none while nobody waits.
+    /// When the oldest delivery times out and frees its slot; `None` while nobody is queued.
     pub fn next_deadline(&self) -> Option<Time> {
         let oldest = self.in_flight.values().min();
         oldest
             .filter(|_| !self.queue.is_empty())
-            .map(|sent| *sent + DELIVERY_PATIENCE)
+            .map(|sent| *sent + DELIVERY_TIMEOUT)
     }
 }
 
-/// What a follower that holds a revision lacks of a later state.
+/// What a follower lacks of the state at `at`.
 fn content_for(held: Option<StoreRevision>, at: StoreRevision) -> FeedContent {
     match held {
         Some(held) if held >= at => FeedContent::Unchanged,
--- a/crates/stairward-membership/src/feed/message.rs
+++ b/crates/stairward-membership/src/feed/message.rs
@@ -1,83 +1,88 @@
-//! What goes into a feed's decisions and what comes out.
+//! Events and effects of a feed.
 
 use stairward_types::{Duration, NodeId, StoreRevision, Time};
 
 use crate::configuration::PeerLocation;
 
-/// A node that follows this one, by the link over which it asked.
+/// A node that follows this one, identified by its link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FollowerId(pub u64);
 
-/// What an answer holds beside its revision.
+/// The content of an answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FeedContent {
     /// All objects.
     Snapshot(Vec<u8>),
-    /// What has changed since the answerer's last word.
+    /// The changes since the sender's previous message.
     Changes(Vec<u8>),
-    /// What has changed after a revision that the asker held.
+    /// The changes since a revision held by the receiver.
     ChangesSince {
-        /// That revision.
+        /// The base revision.
         since: StoreRevision,
         /// The changes.
         changes: Vec<u8>,
-        /// The digest of all objects as the answerer has them: equal once the changes are taken over.
+        /// Digest of all the sender's objects; the receiver's must match it once the changes are
+        /// applied.
         digest: u64,
     },
-    /// Nothing has changed since the answerer's last word.
+    /// Nothing has changed since the sender's previous message.
     Unchanged,
 }
 
-/// Something that has happened.
+/// Input to [`super::Feed::handle`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
-    /// The membership view; this node is in it.
+    /// The membership view, including this node.
     MembersChanged(Vec<PeerLocation>),
-    /// The store answered this node: its state at a revision.
+    /// The store answered this node with its state at a revision.
     StoreAnswered {
         /// The revision.
         at: StoreRevision,
-        /// A moment at which that state was the newest: not later than when the store read it.
+        /// A time at which that state was the newest; not later than the store's read.
         current_at: Time,
-        /// What came with it.
+        /// The content.
         content: FeedContent,
     },
-    /// The store gave this node a listing that may be seconds old: it serves to begin with, and confirms nothing.
+    /// The store returned a listing that may be seconds old. It provides initial content and
+    /// confirms nothing.
     StaleListing {
         /// The revision of the listing.
         at: StoreRevision,
         /// All objects.
         objects: Vec<u8>,
     },
-    /// A peer told what it last read, of which no revision is known: it serves while nothing else is held.
+    /// A peer sent the objects that it last read, without a revision. They are used only while
+    /// nothing else is held.
     PeerSnapshot(Vec<u8>),
-    /// A watcher that this node follows told of its state.
+    /// A watcher that this node follows sent its state.
     SourceAnswered {
         /// The watcher.
         source: NodeId,
         /// The revision of its state.
         at: StoreRevision,
-        /// How long ago the store confirmed that state, but for the time that the word was on its way.
+        /// How long ago the store confirmed that state, not counting the transit time of this
+        /// message.
         age: Duration,
-        /// A moment at which that state was the newest, however long the word was on its way; none where none is known.
+        /// A time at which that state was the newest, regardless of the transit time; `None` when
+        /// unknown.
         current_at: Option<Time>,
-        /// What came with it.
+        /// The content.
         content: FeedContent,
     },
-    /// The link to a watcher has ended.
+    /// The link to a watcher was lost.
     SourceLost(NodeId),
-    /// What was taken over did not give the objects that its sender has: something is missing here.
+    /// The objects do not match the sender's digest after content was applied: changes are missing.
     ContentMismatch,
-    /// A node wants to follow this one.
+    /// A node asks to follow this one.
     FollowRequested {
         /// The node.
         follower: FollowerId,
-        /// The revision that it holds; none where it holds nothing.
+        /// The revision that it holds; `None` when it holds nothing.
         known: Option<StoreRevision>,
     },
-    /// A node no longer follows this one.
+    /// A node stopped following this one.
     FollowerLeft(FollowerId),
-    /// A follower has taken something over, from this watcher or from another.
+    /// A follower applied content from this watcher or from another one.
     FollowerAcknowledged {
         /// The follower.
         follower: FollowerId,
@@ -88,53 +93,54 @@
     Tick,
 }
 
-/// Something to do.
+/// Output of [`super::Feed::handle`], to be carried out by the driver.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Effect {
-    /// Begin to read the store, or end it.
+    /// Start (`true`) or stop reading the store.
     ReadStore(bool),
-    /// Ask a watcher to be followed.
+    /// Ask a watcher to push to this node.
     Follow {
         /// The watcher.
         source: NodeId,
-        /// The revision held here.
+        /// The revision held by this node.
         known: Option<StoreRevision>,
     },
-    /// Tell a watcher that it is no longer followed.
+    /// Tell a watcher that this node no longer follows it.
     Unfollow(NodeId),
-    /// Take content over: replace all objects, or change some.
+    /// Apply content: replace all objects, or change some.
     Apply {
-        /// The revision that it leads to; none for a peer's document, of which none is known.
+        /// The resulting revision; `None` for a peer's snapshot, which has none.
         at: Option<StoreRevision>,
-        /// What to take over.
+        /// The content to apply.
         content: FeedContent,
-        /// What it changes came about after this moment, at which what was held before was the newest. None where no
-        /// such moment is known: it may have come about at any time.
+        /// The changes were made after this time, at which the previously held content was the
+        /// newest. `None` when no such time is known; they may then be of any age.
         since: Option<Time>,
     },
-    /// The store came back from an older copy a while ago, and whoever wrote what it lost has had the time to write it
-    /// again: from now on what it shows is all that counts.
+    /// The time given to writers to rewrite what the store lost in a restore is over: the store's
+    /// content alone counts from now on.
     RestoreSettled,
-    /// The store answered with content of a lower revision than what is held, and it is left out. Told once until
-    /// content is taken over again.
+    /// The store answered with an older revision than the held one, and its content was ignored.
+    /// Reported once until content is applied again.
     OlderContentIgnored {
         /// The revision of the answer.
         at: StoreRevision,
         /// The revision that is held.
         held: StoreRevision,
     },
-    /// Tell followers of the state here. [`FeedContent::Snapshot`] comes empty and stands for all objects held;
-    /// [`FeedContent::ChangesSince`] comes empty and stands for those changed after its revision.
+    /// Push the state of this node to followers. [`FeedContent::Snapshot`] is passed empty and
+    /// stands for all held objects; [`FeedContent::ChangesSince`] is passed empty and stands for
+    /// the objects changed since its base revision.
     Push {
-        /// Whom to tell.
+        /// The receivers.
         followers: Vec<FollowerId>,
         /// The revision of the state.
         at: StoreRevision,
         /// How long ago the store confirmed it.
         age: Duration,
-        /// A moment at which it was the newest; none where none is known.
+        /// A time at which it was the newest; `None` when unknown.
         current_at: Option<Time>,
-        /// What to send along.
+        /// The content to send.
         content: FeedContent,
     },
 }
--- a/crates/stairward-membership/src/feed/mod.rs
+++ b/crates/stairward-membership/src/feed/mod.rs
@@ -1,15 +1,17 @@
-//! Following objects of the metadata store through a few watchers.
+//! Distribution of the metadata store's objects through a few watchers.
 //!
-//! A *feed* is all objects of one kind, as the store holds them at a revision. In each region the members
-//! that rank first are its watchers: they watch the store and push what changes to their followers, together
-//! with word that nothing else has changed. Every other node follows two watchers, and reads the store itself
-//! only while neither has confirmed the feed for a while: watchers may be dead, cut off, or turned away by a
-//! store that serves others. In a region of a few nodes every node is a watcher.
+//! A *feed* consists of all objects of one kind, as the store holds them at a revision. The
+//! first-ranked members of each region are its watchers: they watch the store and push changes to
+//! their followers, together with confirmations that nothing else has changed. Every other node
+//! follows two watchers and reads the store directly only while neither has confirmed the feed for
+//! some time, because the watchers may have failed, be partitioned, or be rejected by an overloaded
+//! store. In a region of only a few nodes every node is a watcher.
 //!
-//! A node that starts takes a listing that may be seconds old, which costs the store little, and begins to read
-//! only once its view of the others has settled or its watchers have not confirmed the feed in time.
+//! A starting node uses a listing that may be seconds old, which is cheap for the store. It reads
+//! the store directly only once its membership view has settled or its watchers have not confirmed
+//! the feed in time.
 //!
-//! [`Feed`] makes the decisions of one node for one feed. It does no I/O, and the objects pass through it as
+//! [`Feed`] is the state machine of one node for one feed. It does no I/O and treats the objects as
 //! opaque bytes.
 
 mod follower;
--- a/crates/stairward-membership/src/feed/restored_view.rs
+++ b/crates/stairward-membership/src/feed/restored_view.rs
@@ -1,26 +1,28 @@
-//! What a node goes on with while a store that came back from an older copy shows less than the node knew.
+//! The objects a node uses after the store was restored from an older copy that lacks known
+//! changes.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use stairward_types::StoreRevision;
 
-/// Something that the store holds under a name.
+/// A named object of the store.
 pub trait StoreObject: Clone {
     /// The revision of its last change.
     fn revision(&self) -> StoreRevision;
 
-    /// Whether it says the same as another, whenever either was written.
+    /// Whether it has the same content as another, regardless of their revisions.
     fn has_same_content(&self, other: &Self) -> bool;
 }
 
-/// What a node knew of objects and a restored store does not show. Those who wrote it write it again within seconds; until
-/// then the store's older word would take back what was acknowledged: a back end that leaves would read as staying, one
-/// that has ended would be listed again, an evacuation would be missing.
+/// Objects that a node knows and a restored store lacks or shows in an older state. Their writers
+/// rewrite them within seconds. Until then the restored content would revert acknowledged changes:
+/// a leaving back end would appear to stay, a stopped one would be listed again, and an evacuation
+/// would be missing.
 #[derive(Debug)]
 pub struct RestoredView<T> {
-    /// Which copy of the store was listed last; none before the first.
+    /// Era (the copy of the store) of the last listing; `None` before the first.
     era: Option<u64>,
-    /// What is known of an object, in place of what the store shows; none where it is known to be gone.
+    /// Known objects that override the store's; `None` for an object known to be deleted.
     retained: BTreeMap<String, Option<T>>,
 }
 
@@ -34,9 +36,9 @@
 }
 
 impl<T: StoreObject> RestoredView<T> {
-    /// Takes in that all objects are listed anew, by the copy of the store of this era, or by a peer, of which no copy is
-    /// known. `known` are the objects before, `gone` the names of those that had gone lately. Returns whether the store
-    /// has come back from an older copy.
+    /// Applies a new listing of all objects. `era` identifies the copy of the store, `None` for a
+    /// listing from a peer. `known` holds the objects before, `gone` the names of recently deleted
+    /// ones. Returns whether the store was restored from an older copy.
     pub fn apply_listing(
         &mut self,
         era: Option<u64>,
@@ -58,7 +60,7 @@
         is_restored
     }
 
-    /// Which copy of the store was listed last; none before the first.
+    /// Era of the last listing; `None` before the first.
     #[must_use]
     pub const fn era(&self) -> Option<u64> {
         self.era
@@ -87,28 +89,28 @@
         }
     }
 
-    /// The object of this name was written, or removed, since the store came back.
+    /// Records that an object was written or deleted since the restore.
     pub fn mark_written(&mut self, name: &str) {
         self.retained.remove(name);
     }
 
-    /// Nothing more is written again: what the store shows counts. Returns the names that this changes.
+    /// Drops all retained objects once no more rewrites are expected. Returns their names.
     pub fn clear_retained(&mut self) -> BTreeSet<String> {
         std::mem::take(&mut self.retained).into_keys().collect()
     }
 
-    /// Whether all objects are to be seen as the store shows them.
+    /// Whether the effective objects are exactly those of the store.
     #[must_use]
     pub fn matches_store(&self) -> bool {
         self.retained.is_empty()
     }
 
-    /// The names of the objects that are not to be seen as the store shows them.
+    /// The names of the objects that override the store's.
     pub fn retained_names(&self) -> impl ExactSizeIterator<Item = &str> {
         self.retained.keys().map(String::as_str)
     }
 
-    /// The objects as they are to be seen.
+    /// The store's objects with the retained ones applied.
     #[must_use]
     pub fn effective_objects(&self, listed: &BTreeMap<String, T>) -> BTreeMap<String, T> {
         let mut effective = listed.clone();
@@ -121,7 +123,7 @@
         effective
     }
 
-    /// The names of objects that the store shows and that are known to be gone.
+    /// The names of objects that the store lists but that are known to be deleted.
     fn known_gone(&self) -> impl Iterator<Item = &str> {
         let gone = self
             .retained
@@ -130,7 +132,7 @@
         gone.map(|(name, _)| name.as_str())
     }
 
-    /// The objects as they were seen until now, and forgets what was kept.
+    /// Applies the retained objects to a listing and clears them.
     fn take_effective_objects(&mut self, listed: BTreeMap<String, T>) -> BTreeMap<String, T> {
         let mut effective = listed;
         for (name, retained) in std::mem::take(&mut self.retained) {
@@ -143,8 +145,8 @@
     }
 }
 
-/// Whether an object was certainly written since the store came back: its revision is one that the copy did not have. A
-/// lower one than known may be either, and counts as what the copy had.
+/// Whether an object was certainly written after the restore, because its revision is newer than
+/// any that the copy can contain. A lower revision is ambiguous and is treated as part of the copy.
 fn is_written_again<T: StoreObject>(known: &T, listed: &T) -> bool {
     listed.revision().revision() >= known.revision().revision()
 }
--- a/crates/stairward-membership/src/feed/retry.rs
+++ b/crates/stairward-membership/src/feed/retry.rs
@@ -1,39 +1,39 @@
-//! How soon a store that did not answer is tried again.
+//! Backoff for reads of a store that does not answer.
 
 use stairward_types::Duration;
 
-/// Pause after the first try without an answer.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
-/// Longest pause of a watcher, which others hear from.
-const LONGEST_PAUSE_OF_WATCHER: Duration = Duration::from_millis(400);
-/// Longest pause of any other node: hundreds of them try a store that is down, each try is priced, and their
-/// watchers tell them when it is back. Shorter than the shortest `contactMs` of a deployment (4 s) less the time
-/// that a configuration may take there.
-const LONGEST_PAUSE_OF_FOLLOWER: Duration = Duration::from_millis(2_000);
+/// Delay after the first failure.
+const INITIAL_DELAY: Duration = Duration::from_millis(100);
+/// Maximum delay of a watcher, on which followers depend.
+const MAXIMUM_WATCHER_DELAY: Duration = Duration::from_millis(400);
+/// Maximum delay of other nodes. During an outage hundreds of them retry, every call is billed, and
+/// their watchers notify them when the store is back. Must be shorter than the smallest `contactMs`
+/// of a deployment (4 s) minus the time a configuration may take to arrive.
+const MAXIMUM_FOLLOWER_DELAY: Duration = Duration::from_millis(2_000);
 
-/// Tries of one reader since the store last answered it.
+/// Retry state of one reader since the store last answered it.
 #[derive(Debug, Clone, Default)]
 pub struct StoreRetry {
     failures: u32,
 }
 
 impl StoreRetry {
-    /// The store answered.
+    /// Resets the delay after an answer.
     pub fn record_success(&mut self) {
         self.failures = 0;
     }
 
-    /// The store did not answer, or turned this node away: the pause before the next try. `jitter`, from 0 to 1,
-    /// keeps the nodes that failed together apart.
+    /// Records a failed or rejected read and returns the delay before the next one. `jitter`, from
+    /// 0 to 1, spreads nodes that failed at the same time.
     pub fn record_failure(&mut self, is_watcher: bool, jitter: f64) -> Duration {
-        let longest = if is_watcher {
-            LONGEST_PAUSE_OF_WATCHER
+        let maximum = if is_watcher {
+            MAXIMUM_WATCHER_DELAY
         } else {
-            LONGEST_PAUSE_OF_FOLLOWER
+            MAXIMUM_FOLLOWER_DELAY
         };
-        let doubled = FIRST_PAUSE * 2_u32.saturating_pow(self.failures);
+        let delay = INITIAL_DELAY * 2_u32.saturating_pow(self.failures);
         self.failures = self.failures.saturating_add(1);
-        // Three quarters to all of it.
-        doubled.min(longest).mul_f64(0.75 + jitter / 4.0)
+        // Between 75% and 100% of the delay.
+        delay.min(maximum).mul_f64(0.75 + jitter / 4.0)
     }
 }
