--- a/crates/stairward-membership/benches/holders.rs
+++ b/crates/stairward-membership/benches/holders.rs
@@ -1,5 +1,5 @@
-//! Which nodes hold the connections to many services: one member that comes and goes, and the whole view ranked at
-//! once, which is what each change cost before changes were ranked by themselves.
+//! Ranking of holders for many services: incrementally for one member that leaves and rejoins, and
+//! from scratch for the whole view, which every change required before rankings were incremental.
 
 use std::collections::BTreeMap;
 use std::hint::black_box;
@@ -8,7 +8,8 @@
 use stairward_membership::{Candidate, HolderRanking};
 use stairward_types::{NodeId, RegionName, ServiceName, ZoneName};
 
-/// Nodes and services of a small site, of one of hundreds of machines, and of the size that is built for.
+/// Number of nodes and services of a small site, of sites with hundreds of machines, and of the
+/// largest supported size.
 const SIZES: [(u64, usize); 7] = [
     (30, 8),
     (300, 8),
@@ -37,7 +38,7 @@
         .collect()
 }
 
-fn show(ranking: &mut HolderRanking, members: &[Member]) {
+fn update_members(ranking: &mut HolderRanking, members: &[Member]) {
     let candidates = members.iter().map(|(node, region, zone)| Candidate {
         node: *node,
         region,
@@ -57,17 +58,17 @@
             bencher.iter(|| {
                 let mut ranking = HolderRanking::default();
                 ranking.set_services(&counts);
-                show(&mut ranking, &members);
+                update_members(&mut ranking, &members);
                 ranking
             });
         });
         let mut ranking = HolderRanking::default();
         ranking.set_services(&counts);
-        show(&mut ranking, &members);
+        update_members(&mut ranking, &members);
         group.bench_function(BenchmarkId::new("one comes and goes", &size), |bencher| {
             bencher.iter(|| {
-                show(&mut ranking, &members[1..]);
-                show(&mut ranking, &members);
+                update_members(&mut ranking, &members[1..]);
+                update_members(&mut ranking, &members);
             });
         });
     }
--- a/crates/stairward-membership/src/holder_ranking.rs
+++ b/crates/stairward-membership/src/holder_ranking.rs
@@ -1,6 +1,7 @@
-//! The holders of many services, kept as members come and go. A fleet that starts changes its view hundreds of times;
-//! ranking every member for every service each time took 38% of the processor time of 300 nodes then (`perf`, 8,000
-//! samples), so only what a change touches is ranked anew.
+//! Incremental ranking of the members that hold connections for each service. A starting fleet
+//! changes its view hundreds of times. Ranking every member for every service each time took 38% of
+//! the processor time of 300 nodes (`perf`, 8,000 samples), so only rankings affected by a change
+//! are recomputed.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -13,36 +14,37 @@
 /// A zone with members, by region and name.
 type Place = (RegionName, ZoneName);
 
-/// A member by how high it scores for a service (rendezvous hashing; Thaler and Ravishankar, 1998); the smallest is
-/// preferred.
+/// A member's score for a service (rendezvous hashing; Thaler and Ravishankar, 1998). The smallest
+/// ranks first.
 type Score = (Reverse<u64>, NodeId);
 
-/// The members that hold a service's connections when not all can, for each service: at most so many, taken from the
-/// zones in turn, in each zone by hash. Every node with the same view names the same ones, and when a member comes
-/// or goes few of them change.
+/// For each service, the members that hold its connections when not all members can. Up to a
+/// configured number of holders is taken from the zones in round-robin order, by hash within each
+/// zone. Nodes with equal views select the same holders, and a joining or leaving member changes
+/// few of them.
 #[derive(Debug, Clone, Default)]
 pub struct HolderRanking {
-    /// The members that may hold connections; those that leave hold nothing.
+    /// The members that may hold connections; leaving members are excluded.
     members: BTreeMap<NodeId, Place>,
     zones: BTreeMap<Place, BTreeSet<NodeId>>,
-    services: BTreeMap<ServiceName, Ranked>,
+    services: BTreeMap<ServiceName, ServiceRanking>,
 }
 
-/// What is kept of one service.
+/// The ranking for one service.
 #[derive(Debug, Clone)]
-struct Ranked {
-    /// Holders that it has at most.
+struct ServiceRanking {
+    /// Maximum number of holders.
     count: usize,
-    /// Members of a zone that can be among the holders at most.
-    turns: usize,
-    /// The best members of each zone, so many at most.
+    /// Maximum number of holders in a zone.
+    per_zone: usize,
+    /// The first `per_zone` members of each zone.
     best: BTreeMap<Place, Vec<Score>>,
-    /// Best first.
+    /// The holders, best rank first.
     holders: Vec<NodeId>,
 }
 
 impl HolderRanking {
-    /// The holders of a service, best first; none for a service that is not known.
+    /// The holders of a service, best rank first; empty for an unknown service.
     #[must_use]
     pub fn holders(&self, service: &ServiceName) -> &[NodeId] {
         self.services
@@ -50,8 +52,8 @@
             .map_or(&[], |ranked| &ranked.holders)
     }
 
-    /// Takes the services whole, each with the number of holders that it has at most. Returns those that are new or
-    /// whose number has changed.
+    /// Replaces all services, each with its maximum number of holders. Returns the services that
+    /// are new or whose number has changed.
     pub fn set_services(&mut self, counts: &BTreeMap<ServiceName, usize>) -> BTreeSet<ServiceName> {
         self.services
             .retain(|service, _| counts.contains_key(service));
@@ -64,7 +66,7 @@
         changed
     }
 
-    /// Takes in how many holders a service has at most. Returns whether that is news.
+    /// Sets the maximum number of holders of a service. Returns whether it has changed.
     pub fn set_service(&mut self, service: &ServiceName, count: usize) -> bool {
         let known = self.services.get(service);
         if known.is_some_and(|ranked| ranked.count == count) {
@@ -75,13 +77,14 @@
         true
     }
 
-    /// Takes the members whole. Returns the services that have other holders now, or one in another place.
+    /// Replaces all members. Returns the services whose holders have changed or have moved to
+    /// another zone.
     pub fn set_members<'a>(
         &mut self,
         members: impl IntoIterator<Item = Candidate<'a>>,
     ) -> BTreeSet<ServiceName> {
-        let stays = members.into_iter().filter(|member| !member.leaving);
-        let present: BTreeMap<NodeId, (&RegionName, &ZoneName)> = stays
+        let active = members.into_iter().filter(|member| !member.leaving);
+        let present: BTreeMap<NodeId, (&RegionName, &ZoneName)> = active
             .map(|member| (member.node, (member.region, member.zone)))
             .collect();
         let is_present = |node: &NodeId, place: &Place| {
@@ -89,25 +92,25 @@
                 .get(node)
                 .is_some_and(|(region, zone)| **region == place.0 && **zone == place.1)
         };
-        let gone: Vec<_> = self
+        let removed: Vec<_> = self
             .members
             .iter()
             .filter(|(node, place)| !is_present(node, place))
             .map(|(node, place)| (*node, place.clone()))
             .collect();
-        for (node, place) in &gone {
+        for (node, place) in &removed {
             self.remove(*node, place);
         }
-        let come: Vec<_> = present
+        let joined: Vec<_> = present
             .iter()
             .filter(|(node, _)| !self.members.contains_key(*node))
             .map(|(node, (region, zone))| (*node, ((*region).clone(), (*zone).clone())))
             .collect();
-        for (node, place) in &come {
+        for (node, place) in &joined {
             self.members.insert(*node, place.clone());
             self.zones.entry(place.clone()).or_default().insert(*node);
         }
-        self.rank_changes(&gone, &come)
+        self.rerank(&removed, &joined)
     }
 
     fn remove(&mut self, node: NodeId, place: &Place) {
@@ -120,27 +123,27 @@
         }
     }
 
-    fn rank_changes(
+    fn rerank(
         &mut self,
-        gone: &[(NodeId, Place)],
-        come: &[(NodeId, Place)],
+        removed: &[(NodeId, Place)],
+        joined: &[(NodeId, Place)],
     ) -> BTreeSet<ServiceName> {
-        if gone.is_empty() && come.is_empty() {
+        if removed.is_empty() && joined.is_empty() {
             return BTreeSet::new();
         }
         let sizes: Vec<usize> = self.zones.values().map(BTreeSet::len).collect();
-        // Few services differ in their number of holders.
-        let mut turns_by_count = BTreeMap::new();
+        // Most services have the same number of holders.
+        let mut per_zone_by_count = BTreeMap::new();
         let mut changed = BTreeSet::new();
         for (service, ranked) in &mut self.services {
-            let turns = *turns_by_count
+            let per_zone = *per_zone_by_count
                 .entry(ranked.count)
-                .or_insert_with(|| turns_for(&sizes, ranked.count));
-            let has_changed = if turns == ranked.turns {
-                ranked.change(service, &self.zones, gone, come)
+                .or_insert_with(|| required_per_zone(&sizes, ranked.count));
+            let has_changed = if per_zone == ranked.per_zone {
+                ranked.change(service, &self.zones, removed, joined)
             } else {
                 let before = std::mem::replace(ranked, rank(&self.zones, service, ranked.count));
-                before.holders != ranked.holders || ranked.holds_any(come)
+                before.holders != ranked.holders || ranked.holds_any(joined)
             };
             if has_changed {
                 changed.insert(service.clone());
@@ -150,16 +153,20 @@
     }
 }
 
-fn rank(zones: &BTreeMap<Place, BTreeSet<NodeId>>, service: &ServiceName, count: usize) -> Ranked {
+fn rank(
+    zones: &BTreeMap<Place, BTreeSet<NodeId>>,
+    service: &ServiceName,
+    count: usize,
+) -> ServiceRanking {
     let sizes: Vec<usize> = zones.values().map(BTreeSet::len).collect();
-    let turns = turns_for(&sizes, count);
+    let per_zone = required_per_zone(&sizes, count);
     let best = zones
         .iter()
-        .map(|(place, zone)| (place.clone(), best_of(zone, service, turns)))
+        .map(|(place, zone)| (place.clone(), best_of(zone, service, per_zone)))
         .collect();
-    let mut ranked = Ranked {
+    let mut ranked = ServiceRanking {
         count,
-        turns,
+        per_zone,
         best,
         holders: Vec::new(),
     };
@@ -167,49 +174,51 @@
     ranked
 }
 
-/// The members of a zone that score highest for a service, best first.
-fn best_of(zone: &BTreeSet<NodeId>, service: &ServiceName, turns: usize) -> Vec<Score> {
-    let mut best = Vec::with_capacity(turns + 1);
+/// The `per_zone` members of a zone with the highest scores for a service, best rank first.
+fn best_of(zone: &BTreeSet<NodeId>, service: &ServiceName, per_zone: usize) -> Vec<Score> {
+    let mut best = Vec::with_capacity(per_zone + 1);
     for node in zone {
-        insert(&mut best, score_of(service, *node), turns);
+        insert(&mut best, score_of(service, *node), per_zone);
     }
     best
 }
 
-/// Takes a member among the best of its zone, if it is one of so many. Returns whether it is.
-fn insert(best: &mut Vec<Score>, score: Score, turns: usize) -> bool {
-    let is_full = best.len() >= turns;
+/// Inserts a member into the ranking of its zone if it is among the first `per_zone`. Returns
+/// whether it is.
+fn insert(best: &mut Vec<Score>, score: Score, per_zone: usize) -> bool {
+    let is_full = best.len() >= per_zone;
     if is_full && best.last().is_none_or(|last| score > *last) {
         return false;
     }
     let place = best.partition_point(|known| *known < score);
     best.insert(place, score);
-    best.truncate(turns);
+    best.truncate(per_zone);
     true
 }
 
-impl Ranked {
-    /// Takes members out and in. Returns whether there are other holders now, or one in another place.
+impl ServiceRanking {
+    /// Applies removed and joined members. Returns whether the holders have changed or have moved
+    /// to another zone.
     fn change(
         &mut self,
         service: &ServiceName,
         zones: &BTreeMap<Place, BTreeSet<NodeId>>,
-        gone: &[(NodeId, Place)],
-        come: &[(NodeId, Place)],
+        removed: &[(NodeId, Place)],
+        joined: &[(NodeId, Place)],
     ) -> bool {
-        let mut touched = false;
-        let mut to_rank_anew = BTreeSet::new();
-        for (node, place) in gone {
+        let mut is_affected = false;
+        let mut to_rerank = BTreeSet::new();
+        for (node, place) in removed {
             let best = self.best.get(place);
             if best.is_some_and(|best| best.iter().any(|(_, known)| known == node)) {
-                to_rank_anew.insert(place);
+                to_rerank.insert(place);
             }
         }
-        for place in to_rank_anew {
-            touched = true;
+        for place in to_rerank {
+            is_affected = true;
             match zones.get(place) {
                 Some(zone) => {
-                    let best = best_of(zone, service, self.turns);
+                    let best = best_of(zone, service, self.per_zone);
                     self.best.insert(place.clone(), best);
                 }
                 None => {
@@ -217,52 +226,56 @@
                 }
             }
         }
-        for (node, place) in come {
+        for (node, place) in joined {
             let score = score_of(service, *node);
             let best = self.best.entry(place.clone()).or_default();
-            // A zone that was ranked anew has it already.
+            // A reranked zone already contains it.
             if !best.contains(&score) {
-                touched |= insert(best, score, self.turns);
+                is_affected |= insert(best, score, self.per_zone);
             }
         }
-        if !touched {
+        if !is_affected {
             return false;
         }
         let before = std::mem::take(&mut self.holders);
         self.merge();
-        before != self.holders || self.holds_any(come)
+        before != self.holders || self.holds_any(joined)
     }
 
     fn merge(&mut self) {
-        self.holders = merge_in_turn(self.best.values(), self.count);
+        self.holders = merge_round_robin(self.best.values(), self.count);
     }
 
-    /// Whether one of these is a holder: it may have come back in another zone.
+    /// Whether any of these members is a holder; it may have rejoined in another zone.
     fn holds_any(&self, members: &[(NodeId, Place)]) -> bool {
         members.iter().any(|(node, _)| self.holders.contains(node))
     }
 }
 
-/// How high a member scores for a service.
+/// The score of a member for a service.
 fn score_of(service: &ServiceName, node: NodeId) -> Score {
     let hash = xxh3_64_with_seed(service.as_str().as_bytes(), node.0);
     (Reverse(hash), node)
 }
 
-/// How many members of each zone are needed at most for so many holders, by the zones' sizes.
-fn turns_for(sizes: &[usize], count: usize) -> usize {
+/// Number of members needed from each zone at most to fill `count` holders, given the zone sizes.
+fn required_per_zone(sizes: &[usize], count: usize) -> usize {
     let largest = sizes.iter().copied().max().unwrap_or(0);
-    let reached = |turns: usize| -> usize {
-        let taken = sizes.iter().map(|size| (*size).min(turns));
+    let total = |per_zone: usize| -> usize {
+        let taken = sizes.iter().map(|size| (*size).min(per_zone));
         taken.sum()
     };
     (0..largest)
-        .find(|turns| reached(*turns) >= count)
+        .find(|per_zone| total(*per_zone) >= count)
         .unwrap_or(largest)
 }
 
-/// The holders out of the best members of each zone: the best of all zones first, then the second of each.
-fn merge_in_turn<'a>(zones: impl IntoIterator<Item = &'a Vec<Score>>, count: usize) -> Vec<NodeId> {
+/// Selects the holders from the rankings of the zones: the first of each zone, then the second of
+/// each.
+fn merge_round_robin<'a>(
+    zones: impl IntoIterator<Item = &'a Vec<Score>>,
+    count: usize,
+) -> Vec<NodeId> {
     let mut ranked = Vec::new();
     for best in zones {
         ranked.extend(best.iter().copied().enumerate());
--- a/crates/stairward-membership/src/ownership.rs
+++ b/crates/stairward-membership/src/ownership.rs
@@ -1,36 +1,37 @@
-//! Which nodes serve a back end: rendezvous hashing (Thaler and Ravishankar, 1998) over the members.
+//! Owner selection for back ends by rendezvous hashing (Thaler and Ravishankar, 1998) of the
+//! members.
 //!
-//! Every node with the same view names the same owner, and when a member comes or goes only the back
-//! ends it ranks first for move.
+//! Nodes with equal views select the same owner. When a member joins or leaves, only the back ends
+//! for which it ranks first change owner.
 
 use std::cmp::Reverse;
 
 use stairward_types::{BackendId, NodeId, RegionName, ZoneName};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// What the ranking needs to know of a member believed alive.
+/// A live member as input to the ranking.
 #[derive(Debug, Clone, Copy)]
 pub struct Candidate<'a> {
-    /// Its number.
+    /// The member's number.
     pub node: NodeId,
-    /// Its region.
+    /// The member's region.
     pub region: &'a RegionName,
-    /// Its zone.
+    /// The member's zone.
     pub zone: &'a ZoneName,
-    /// Whether it has announced a planned stop. It ranks behind all members that have not.
+    /// Whether it has announced a planned stop. Leaving members rank behind all others.
     pub leaving: bool,
 }
 
-/// The first two members for a back end.
+/// The first two members in the ranking for a back end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Ranking {
-    /// Ranks first.
+    /// The first member.
     pub owner: NodeId,
-    /// Ranks second; none when there is only one member.
+    /// The second member; `None` if there is only one.
     pub standby: Option<NodeId>,
 }
 
-/// How far a member stands from a back end. Earlier variants are preferred.
+/// Distance between a member and a back end. Earlier variants are preferred.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Distance {
     SameZone,
@@ -38,11 +39,11 @@
     Elsewhere,
 }
 
-/// Orders candidates; the smallest is preferred.
+/// Sort key of a candidate; the smallest ranks first.
 type Rank = (bool, Distance, Reverse<u64>, NodeId);
 
-/// Ranks the members for a back end: those not leaving first, then by nearness, then by hash.
-/// None without members.
+/// Ranks the members for a back end: members that are not leaving first, then by distance, then by
+/// hash. `None` without members.
 #[must_use]
 pub fn rank_owners<'a>(
     members: impl IntoIterator<Item = Candidate<'a>>,
