--- a/crates/stairward-membership/src/broadcast.rs
+++ b/crates/stairward-membership/src/broadcast.rs
@@ -1,92 +1,94 @@
-//! News waiting to be passed on, each piece a bounded number of times (SWIM, section 4.1).
+//! Queue of updates to disseminate, each a bounded number of times (SWIM, section 4.1).
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Pieces of news kept at most; beyond that the one sent most often goes.
+/// Maximum queue length. Beyond it, the most-transmitted update is dropped.
 const CAPACITY: usize = 4_096;
-/// With each so many pieces waiting, each is sent fewer times.
-const FLOOD: usize = 512;
-/// Each piece is sent at least so often, however many wait.
-const MINIMUM_LIMIT: u32 = 3;
-
-/// A piece of news.
-pub(crate) trait News: Clone {
-    /// What it is about. Newer news of the same replaces older.
+/// The transmission limit is divided by one plus the number of times this length fits into the
+/// queue.
+const OVERLOAD_THRESHOLD: usize = 512;
+/// Minimum number of transmissions of each update, regardless of the queue length.
+const MINIMUM_TRANSMISSIONS: u32 = 3;
+
+/// An update to disseminate.
+pub(crate) trait Broadcast: Clone {
+    /// The subject of the update. A newer update replaces an older one with the same key.
     type Key: Ord + Clone;
 
-    /// What it is about.
     fn key(&self) -> Self::Key;
 
-    /// How long it is in a datagram, in bytes.
+    /// Encoded length in a datagram, in bytes.
     fn encoded_length(&self) -> usize;
 }
 
 #[derive(Debug, Clone)]
-struct Waiting<N> {
-    news: N,
+struct Queued<N> {
+    item: N,
     sent: u32,
     number: u64,
 }
 
-/// News in the order in which it should be sent: what was sent least often first, then the newest.
+/// Updates in sending order: fewest transmissions first, then newest first.
 #[derive(Debug, Clone)]
-pub(crate) struct BroadcastQueue<N: News> {
-    waiting: BTreeMap<N::Key, Waiting<N>>,
+pub(crate) struct BroadcastQueue<N: Broadcast> {
+    queued: BTreeMap<N::Key, Queued<N>>,
     order: BTreeSet<(u32, Reverse<u64>, N::Key)>,
     next_number: u64,
 }
 
-impl<N: News> Default for BroadcastQueue<N> {
+impl<N: Broadcast> Default for BroadcastQueue<N> {
     fn default() -> Self {
         Self {
-            waiting: BTreeMap::new(),
+            queued: BTreeMap::new(),
             order: BTreeSet::new(),
             next_number: 0,
         }
     }
 }
 
-impl<N: News> BroadcastQueue<N> {
+impl<N: Broadcast> BroadcastQueue<N> {
     pub fn is_empty(&self) -> bool {
-        self.waiting.is_empty()
+        self.queued.is_empty()
     }
 
-    /// Adds news, in place of older news of the same.
-    pub fn push(&mut self, news: N) {
-        self.push_as_sent(news, 0);
+    /// Adds an update, replacing an older one with the same key.
+    pub fn push(&mut self, item: N) {
+        self.push_with_count(item, 0);
     }
 
-    /// Adds news, in place of older news of the same, as if it had been sent so often already.
-    pub fn push_as_sent(&mut self, news: N, sent: u32) {
-        self.remove(&news.key());
-        if self.waiting.len() >= CAPACITY {
+    /// Adds an update as if it had been sent `sent` times, replacing an older one with the same
+    /// key.
+    pub fn push_with_count(&mut self, item: N, sent: u32) {
+        self.remove(&item.key());
+        if self.queued.len() >= CAPACITY {
             self.drop_most_sent();
         }
-        self.insert(news, sent);
+        self.insert(item, sent);
     }
 
-    /// Takes news for one datagram, as much as fits into `room` bytes, and counts it as sent. What
-    /// was sent `limit` times is dropped; in a flood of news the limit is lower.
+    /// Takes as many updates as fit into `room` bytes of a datagram and counts their transmission.
+    /// Updates sent `limit` times are dropped; the limit is lower while the queue is long.
     pub fn take(&mut self, room: &mut usize, limit: u32) -> Vec<N> {
-        let limit = self.limit_in_flood(limit);
+        let limit = self.limit_under_load(limit);
         let keys = self.choose(room);
         keys.into_iter()
             .filter_map(|key| self.count_as_sent(&key, limit))
             .collect()
     }
 
-    /// What misses a node in a flood reaches it when views are compared.
-    fn limit_in_flood(&self, limit: u32) -> u32 {
-        let floods = u32::try_from(self.waiting.len() / FLOOD).unwrap_or(u32::MAX);
-        let lowered = limit / floods.saturating_add(1);
-        lowered.max(MINIMUM_LIMIT.min(limit))
+    /// Lowers the limit while the queue is long. Nodes that miss an update receive it when views
+    /// are compared.
+    fn limit_under_load(&self, limit: u32) -> u32 {
+        let overload = u32::try_from(self.queued.len() / OVERLOAD_THRESHOLD).unwrap_or(u32::MAX);
+        let lowered = limit / overload.saturating_add(1);
+        lowered.max(MINIMUM_TRANSMISSIONS.min(limit))
     }
 
     fn choose(&self, room: &mut usize) -> Vec<N::Key> {
         let mut keys = Vec::new();
         for (_, _, key) in &self.order {
-            let length = self.waiting[key].news.encoded_length();
+            let length = self.queued[key].item.encoded_length();
             if length > *room {
                 break;
             }
@@ -97,32 +99,32 @@
     }
 
     fn count_as_sent(&mut self, key: &N::Key, limit: u32) -> Option<N> {
-        let Waiting { news, sent, .. } = self.remove(key)?;
+        let Queued { item, sent, .. } = self.remove(key)?;
         let sent = sent + 1;
         if sent < limit {
-            self.insert(news.clone(), sent);
+            self.insert(item.clone(), sent);
         }
-        Some(news)
+        Some(item)
     }
 
-    fn insert(&mut self, news: N, sent: u32) {
-        let key = news.key();
+    fn insert(&mut self, item: N, sent: u32) {
+        let key = item.key();
         let number = self.next_number;
         self.next_number += 1;
         self.order.insert((sent, Reverse(number), key.clone()));
-        self.waiting.insert(key, Waiting { news, sent, number });
+        self.queued.insert(key, Queued { item, sent, number });
     }
 
-    fn remove(&mut self, key: &N::Key) -> Option<Waiting<N>> {
-        let waiting = self.waiting.remove(key)?;
+    fn remove(&mut self, key: &N::Key) -> Option<Queued<N>> {
+        let queued = self.queued.remove(key)?;
         self.order
-            .remove(&(waiting.sent, Reverse(waiting.number), key.clone()));
-        Some(waiting)
+            .remove(&(queued.sent, Reverse(queued.number), key.clone()));
+        Some(queued)
     }
 
     fn drop_most_sent(&mut self) {
         if let Some((_, _, key)) = self.order.pop_last() {
-            self.waiting.remove(&key);
+            self.queued.remove(&key);
         }
     }
 }
--- a/crates/stairward-membership/src/config.rs
+++ b/crates/stairward-membership/src/config.rs
@@ -1,59 +1,60 @@
-//! Times and sizes of the membership protocol.
+//! Timeouts and limits of the membership protocol.
 
 use stairward_types::Duration;
 
-/// Times and sizes of the membership protocol; docs/design/membership.md gives the reasons.
+/// Timeouts and limits of the membership protocol; docs/design/membership.md gives the reasons.
 #[derive(Debug, Clone)]
 pub struct SwimConfig {
     /// Time between the starts of two probes by one node.
     pub probe_interval: Duration,
-    /// How long a probed node may take to answer before others are asked to probe it.
+    /// How long a probed member may take to answer before indirect probes are requested.
     pub direct_timeout: Duration,
-    /// How long the indirect probes may take before the node is suspected.
+    /// How long the indirect probes may take before the member is suspected.
     pub indirect_timeout: Duration,
-    /// How many others are asked to probe.
+    /// Number of members asked to probe indirectly.
     pub indirect_probes: usize,
-    /// How long a suspected node has to refute once enough others confirm the suspicion.
+    /// Time for a suspected member to refute, with enough confirmations by other members.
     pub suspicion_minimum: Duration,
-    /// How long a suspected node has to refute while nobody else confirms the suspicion.
+    /// Time for a suspected member to refute, without any confirmation.
     pub suspicion_maximum: Duration,
-    /// Whether both times grow with the logarithm (base 10) of the number of members. A few members that all others
-    /// ask first when a fleet starts answer late then: in a fleet of 300, 28 of them were declared failed after 1 s.
+    /// Whether both times grow with the logarithm (base 10) of the number of members. While a fleet
+    /// starts, the few members that all others contact first answer late: in a fleet of 300, 28
+    /// such members were declared failed after 1 s.
     pub scale_suspicion_timeout: bool,
-    /// How many other accusers bring the time down to its minimum.
+    /// Number of confirmations that reduce the time to its minimum.
     pub confirmations: usize,
-    /// Time between rounds of gossip while there is news.
+    /// Time between gossip rounds while there are updates to send.
     pub gossip_interval: Duration,
-    /// Nodes told in one round.
+    /// Number of members addressed per gossip round.
     pub gossip_fanout: usize,
-    /// A piece of news is sent by each node this many times the logarithm (base 10) of the number
-    /// of members.
+    /// Each node sends an update this many times the number of decimal digits of the member count,
+    /// which grows with its logarithm.
     pub retransmit_multiplier: u32,
-    /// News of terms, which is rare and urgent, is sent more often by this factor.
+    /// Factor by which term updates, which are rare and urgent, are sent more often.
     pub term_retransmit_factor: u32,
-    /// Time between probes of members that have failed, to find out that a partition has healed.
+    /// Mean time between pings of failed members, which detect that a partition has healed.
     pub failed_probe_interval: Duration,
-    /// How long a failed member is kept and probed.
+    /// How long a failed member is kept and pinged.
     pub failed_retention: Duration,
-    /// How long a member that left is remembered, so that late news does not bring it back.
+    /// How long a left member is remembered, so that delayed updates do not add it again.
     pub left_retention: Duration,
-    /// How long a peer's view may differ before the two compare theirs.
+    /// How long peers' digests must differ before views are compared.
     pub sync_delay: Duration,
     /// Mean time between two comparisons started by one node.
     pub sync_interval: Duration,
-    /// Time to the next comparison when the last one brought news.
+    /// Time to the next comparison after one that brought new information.
     pub sync_catch_up_interval: Duration,
     /// The same for a node that has just started.
     pub sync_joining_interval: Duration,
     /// Buckets sent in answer to one comparison.
     pub sync_buckets_per_answer: usize,
-    /// Time from an unanswered introduction to the next at the same address, at first.
+    /// Initial time between two introductions to the same address; doubles up to the maximum.
     pub introduction_interval: Duration,
-    /// The same after many, for a node that knows no other.
+    /// Maximum of that time for a node that knows no other member.
     pub maximum_introduction_interval_alone: Duration,
-    /// The same after many, for a node that knows others.
+    /// Maximum of that time for a node that knows other members.
     pub maximum_introduction_interval: Duration,
-    /// A node that was not run for so long takes itself, not the others, to have been silent.
+    /// A delay of its own timers by more than this makes a node assume that it was paused itself.
     pub pause_threshold: Duration,
 }
 
@@ -89,7 +90,7 @@
 }
 
 impl SwimConfig {
-    /// By how much the time to refute a suspicion is stretched in a fleet of this many members.
+    /// Factor applied to suspicion timeouts in a fleet of this size.
     #[must_use]
     pub fn suspicion_multiplier(&self, members: usize) -> f64 {
         if !self.scale_suspicion_timeout {
@@ -100,7 +101,7 @@
             .max(1.0)
     }
 
-    /// How often each node sends a piece of news in a fleet of this many members.
+    /// Number of times each node sends an update in a fleet of this size.
     #[must_use]
     pub fn retransmit_limit(&self, members: usize) -> u32 {
         let digits = u32::try_from(members.max(1).to_string().len()).unwrap_or(u32::MAX);
--- a/crates/stairward-membership/src/introduction.rs
+++ b/crates/stairward-membership/src/introduction.rs
@@ -1,19 +1,19 @@
-//! Addresses at which other nodes may be found: seeds from the process file, and the platform's list
-//! of machines.
+//! Addresses for contacting unknown members: seeds from the process file and the platform's list of
+//! machines.
 //!
-//! The platform's list lags behind, so an address on it is only a place to knock at: it never makes
-//! or ends a member.
+//! The platform's list may be outdated. Its addresses are only contacted; they never add or remove
+//! a member.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 use stairward_types::{Duration, Time};
 
-/// Addresses kept at most; further ones are ignored.
+/// Maximum number of addresses; further ones are ignored.
 const CAPACITY: usize = 4_096;
-/// Addresses knocked at in one go.
+/// Addresses contacted at a time.
 const BATCH: usize = 4;
-/// Pause between two such batches while addresses are waiting.
+/// Time between two batches while addresses are due.
 const BATCH_INTERVAL: Duration = Duration::from_millis(50);
 
 #[derive(Debug, Clone, Copy)]
@@ -22,7 +22,7 @@
     interval: Duration,
 }
 
-/// The addresses, with the time of the next attempt at each.
+/// The addresses and the time of the next attempt for each.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Introductions {
     attempts: BTreeMap<SocketAddr, Attempt>,
@@ -31,7 +31,7 @@
 }
 
 impl Introductions {
-    /// Starts with the seeds, which are kept for good.
+    /// Starts with the seeds, which are never removed.
     pub fn new(seeds: &[SocketAddr], now: Time, interval: Duration) -> Self {
         let mut introductions = Self {
             seeds: seeds.iter().copied().take(CAPACITY).collect(),
@@ -49,7 +49,7 @@
         self.add(listed, now, interval);
     }
 
-    /// Takes addresses that are due, not more than one batch.
+    /// Returns up to one batch of due addresses and schedules their next attempts.
     pub fn take_due(&mut self, now: Time, maximum_interval: Duration) -> Vec<SocketAddr> {
         if now < self.next_batch {
             return Vec::new();
@@ -68,7 +68,7 @@
         due
     }
 
-    /// When an address is next due.
+    /// When the next address is due.
     pub fn next_deadline(&self) -> Time {
         let next = self.attempts.values().map(|attempt| attempt.next).min();
         next.map_or(Time::NEVER, |next| next.max(self.next_batch))
--- a/crates/stairward-membership/src/lib.rs
+++ b/crates/stairward-membership/src/lib.rs
@@ -1,9 +1,9 @@
 //! Membership view, failure detection, rendezvous ownership and dissemination.
 //!
-//! Pure: time, randomness and what arrives are passed in, and what to do is returned. A driver owns
-//! the socket: it turns received bytes into a [`Packet`] with [`decode`], hands events to
-//! [`SwimMember::handle`], carries out the effects, and calls again with [`Event::Tick`] at
-//! [`SwimMember::next_deadline`].
+//! All state machines are pure: time, randomness and input are passed in, and the resulting effects
+//! are returned. The driver of [`SwimMember`] owns the socket. It decodes received bytes into a
+//! [`Packet`] with [`decode`], passes events to [`SwimMember::handle`], carries out the effects,
+//! and sends [`Event::Tick`] at [`SwimMember::next_deadline`].
 
 #![forbid(unsafe_code)]
 
--- a/crates/stairward-membership/src/local_health.rs
+++ b/crates/stairward-membership/src/local_health.rs
@@ -1,29 +1,30 @@
-//! How far a node trusts its own judgement (Lifeguard: Dadgar, Phillips and Currey, 2018).
+//! Local health score (Lifeguard: Dadgar, Phillips and Currey, 2018).
 
 use stairward_types::Duration;
 
-/// Highest score: times are stretched up to one more than this.
+/// Maximum score. Timeouts are multiplied by the score plus one.
 const MAXIMUM_SCORE: u32 = 4;
 
-/// A node that keeps missing answers, while others do not, is probably slow itself. Its score then
-/// grows, and with it the time it gives others to answer.
+/// Estimates whether this node itself is slow. A node that repeatedly gets no answers is probably
+/// slow; a higher score lengthens its timeouts.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct LocalHealth {
     score: u32,
 }
 
 impl LocalHealth {
-    /// A probe was answered.
+    /// Records an answered probe.
     pub fn improve(&mut self) {
         self.score = self.score.saturating_sub(1);
     }
 
-    /// No one answered, not even those asked to help; or this node was itself suspected.
+    /// Records that neither a probed member nor any helper answered, or that this node was
+    /// suspected or paused.
     pub fn worsen(&mut self) {
         self.score = (self.score + 1).min(MAXIMUM_SCORE);
     }
 
-    /// A time stretched by the score.
+    /// Multiplies a timeout by the score plus one.
     pub fn stretch(self, time: Duration) -> Duration {
         time * (self.score + 1)
     }
--- a/crates/stairward-membership/src/member.rs
+++ b/crates/stairward-membership/src/member.rs
@@ -1,22 +1,22 @@
-//! One member as a node knows it.
+//! State of one member as known to a node.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 
 use stairward_types::{Incarnation, NodeId, RegionName, Time, ZoneName};
 
-/// Which life of a process, and how often the process has spoken for itself in it. News of a higher
-/// version wins. Only the member itself raises it.
+/// Version of a member's status: the incarnation of its process and a counter within it. Updates
+/// with a higher version take precedence. Only the member itself raises its version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Version {
-    /// The life of the process.
+    /// The incarnation of the process.
     pub incarnation: Incarnation,
-    /// Raised when the member refutes a suspicion or announces that it leaves.
+    /// Incremented when the member refutes a suspicion or announces that it leaves.
     pub refutation: u32,
 }
 
 impl Version {
-    /// The first version of a life.
+    /// The first version of an incarnation.
     #[must_use]
     pub const fn first(incarnation: Incarnation) -> Self {
         Self {
@@ -25,7 +25,7 @@
         }
     }
 
-    /// The version that overrides all news of this one.
+    /// The next version, which overrides all updates on this one.
     #[must_use]
     pub const fn next(self) -> Self {
         match self.refutation.checked_add(1) {
@@ -35,33 +35,33 @@
     }
 }
 
-/// What a member says of itself.
+/// The properties that a member announces about itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Profile {
-    /// Its number.
+    /// The member's number.
     pub node: NodeId,
-    /// The version in which it says so.
+    /// The version of this announcement.
     pub version: Version,
-    /// Where it listens, on TCP and on UDP.
+    /// Listening address for both TCP and UDP.
     pub address: SocketAddr,
-    /// Its region.
+    /// The member's region.
     pub region: RegionName,
-    /// Its zone.
+    /// The member's zone.
     pub zone: ZoneName,
     /// Whether it has announced a planned stop.
     pub leaving: bool,
 }
 
-/// What is believed of a member. Of two beliefs of the same version, the later variant wins.
+/// Status of a member. Of two statuses with the same version, the later variant takes precedence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Status {
-    /// It answers.
+    /// It answers probes.
     Alive,
-    /// It did not answer; it may still refute that. It counts as alive for all others.
+    /// It did not answer a probe and may still refute the suspicion. It remains in the view.
     Suspect,
     /// It did not refute a suspicion in time.
     Failed,
-    /// It has stopped as planned.
+    /// It completed a planned stop.
     Left,
 }
 
@@ -73,21 +73,21 @@
     }
 }
 
-/// What a node keeps of a member.
+/// A node's record of a member.
 #[derive(Debug, Clone)]
 pub(crate) struct Record {
-    /// What the member last said of itself, perhaps in an earlier version.
+    /// The last profile announced by the member, possibly of an earlier version.
     pub profile: Arc<Profile>,
-    /// The newest version heard of.
+    /// The newest known version.
     pub version: Version,
-    /// What is believed of that version.
+    /// The status of that version.
     pub status: Status,
-    /// When that belief began.
+    /// Since when the member has had this status.
     pub since: Time,
 }
 
 impl Record {
-    /// Whether news of this version and status would change the belief.
+    /// Whether an update with this version and status takes precedence.
     pub fn is_overridden_by(&self, version: Version, status: Status) -> bool {
         (version, status) > (self.version, self.status)
     }
--- a/crates/stairward-membership/src/packet.rs
+++ b/crates/stairward-membership/src/packet.rs
@@ -1,4 +1,4 @@
-//! Membership messages as the state machine sees them; `wire` turns them into bytes.
+//! Membership packets as used by the state machine; `wire` converts them to and from bytes.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,133 +11,133 @@
 /// One digest per bucket of the hashed key space.
 pub(crate) type BucketDigests = [u32; SYNC_BUCKETS];
 
-/// What the sender of a packet holds, in short.
+/// Digest of the state held by the sender of a packet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct PacketDigest {
-    /// Its newest settings revision.
+    /// The newest settings revision.
     pub settings_revision: Revision,
-    /// Digest of the members it believes alive.
+    /// Digest of the live members.
     pub members: u64,
-    /// Digest of the newest terms it knows.
+    /// Digest of the newest known terms.
     pub terms: u64,
 }
 
-/// What a packet is for.
+/// The purpose of a packet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Message {
-    /// Asks the target for an ack.
+    /// Requests an ack from the target.
     Ping {
         /// Returned in the ack.
         sequence: u64,
-        /// Who should answer.
+        /// The node that should answer.
         target: NodeId,
     },
-    /// Answers a ping, an introduction or, through a third node, an indirect ping.
+    /// Answers a ping or an introduction, or relays the answer to an indirect ping.
     Ack {
-        /// Of the question.
+        /// The sequence number of the request.
         sequence: u64,
     },
-    /// Asks a third node to ping the target.
+    /// Asks another node to ping the target.
     IndirectPing {
         /// Returned in the ack or nack.
         sequence: u64,
-        /// Who should be pinged.
+        /// The node to ping.
         target: NodeId,
-        /// Where it listens.
+        /// The target's address.
         address: SocketAddr,
     },
-    /// The third node has had no answer from the target yet.
+    /// The relaying node has not received an answer from the target yet.
     Nack {
-        /// Of the indirect ping.
+        /// The sequence number of the indirect ping.
         sequence: u64,
     },
-    /// Asks whoever listens at an address for an ack.
+    /// Requests an ack from whichever node listens at an address.
     Introduce {
         /// Returned in the ack.
         sequence: u64,
     },
-    /// Carries only updates and terms.
+    /// Carries updates and terms only.
     Gossip,
-    /// Asks for the members in buckets that differ.
+    /// Requests the members in differing buckets.
     CompareMembers {
         /// The sender's digests.
         digests: Box<BucketDigests>,
     },
-    /// Members of one bucket.
+    /// The members of one bucket.
     Members {
-        /// Which bucket.
+        /// The bucket number.
         bucket: u8,
-        /// Whether the receiver should send what the sender lacks.
+        /// Whether the receiver should return the records missing in this bucket.
         is_answer: bool,
     },
-    /// Asks for the terms in buckets that differ.
+    /// Requests the terms in differing buckets.
     CompareTerms {
         /// The sender's digests.
         digests: Box<BucketDigests>,
     },
-    /// Terms of one bucket.
+    /// The terms of one bucket.
     Terms {
-        /// Which bucket.
+        /// The bucket number.
         bucket: u8,
-        /// Whether the receiver should send what the sender lacks.
+        /// Whether the receiver should return the terms missing in this bucket.
         is_answer: bool,
     },
 }
 
-/// News of one member.
+/// An update on one member.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Update {
-    /// It is alive, in its own words.
+    /// It is alive; announced by the member itself.
     Alive(Arc<Profile>),
-    /// It did not answer these nodes.
+    /// It did not answer probes by the accusers.
     Suspect {
         /// The member.
         node: NodeId,
-        /// In which version.
+        /// The suspected version.
         version: Version,
-        /// Whom it did not answer, ordered, without repeats.
+        /// The members whose probes it did not answer, in order and without duplicates.
         accusers: Vec<NodeId>,
     },
     /// It did not refute a suspicion in time.
     Failed {
         /// The member.
         node: NodeId,
-        /// In which version.
+        /// The failed version.
         version: Version,
     },
-    /// It has stopped as planned.
+    /// It completed a planned stop.
     Left {
         /// The member.
         node: NodeId,
-        /// In which version.
+        /// The version that left.
         version: Version,
     },
 }
 
-/// A group's newest term and its primary.
+/// The newest term of a group, with its primary.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TermUpdate {
     /// The group.
     pub group: GroupId,
-    /// Its newest term.
+    /// The newest term.
     pub term: Term,
     /// The primary of that term.
     pub primary: BackendId,
 }
 
-/// One membership packet.
+/// A membership packet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Packet {
-    /// Who sent it.
+    /// The sending node.
     pub sender: NodeId,
     /// The sender's version.
     pub sender_version: Version,
-    /// What the sender holds.
+    /// Digest of the sender's state.
     pub digest: PacketDigest,
-    /// What it is for.
+    /// The purpose of the packet.
     pub message: Message,
-    /// News of members.
+    /// Updates on members.
     pub updates: Vec<Update>,
-    /// News of terms.
+    /// Updates on terms.
     pub terms: Vec<Arc<TermUpdate>>,
 }
--- a/crates/stairward-membership/src/probe.rs
+++ b/crates/stairward-membership/src/probe.rs
@@ -1,4 +1,4 @@
-//! Whom to probe next, and the probes that are under way.
+//! Probe order and pending probes.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -6,11 +6,11 @@
 use rand::{Rng, RngExt as _};
 use stairward_types::{NodeId, Time};
 
-/// Pings on behalf of others that may be under way; further ones are not taken on.
+/// Maximum number of pending relays; further requests are ignored.
 const MAXIMUM_RELAYS: usize = 256;
 
-/// Goes round all other members in a shuffled order, so that the time between two probes of a
-/// member is bounded (SWIM, section 4.3).
+/// Iterates over all other members in shuffled order, which bounds the time between two probes of a
+/// member (SWIM, section 4.3).
 #[derive(Debug, Clone, Default)]
 pub(crate) struct ProbeOrder {
     nodes: Vec<NodeId>,
@@ -18,7 +18,7 @@
 }
 
 impl ProbeOrder {
-    /// Adds a member at a random place.
+    /// Adds a member at a random position.
     pub fn insert(&mut self, node: NodeId, rng: &mut dyn Rng) {
         let place = rng.random_range(0..=self.nodes.len());
         self.nodes.push(node);
@@ -26,14 +26,13 @@
         self.nodes.swap(place, last);
     }
 
-    /// Removes a member.
     pub fn remove(&mut self, node: NodeId) {
         if let Some(place) = self.nodes.iter().position(|other| *other == node) {
             self.nodes.swap_remove(place);
         }
     }
 
-    /// The next member to probe; shuffles at the end of each round.
+    /// The next member to probe. Shuffles the members at the end of each round.
     pub fn next(&mut self, rng: &mut dyn Rng) -> Option<NodeId> {
         if self.cursor >= self.nodes.len() {
             self.shuffle(rng);
@@ -44,22 +43,22 @@
         node
     }
 
-    /// Up to `count` different members for which `is_wanted` holds, at random.
+    /// Up to `count` distinct random members for which `matches` returns true.
     pub fn pick(
         &self,
         count: usize,
         rng: &mut dyn Rng,
-        is_wanted: impl Fn(NodeId) -> bool,
+        matches: impl Fn(NodeId) -> bool,
     ) -> Vec<NodeId> {
         let length = self.nodes.len();
         let mut chosen = Vec::with_capacity(count);
         if length == 0 {
             return chosen;
         }
-        // Enough draws to nearly always find `count`, without walking the whole list.
+        // Enough draws to find `count` members in nearly all cases without scanning the list.
         for _ in 0..count * 4 {
             let node = self.nodes[rng.random_range(0..length)];
-            if chosen.len() < count && !chosen.contains(&node) && is_wanted(node) {
+            if chosen.len() < count && !chosen.contains(&node) && matches(node) {
                 chosen.push(node);
             }
         }
@@ -74,58 +73,58 @@
     }
 }
 
-/// How far a probe has got.
+/// The stage of a probe.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ProbeStage {
-    /// Waiting for the member's own answer.
+    /// Waiting for an answer to the direct ping.
     Direct,
-    /// Others were asked too; whether one of them has answered at all.
+    /// Waiting for an answer to the direct ping or to indirect pings.
     Indirect {
-        /// How many were asked.
+        /// Number of members that were sent an indirect ping.
         asked: usize,
-        /// Whether a nack came back.
+        /// Whether a nack was received.
         heard_nack: bool,
     },
 }
 
-/// A probe under way.
+/// A pending probe.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Probe {
-    /// Who is probed.
+    /// The probed member.
     pub target: NodeId,
-    /// How far it has got.
+    /// The current stage.
     pub stage: ProbeStage,
-    /// When this stage ends.
+    /// When the current stage ends.
     pub deadline: Time,
 }
 
 /// A ping on behalf of another node.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Relay {
-    /// Who asked.
+    /// The requesting node.
     pub requester: SocketAddr,
-    /// The sequence to answer with.
+    /// The sequence number for the ack or nack.
     pub sequence: u64,
-    /// When to answer with a nack.
+    /// When to send a nack.
     pub deadline: Time,
 }
 
-/// The pings under way, by sequence.
+/// Pending pings by sequence number.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Outstanding {
+pub(crate) struct PendingProbes {
     /// This node's own probes.
     pub probes: BTreeMap<u64, Probe>,
     /// Pings on behalf of others.
     relays: BTreeMap<u64, Relay>,
 }
 
-impl Outstanding {
-    /// Whether a member is being probed.
+impl PendingProbes {
+    /// Whether a probe of the member is pending.
     pub fn is_probing(&self, node: NodeId) -> bool {
         self.probes.values().any(|probe| probe.target == node)
     }
 
-    /// Remembers a ping on behalf of another; false when there are too many.
+    /// Adds a relay; returns false if too many are pending.
     pub fn add_relay(&mut self, sequence: u64, relay: Relay) -> bool {
         let has_room = self.relays.len() < MAXIMUM_RELAYS;
         if has_room {
@@ -134,12 +133,12 @@
         has_room
     }
 
-    /// Takes the relay that an ack belongs to.
+    /// Removes the relay that an ack belongs to.
     pub fn take_relay(&mut self, sequence: u64) -> Option<Relay> {
         self.relays.remove(&sequence)
     }
 
-    /// Takes the relays whose time is up.
+    /// Removes and returns the relays whose deadline has passed.
     pub fn take_due_relays(&mut self, now: Time) -> Vec<Relay> {
         let due: Vec<u64> = self
             .relays
@@ -152,7 +151,7 @@
             .collect()
     }
 
-    /// Takes the probes whose stage has ended.
+    /// Removes and returns the probes whose stage has ended.
     pub fn take_due_probes(&mut self, now: Time) -> Vec<(u64, Probe)> {
         let due: Vec<u64> = self
             .probes
@@ -165,13 +164,13 @@
             .collect()
     }
 
-    /// Forgets everything under way.
+    /// Drops all pending probes and relays.
     pub fn clear(&mut self) {
         self.probes.clear();
         self.relays.clear();
     }
 
-    /// When something is next due.
+    /// The earliest deadline.
     pub fn next_deadline(&self) -> Time {
         let probes = self.probes.values().map(|probe| probe.deadline);
         let relays = self.relays.values().map(|relay| relay.deadline);
--- a/crates/stairward-membership/src/suspicion.rs
+++ b/crates/stairward-membership/src/suspicion.rs
@@ -1,4 +1,4 @@
-//! Suspicions and how long each may last.
+//! Suspicions and their timeouts.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,7 +14,7 @@
     accusers: BTreeSet<NodeId>,
 }
 
-/// The members suspected, with the time each has left to refute.
+/// All suspected members, with the deadline of each for a refutation.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Suspicions {
     suspicions: BTreeMap<NodeId, Suspicion>,
@@ -22,8 +22,9 @@
 }
 
 impl Suspicions {
-    /// Adds accusers of a member, which starts its suspicion if there is none. More accusers bring
-    /// the deadline closer (Lifeguard, section IV-B), a large number of members makes it later. Returns whether an accuser was new.
+    /// Adds accusers of a member and starts a suspicion if there is none. More accusers shorten the
+    /// timeout (Lifeguard, section IV-B); a larger fleet may lengthen it. Returns whether an
+    /// accuser was new.
     pub fn accuse(
         &mut self,
         node: NodeId,
@@ -53,7 +54,7 @@
         grew
     }
 
-    /// The accusers of a member, ordered.
+    /// The accusers of a member, in order.
     pub fn accusers(&self, node: NodeId) -> Vec<NodeId> {
         self.suspicions
             .get(&node)
@@ -61,21 +62,19 @@
             .unwrap_or_default()
     }
 
-    /// Ends a suspicion.
     pub fn clear(&mut self, node: NodeId) {
         if let Some(suspicion) = self.suspicions.remove(&node) {
             self.deadlines.remove(&(suspicion.deadline, node));
         }
     }
 
-    /// The earliest deadline.
     pub fn next_deadline(&self) -> Time {
         self.deadlines
             .first()
             .map_or(Time::NEVER, |(deadline, _)| *deadline)
     }
 
-    /// Takes a member whose time is up.
+    /// Removes and returns a member whose deadline has passed.
     pub fn pop_due(&mut self, now: Time) -> Option<NodeId> {
         let (deadline, node) = *self.deadlines.first()?;
         if deadline > now {
@@ -85,7 +84,7 @@
         Some(node)
     }
 
-    /// Gives every suspected member more time, since this node was not running for a while.
+    /// Extends all suspicions after a pause of this process.
     pub fn postpone(&mut self, by: Duration) {
         for suspicion in self.suspicions.values_mut() {
             suspicion.started = suspicion.started + by;
@@ -99,7 +98,7 @@
     }
 }
 
-/// Falls from the maximum to the minimum with the logarithm of the number of confirmations.
+/// Decreases from the maximum to the minimum with the logarithm of the number of confirmations.
 fn timeout(confirmations: usize, config: &SwimConfig) -> Duration {
     let range = config
         .suspicion_maximum
--- a/crates/stairward-membership/src/swim.rs
+++ b/crates/stairward-membership/src/swim.rs
@@ -19,60 +19,61 @@
 use crate::local_health::LocalHealth;
 use crate::member::{Profile, Record, Status, Version};
 use crate::packet::{Packet, TermUpdate, Update};
-use crate::probe::{Outstanding, ProbeOrder};
+use crate::probe::{PendingProbes, ProbeOrder};
 use crate::suspicion::Suspicions;
 use crate::table::MemberTable;
 use crate::terms::Terms;
 use comparison::Comparison;
 
-/// Time between two searches for members to forget.
-const FORGET_INTERVAL: Duration = Duration::from_secs(60);
-/// How long after a pause of its own a node may still read packets from before.
+/// Interval between removals of expired members.
+const CLEANUP_INTERVAL: Duration = Duration::from_secs(60);
+/// How long after a pause of this process received packets may predate the pause.
 const CATCH_UP_TIME: Duration = Duration::from_secs(1);
 
-/// What happens to a node.
+/// Input to [`SwimMember::handle`].
 #[derive(Debug, Clone)]
 pub enum Event {
     /// Time has passed; due at [`SwimMember::next_deadline`].
     Tick,
-    /// A packet with a valid proof came in.
+    /// A packet with a valid proof was received.
     Received {
-        /// Where it came from.
+        /// The source address.
         from: SocketAddr,
-        /// What it says.
+        /// The packet.
         packet: Packet,
     },
-    /// The platform's list of machines was read; it replaces the previous one.
+    /// The platform's list of machines was read. It replaces the previous list.
     MachinesListed(Vec<SocketAddr>),
-    /// A connection to a peer was lost, so that it should be probed at once.
+    /// A connection to a peer was lost. The peer is probed at once.
     PeerLost(NodeId),
-    /// A newer settings revision is in force here.
+    /// A newer settings revision is in force on this node.
     SettingsApplied(Revision),
-    /// A newer term was learnt here.
+    /// This node learnt of a newer term.
     TermLearnt(TermUpdate),
-    /// A planned stop has begun: the node gets no new ownership, and goes on.
+    /// A planned stop has begun. The node gets no new ownership but keeps running.
     LeaveAnnounced,
-    /// The planned stop has ended: the process exits soon.
+    /// The planned stop is complete, and the process exits soon.
     Departed,
 }
 
-/// What a driver must do.
+/// Output of [`SwimMember::handle`], to be carried out by the driver.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Effect {
     /// Send a packet.
     Send {
-        /// Where to.
+        /// The destination address.
         to: SocketAddr,
-        /// What to encode.
+        /// The packet to encode.
         packet: Packet,
     },
-    /// [`SwimMember::view`] now differs: a member came, went, restarted or announced its stop.
+    /// [`SwimMember::view`] has changed: a member joined, left, failed, restarted or announced its
+    /// stop.
     ViewChanged,
-    /// A belief about a member changed, for the log.
+    /// The status of a member changed; for the log.
     MemberChanged {
         /// The member.
         node: NodeId,
-        /// In which way.
+        /// The change.
         change: MemberChange,
     },
     /// A peer's settings revision differs from this node's.
@@ -82,16 +83,16 @@
         /// The peer's newest revision.
         settings_revision: Revision,
     },
-    /// A newer term arrived from a peer.
+    /// A peer sent a newer term.
     TermReceived(Arc<TermUpdate>),
 }
 
-/// How the belief about a member changed.
+/// A change in the status of a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum MemberChange {
-    /// It was found, or came back.
+    /// It was discovered or came back.
     Joined,
-    /// It did not answer.
+    /// It did not answer a probe.
     Suspected,
     /// It refuted a suspicion.
     Refuted,
@@ -99,11 +100,11 @@
     Leaving,
     /// It did not refute a suspicion in time.
     Failed,
-    /// It has stopped as planned.
+    /// It completed a planned stop.
     Left,
 }
 
-/// The time, a source of randomness and the effects so far, handed through one event.
+/// The context of one event: time, randomness and the effects so far.
 struct Step<'a> {
     now: Time,
     rng: &'a mut dyn Rng,
@@ -118,10 +119,10 @@
     has_departed: bool,
     table: MemberTable,
     order: ProbeOrder,
-    outstanding: Outstanding,
+    outstanding: PendingProbes,
     suspicions: Suspicions,
     health: LocalHealth,
-    news: BroadcastQueue<Update>,
+    update_queue: BroadcastQueue<Update>,
     terms: Terms,
     introductions: Introductions,
     member_comparison: Comparison,
@@ -132,14 +133,15 @@
     next_gossip: Time,
     last_gossip: Time,
     next_failed_probe: Time,
-    next_forgetting: Time,
-    /// After a pause, until when news of failures is taken with care.
+    next_cleanup: Time,
+    /// Until when failures reported by others are only treated as suspicions, after a pause of this
+    /// process.
     catching_up_until: Time,
     view_changed: bool,
 }
 
 impl SwimMember {
-    /// A node that knows only itself and where to look for others.
+    /// Creates a node that knows only itself and the addresses to contact.
     #[must_use]
     pub fn new(
         me: Profile,
@@ -159,10 +161,10 @@
             has_departed: false,
             table,
             order: ProbeOrder::default(),
-            outstanding: Outstanding::default(),
+            outstanding: PendingProbes::default(),
             suspicions: Suspicions::default(),
             health: LocalHealth::default(),
-            news: BroadcastQueue::default(),
+            update_queue: BroadcastQueue::default(),
             terms: Terms::default(),
             member_comparison: Comparison::default(),
             term_comparison: Comparison::default(),
@@ -172,15 +174,15 @@
             next_gossip: Time::NEVER,
             last_gossip: Time::ZERO,
             next_failed_probe: now + failed_offset,
-            next_forgetting: now + FORGET_INTERVAL,
+            next_cleanup: now + CLEANUP_INTERVAL,
             catching_up_until: Time::ZERO,
             view_changed: false,
             config,
         }
     }
 
-    /// Takes members as known from the start, as if they had been learnt long ago. For simulations
-    /// that begin with a formed fleet.
+    /// Adds known members without any exchange, for simulations that start with an established
+    /// fleet.
     pub fn preload(&mut self, members: &[Arc<Profile>], now: Time, rng: &mut dyn Rng) {
         for profile in members {
             if profile.node != self.me.node {
@@ -191,14 +193,14 @@
         self.member_comparison.has_joined = true;
     }
 
-    /// Handles one event at the present time and says what to do.
+    /// Handles an event and returns the resulting effects.
     pub fn handle(&mut self, now: Time, event: Event, rng: &mut dyn Rng) -> Vec<Effect> {
         let mut step = Step {
             now,
             rng,
             effects: Vec::new(),
         };
-        self.allow_for_own_pause(now);
+        self.handle_local_pause(now);
         self.dispatch(event, &mut step);
         self.run_due(&mut step);
         if std::mem::take(&mut self.view_changed) {
@@ -214,7 +216,7 @@
             self.next_probe,
             self.next_gossip,
             self.next_failed_probe,
-            self.next_forgetting,
+            self.next_cleanup,
             self.outstanding.next_deadline(),
             self.suspicions.next_deadline(),
             self.introductions.next_deadline(),
@@ -222,7 +224,7 @@
         deadlines.into_iter().min().unwrap_or(Time::NEVER)
     }
 
-    /// The members believed alive, this node included, ordered by number.
+    /// The live members, including this node, ordered by number.
     pub fn view(&self) -> impl Iterator<Item = &Profile> {
         self.table
             .records()
@@ -230,25 +232,25 @@
             .map(|record| record.profile.as_ref())
     }
 
-    /// What is believed of a member; none when it is not known.
+    /// The status of a member; `None` if it is unknown.
     #[must_use]
     pub fn status(&self, node: NodeId) -> Option<Status> {
         self.table.get(node).map(|record| record.status)
     }
 
-    /// The newest version heard of a member; none when it is not known.
+    /// The newest known version of a member; `None` if it is unknown.
     #[must_use]
     pub fn version(&self, node: NodeId) -> Option<Version> {
         self.table.get(node).map(|record| record.version)
     }
 
-    /// What this node says of itself.
+    /// The profile that this node announces.
     #[must_use]
     pub fn profile(&self) -> &Profile {
         &self.me
     }
 
-    /// Digest of the view; equal views have equal digests.
+    /// Digest of the view. Equal views have equal digests.
     #[must_use]
     pub fn view_digest(&self) -> u64 {
         self.table.digest()
@@ -267,37 +269,38 @@
             Event::SettingsApplied(revision) => {
                 self.settings_revision = self.settings_revision.max(revision);
             }
-            Event::TermLearnt(news) => self.spread_term(&Arc::new(news), step),
+            Event::TermLearnt(update) => self.announce_term(&Arc::new(update), step),
             Event::LeaveAnnounced => self.announce_leave(step),
             Event::Departed => self.depart(step),
         }
     }
 
     fn run_due(&mut self, step: &mut Step<'_>) {
-        self.end_probe_stages(step);
-        self.end_suspicions(step);
+        self.advance_probes(step);
+        self.expire_suspicions(step);
         if !self.has_departed {
             self.start_due_probes(step);
-            self.introduce(step);
+            self.send_introductions(step);
         }
         self.gossip_if_due(step);
-        if self.next_forgetting <= step.now {
-            self.next_forgetting = step.now + FORGET_INTERVAL;
+        if self.next_cleanup <= step.now {
+            self.next_cleanup = step.now + CLEANUP_INTERVAL;
             let config = &self.config;
             self.table
-                .forget_old(step.now, config.failed_retention, config.left_retention);
+                .remove_expired(step.now, config.failed_retention, config.left_retention);
         }
     }
 
-    /// A node that was not run for a while must not blame the others for its own silence: it drops
-    /// its probes and gives suspected members the lost time back.
-    fn allow_for_own_pause(&mut self, now: Time) {
-        let lateness = now.since(self.next_deadline());
-        if lateness > self.config.pause_threshold {
+    /// Detects that this process was paused. Its own silence must not be blamed on other members,
+    /// so it drops its pending probes and extends the suspicions by the lost time.
+    fn handle_local_pause(&mut self, now: Time) {
+        let delay = now.since(self.next_deadline());
+        if delay > self.config.pause_threshold {
             self.outstanding.clear();
-            self.suspicions.postpone(lateness);
+            self.suspicions.postpone(delay);
             self.health.worsen();
-            // News was missed meanwhile, such as refutations, and what waits to be read is old.
+            // Updates such as refutations were missed, and packets waiting in the socket buffer are
+            // old.
             self.catching_up_until = now + CATCH_UP_TIME;
             self.member_comparison.has_joined = false;
             self.term_comparison.has_joined = false;
--- a/crates/stairward-membership/src/swim/comparison.rs
+++ b/crates/stairward-membership/src/swim/comparison.rs
@@ -1,8 +1,10 @@
-//! Comparing views with a peer, so that all converge even when news was lost or a partition healed.
+//! Anti-entropy: compares views with peers, so that they converge even after lost updates or a
+//! partition.
 //!
-//! Each packet carries a digest of its sender's view. When a peer's digest has differed for a while,
-//! a node sends it one digest per bucket of the hashed key space. The peer answers with its records
-//! of some buckets that differ, one datagram per bucket, and the node returns what the peer lacks.
+//! Every packet carries a digest of its sender's view. When peers' digests have differed for some
+//! time, a node sends one of these peers a digest per bucket of the hashed key space. The peer
+//! answers with its records of some differing buckets, one datagram per bucket, and the node
+//! returns the records that the peer is missing.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,47 +19,48 @@
 use crate::packet::{BucketDigests, Message, PacketDigest, TermUpdate, Update};
 use crate::wire::{term_length, update_length};
 
-/// Room kept for header, message and proof, in bytes.
+/// Bytes reserved for header, message and proof.
 const ENVELOPE_BYTES: usize = 100;
-/// Datagrams one node sends in answer to comparisons per window at most.
+/// Maximum number of datagrams sent in answer to comparisons per [`ANSWER_WINDOW`].
 const MAXIMUM_ANSWERS: u32 = 256;
 /// The window of [`MAXIMUM_ANSWERS`].
 const ANSWER_WINDOW: Duration = Duration::from_secs(1);
 
-/// When to compare next, and how much was answered of late.
+/// Schedules comparisons and limits the rate of answers.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct Comparison {
-    /// Since when peers' digests have differed again and again.
-    differs_since: Time,
-    last_differed: Option<Time>,
+    /// Since when peers' digests have differed without a gap longer than the delay.
+    differing_since: Time,
+    last_difference: Option<Time>,
     next: Time,
-    /// Whether this node has once agreed with a peer since it started.
+    /// Whether this node's digest has matched a peer's since it started or was last paused.
     pub has_joined: bool,
     window_start: Time,
     answers: u32,
 }
 
 impl Comparison {
-    /// Takes a peer's digest; says whether to compare with that peer now. News on its way makes
-    /// digests differ for a moment. Only when they go on differing is something lost; peers that
-    /// agree do not matter, since they may lack the same.
-    fn notice(&mut self, agrees: bool, delay: Duration, now: Time) -> bool {
+    /// Handles a peer's digest and returns whether to compare views with this peer now. Updates in
+    /// transit make digests differ briefly; only a lasting difference means that some were lost.
+    /// Matching digests do not reset the delay, because peers with equal views may miss the same
+    /// updates.
+    fn should_compare(&mut self, agrees: bool, delay: Duration, now: Time) -> bool {
         if agrees {
             return false;
         }
         let is_continued = self
-            .last_differed
+            .last_difference
             .is_some_and(|last| now.since(last) <= delay);
         if !is_continued {
-            self.differs_since = now;
+            self.differing_since = now;
         }
-        self.last_differed = Some(now);
-        let has_waited = !self.has_joined || now.since(self.differs_since) >= delay;
+        self.last_difference = Some(now);
+        let has_waited = !self.has_joined || now.since(self.differing_since) >= delay;
         has_waited && now >= self.next
     }
 
-    /// Whether one more answer may be sent.
-    fn may_answer(&mut self, now: Time) -> bool {
+    /// Counts an answer and returns whether the rate limit permits it.
+    fn try_count_answer(&mut self, now: Time) -> bool {
         if now.since(self.window_start) >= ANSWER_WINDOW {
             self.window_start = now;
             self.answers = 0;
@@ -68,7 +71,7 @@
 }
 
 impl SwimMember {
-    pub(super) fn notice_differences(
+    pub(super) fn compare_digests(
         &mut self,
         from: SocketAddr,
         digest: PacketDigest,
@@ -81,7 +84,10 @@
         let is_catching_up = self.is_catching_up(step.now);
         let agrees = digest.members == self.table.digest();
         self.member_comparison.has_joined |= agrees && !is_catching_up;
-        if self.member_comparison.notice(agrees, delay, step.now) {
+        if self
+            .member_comparison
+            .should_compare(agrees, delay, step.now)
+        {
             self.member_comparison.next = step.now + self.comparison_interval(step.rng);
             let digests = Box::new(*self.table.buckets());
             let message = Message::CompareMembers { digests };
@@ -89,7 +95,7 @@
         }
         let agrees = digest.terms == self.terms.digest();
         self.term_comparison.has_joined |= agrees && !is_catching_up;
-        if self.term_comparison.notice(agrees, delay, step.now) {
+        if self.term_comparison.should_compare(agrees, delay, step.now) {
             self.term_comparison.next = step.now + self.comparison_interval(step.rng);
             let digests = Box::new(*self.terms.buckets());
             let message = Message::CompareTerms { digests };
@@ -101,20 +107,20 @@
         self.config.sync_interval.mul_f64(0.5 + rng.random::<f64>())
     }
 
-    /// An answer that brought news makes the next comparison come sooner.
+    /// Schedules the next comparison earlier after an answer with new information.
     pub(super) fn after_comparison(
         &mut self,
         message: &Message,
-        brought_members: bool,
-        brought_terms: bool,
+        has_new_members: bool,
+        has_new_terms: bool,
         now: Time,
     ) {
-        let (comparison, brought) = match message {
-            Message::Members { .. } => (&mut self.member_comparison, brought_members),
-            Message::Terms { .. } => (&mut self.term_comparison, brought_terms),
+        let (comparison, has_news) = match message {
+            Message::Members { .. } => (&mut self.member_comparison, has_new_members),
+            Message::Terms { .. } => (&mut self.term_comparison, has_new_terms),
             _ => return,
         };
-        if brought {
+        if has_news {
             let interval = if comparison.has_joined {
                 self.config.sync_catch_up_interval
             } else {
@@ -135,18 +141,18 @@
             .table
             .group_by_bucket(&wanted)
             .into_iter()
-            .map(|(bucket, records)| (bucket, records.into_iter().map(describe).collect()))
+            .map(|(bucket, records)| (bucket, records.into_iter().map(to_update).collect()))
             .collect();
         for (bucket, updates) in answers {
-            if self.member_comparison.may_answer(step.now) {
+            if self.member_comparison.try_count_answer(step.now) {
                 let message = members_message(bucket, true);
-                let updates = fitting(updates, update_length, step.rng);
+                let updates = fit_datagram(updates, update_length, step.rng);
                 self.send_exactly(to, message, updates, Vec::new(), step);
             }
         }
     }
 
-    /// Sends what the peer's bucket lacked.
+    /// Sends the records that are missing in the peer's bucket.
     pub(super) fn return_members(
         &mut self,
         to: SocketAddr,
@@ -155,17 +161,18 @@
         step: &mut Step<'_>,
     ) {
         let bucket = usize::from(bucket);
-        let known: BTreeMap<NodeId, (Version, Status)> = theirs.iter().map(summary).collect();
+        let known: BTreeMap<NodeId, (Version, Status)> =
+            theirs.iter().map(version_and_status).collect();
         let groups = self.table.group_by_bucket(&[bucket]);
-        let lacking: Vec<Update> = groups
+        let missing: Vec<Update> = groups
             .into_values()
             .flatten()
-            .filter(|record| is_lacking(record, &known))
-            .map(describe)
+            .filter(|record| is_missing(record, &known))
+            .map(to_update)
             .collect();
-        if !lacking.is_empty() {
+        if !missing.is_empty() {
             let message = members_message(bucket, false);
-            let updates = fitting(lacking, update_length, step.rng);
+            let updates = fit_datagram(missing, update_length, step.rng);
             self.send_exactly(to, message, updates, Vec::new(), step);
         }
     }
@@ -178,15 +185,15 @@
     ) {
         let wanted = self.differing(self.terms.buckets(), theirs, step.rng);
         for (bucket, terms) in self.terms.group_by_bucket(&wanted) {
-            if self.term_comparison.may_answer(step.now) {
+            if self.term_comparison.try_count_answer(step.now) {
                 let message = terms_message(bucket, true);
-                let terms = fitting(terms, |news| term_length(news), step.rng);
+                let terms = fit_datagram(terms, |update| term_length(update), step.rng);
                 self.send_exactly(to, message, Vec::new(), terms, step);
             }
         }
     }
 
-    /// Sends what the peer's bucket lacked.
+    /// Sends the terms that are missing in the peer's bucket.
     pub(super) fn return_terms(
         &mut self,
         to: SocketAddr,
@@ -196,22 +203,23 @@
     ) {
         let bucket = usize::from(bucket);
         let groups = self.terms.group_by_bucket(&[bucket]);
-        let lacking: Vec<Arc<TermUpdate>> = groups
+        let missing: Vec<Arc<TermUpdate>> = groups
             .into_values()
             .flatten()
-            .filter(|news| {
-                let known = theirs.iter().find(|known| known.group == news.group);
-                known.is_none_or(|known| known.term < news.term)
+            .filter(|update| {
+                let known = theirs.iter().find(|known| known.group == update.group);
+                known.is_none_or(|known| known.term < update.term)
             })
             .collect();
-        if !lacking.is_empty() {
+        if !missing.is_empty() {
             let message = terms_message(bucket, false);
-            let terms = fitting(lacking, |news| term_length(news), step.rng);
+            let terms = fit_datagram(missing, |update| term_length(update), step.rng);
             self.send_exactly(to, message, Vec::new(), terms, step);
         }
     }
 
-    /// Some buckets that differ, beginning at a random one so that repeated comparisons reach all.
+    /// Some of the differing buckets, starting at a random one so that repeated comparisons cover
+    /// all.
     fn differing(
         &self,
         ours: &BucketDigests,
@@ -241,8 +249,9 @@
     }
 }
 
-/// A record as news. A suspicion spreads on its own, so a suspected member is told of as alive.
-fn describe(record: &Record) -> Update {
+/// Converts a record to an update. Suspicions are disseminated separately, so a suspected member is
+/// reported as alive.
+fn to_update(record: &Record) -> Update {
     let node = record.profile.node;
     let version = record.version;
     match record.status {
@@ -252,7 +261,7 @@
     }
 }
 
-fn summary(update: &Update) -> (NodeId, (Version, Status)) {
+fn version_and_status(update: &Update) -> (NodeId, (Version, Status)) {
     match update {
         Update::Alive(profile) => (profile.node, (profile.version, Status::Alive)),
         Update::Suspect { node, version, .. } => (*node, (*version, Status::Suspect)),
@@ -261,9 +270,9 @@
     }
 }
 
-/// Whether a record would tell the peer something: a live member that it does not know, or any it
-/// knows less of.
-fn is_lacking(record: &Record, known: &BTreeMap<NodeId, (Version, Status)>) -> bool {
+/// Whether the peer should receive a record: it does not know a live member, or it has older
+/// information on any member.
+fn is_missing(record: &Record, known: &BTreeMap<NodeId, (Version, Status)>) -> bool {
     let ours = match record.status {
         Status::Suspect => Status::Alive,
         status => status,
@@ -274,8 +283,8 @@
     }
 }
 
-/// As many items as fit into a datagram, beginning at a random one.
-fn fitting<T>(mut items: Vec<T>, length: impl Fn(&T) -> usize, rng: &mut dyn Rng) -> Vec<T> {
+/// As many items as fit into a datagram, starting at a random one.
+fn fit_datagram<T>(mut items: Vec<T>, length: impl Fn(&T) -> usize, rng: &mut dyn Rng) -> Vec<T> {
     if !items.is_empty() {
         let start = rng.random_range(0..items.len());
         items.rotate_left(start);
--- a/crates/stairward-membership/src/swim/dissemination.rs
+++ b/crates/stairward-membership/src/swim/dissemination.rs
@@ -1,4 +1,5 @@
-//! Sending: news rides on every packet, and goes out on its own in rounds while it is fresh.
+//! Sending of packets. Updates are piggybacked on every packet and sent in gossip rounds while they
+//! are new.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,17 +9,17 @@
 use stairward_types::{Duration, NodeId, Time};
 
 use super::{Effect, Step, SwimMember};
-use crate::broadcast::News;
+use crate::broadcast::Broadcast;
 use crate::member::{Status, Version};
 use crate::packet::{Message, Packet, PacketDigest, TermUpdate, Update};
 use crate::wire::{encoded_length, update_length};
 
-/// Fresh news waits up to this long for more to share the round.
+/// Maximum random delay of a gossip round, during which further updates are collected.
 const GOSSIP_JITTER: Duration = Duration::from_millis(10);
-/// Nodes told at once of a planned stop.
+/// Number of members notified at once of a planned stop.
 const ANNOUNCEMENT_FANOUT: usize = 8;
 
-impl News for Update {
+impl Broadcast for Update {
     type Key = NodeId;
 
     fn key(&self) -> NodeId {
@@ -36,7 +37,7 @@
 }
 
 impl SwimMember {
-    /// Sends a message with the given updates and as much other news as fits.
+    /// Sends a message with the given updates, and fills the packet with queued updates and terms.
     pub(super) fn send(
         &mut self,
         to: SocketAddr,
@@ -47,14 +48,16 @@
         let mut packet = self.packet(message, updates, Vec::new());
         let mut room = MAXIMUM_DATAGRAM_BYTES.saturating_sub(encoded_length(&packet));
         let limit = self.config.retransmit_limit(self.table.live_count());
-        packet.updates.extend(self.news.take(&mut room, limit));
+        packet
+            .updates
+            .extend(self.update_queue.take(&mut room, limit));
         let term_limit = limit * self.config.term_retransmit_factor;
         let terms = self.terms.queue.take(&mut room, term_limit);
         packet.terms.extend(terms);
         step.effects.push(Effect::Send { to, packet });
     }
 
-    /// Sends a message with these updates and terms only.
+    /// Sends a message with exactly these updates and terms.
     pub(super) fn send_exactly(
         &self,
         to: SocketAddr,
@@ -87,7 +90,7 @@
         }
     }
 
-    /// What a member must hear of itself to refute it, if it is not believed alive.
+    /// The update that a member must receive to refute its status, if it is not considered alive.
     pub(super) fn accusation(&self, node: NodeId, version: Version) -> Vec<Update> {
         let Some(record) = self.table.get(node) else {
             return Vec::new();
@@ -111,7 +114,7 @@
         }
     }
 
-    /// Makes sure that a round of gossip comes soon.
+    /// Schedules a gossip round unless one is pending.
     pub(super) fn schedule_gossip(&mut self, step: &mut Step<'_>) {
         if self.next_gossip == Time::NEVER {
             let soon = step.now + GOSSIP_JITTER.mul_f64(step.rng.random::<f64>());
@@ -126,14 +129,14 @@
         self.gossip(self.config.gossip_fanout, step);
     }
 
-    /// Tells several nodes at once.
+    /// Runs a gossip round at once, with a larger fanout.
     pub(super) fn gossip_now(&mut self, step: &mut Step<'_>) {
         self.gossip(ANNOUNCEMENT_FANOUT, step);
     }
 
     fn gossip(&mut self, fanout: usize, step: &mut Step<'_>) {
         for node in self.order.pick(fanout, step.rng, |_| true) {
-            if self.has_no_news() {
+            if self.has_nothing_to_send() {
                 break;
             }
             if let Some(address) = self.address(node) {
@@ -141,45 +144,45 @@
             }
         }
         self.last_gossip = step.now;
-        self.next_gossip = if self.has_no_news() {
+        self.next_gossip = if self.has_nothing_to_send() {
             Time::NEVER
         } else {
             step.now + self.config.gossip_interval
         };
     }
 
-    fn has_no_news(&self) -> bool {
-        self.news.is_empty() && self.terms.queue.is_empty()
+    fn has_nothing_to_send(&self) -> bool {
+        self.update_queue.is_empty() && self.terms.queue.is_empty()
     }
 
     pub(super) fn address(&self, node: NodeId) -> Option<SocketAddr> {
         self.table.get(node).map(|record| record.profile.address)
     }
 
-    /// Spreads a newer term learnt here.
-    pub(super) fn spread_term(&mut self, news: &Arc<TermUpdate>, step: &mut Step<'_>) {
-        if self.terms.learn(news) {
-            self.terms.queue.push(Arc::clone(news));
+    /// Disseminates a newer term learnt by this node.
+    pub(super) fn announce_term(&mut self, update: &Arc<TermUpdate>, step: &mut Step<'_>) {
+        if self.terms.learn(update) {
+            self.terms.queue.push(Arc::clone(update));
             self.schedule_gossip(step);
         }
     }
 
-    /// Takes a term from a peer; fresh ones are passed on.
+    /// Applies a term received from a peer and disseminates it if it arrived as gossip.
     pub(super) fn apply_term(
         &mut self,
-        news: &Arc<TermUpdate>,
+        update: &Arc<TermUpdate>,
         is_fresh: bool,
         step: &mut Step<'_>,
     ) -> bool {
-        if !self.terms.is_newer(news) {
+        if !self.terms.is_newer(update) {
             return false;
         }
         if is_fresh {
-            self.spread_term(news, step);
+            self.announce_term(update, step);
         } else {
-            self.terms.learn(news);
+            self.terms.learn(update);
         }
-        step.effects.push(Effect::TermReceived(Arc::clone(news)));
+        step.effects.push(Effect::TermReceived(Arc::clone(update)));
         true
     }
 }
--- a/crates/stairward-membership/src/swim/probing.rs
+++ b/crates/stairward-membership/src/swim/probing.rs
@@ -1,4 +1,4 @@
-//! Finding out whether members answer.
+//! Failure detection: direct and indirect probes, suspicions and introductions.
 
 use rand::RngExt as _;
 use stairward_types::NodeId;
@@ -10,7 +10,7 @@
 use crate::probe::{Probe, ProbeStage};
 
 impl SwimMember {
-    /// Starts the probes that are due: of the next member in turn, and of one that has failed.
+    /// Starts the probes that are due: one of the next member in order, and one of a failed member.
     pub(super) fn start_due_probes(&mut self, step: &mut Step<'_>) {
         if self.next_probe <= step.now {
             self.next_probe = step.now + self.health.stretch(self.config.probe_interval);
@@ -25,7 +25,7 @@
         }
     }
 
-    /// A lost connection is a reason to look at once.
+    /// Probes a member at once after a connection to it was lost.
     pub(super) fn probe_lost_peer(&mut self, node: NodeId, step: &mut Step<'_>) {
         let is_known = self.table.live(node).is_some();
         if is_known && node != self.me.node && !self.outstanding.is_probing(node) {
@@ -33,18 +33,19 @@
         }
     }
 
-    /// A peer's view holds members failed that this node's view holds alive: since a partition that
-    /// has healed, or because this node missed the news. One of them is probed and told what is said
-    /// of it. Many nodes compare their views, so that each such member is told soon.
-    pub(super) fn question_failures(&mut self, updates: &[Update], step: &mut Step<'_>) {
-        let questionable: Vec<&Update> = updates
+    /// Handles failures reported in a comparison of members that are live in this node's view.
+    /// Either they date from a partition that has healed, or this node missed the updates. One such
+    /// member is probed and sent the report, so that it can refute it. Many nodes compare views, so
+    /// each such member soon receives a probe.
+    pub(super) fn probe_disputed_failure(&mut self, updates: &[Update], step: &mut Step<'_>) {
+        let disputed: Vec<&Update> = updates
             .iter()
-            .filter(|update| self.is_questionable(update))
+            .filter(|update| self.is_disputed(update))
             .collect();
-        if questionable.is_empty() {
+        if disputed.is_empty() {
             return;
         }
-        let chosen = questionable[step.rng.random_range(0..questionable.len())].clone();
+        let chosen = disputed[step.rng.random_range(0..disputed.len())].clone();
         if let Update::Failed { node, .. } = chosen
             && !self.outstanding.is_probing(node)
         {
@@ -52,7 +53,7 @@
         }
     }
 
-    fn is_questionable(&self, update: &Update) -> bool {
+    fn is_disputed(&self, update: &Update) -> bool {
         let Update::Failed { node, version } = update else {
             return false;
         };
@@ -63,7 +64,7 @@
                 .is_some_and(|record| record.version <= *version)
     }
 
-    /// Probes a member and tells it these updates, besides what is believed of it.
+    /// Probes a member, sending it these updates and its status if it is not considered alive.
     fn start_probe(&mut self, target: NodeId, updates: Vec<Update>, step: &mut Step<'_>) {
         let sequence = self.next_sequence();
         let deadline = step.now + self.health.stretch(self.config.direct_timeout);
@@ -76,8 +77,7 @@
         self.ping(target, sequence, updates, step);
     }
 
-    /// Pings without waiting for the answer: what counts is that the member hears what is believed
-    /// of it.
+    /// Pings a member without waiting for an answer, to inform it of its status.
     pub(super) fn ping_untracked(&mut self, target: NodeId, step: &mut Step<'_>) {
         let sequence = self.next_sequence();
         self.ping(target, sequence, Vec::new(), step);
@@ -97,7 +97,8 @@
         }
     }
 
-    /// Members on the far side of a partition look failed. Probing them finds out when it heals.
+    /// Pings a failed member at random. Members on the other side of a partition appear failed; a
+    /// ping reaches them once it has healed.
     fn probe_one_failed(&mut self, step: &mut Step<'_>) {
         let failed: Vec<NodeId> = self
             .table
@@ -111,8 +112,8 @@
         }
     }
 
-    /// Moves on the probes and relays whose time is up.
-    pub(super) fn end_probe_stages(&mut self, step: &mut Step<'_>) {
+    /// Advances probes and relays whose deadline has passed.
+    pub(super) fn advance_probes(&mut self, step: &mut Step<'_>) {
         for relay in self.outstanding.take_due_relays(step.now) {
             let sequence = relay.sequence;
             self.send(
@@ -179,8 +180,8 @@
         self.ping_untracked(node, step);
     }
 
-    /// Declares members failed whose time to refute is up.
-    pub(super) fn end_suspicions(&mut self, step: &mut Step<'_>) {
+    /// Marks members as failed that did not refute a suspicion in time.
+    pub(super) fn expire_suspicions(&mut self, step: &mut Step<'_>) {
         while let Some(node) = self.suspicions.pop_due(step.now) {
             if let Some(version) = self.table.live(node).map(|record| record.version) {
                 self.fail(node, version, Source::Gossip, step);
@@ -188,8 +189,8 @@
         }
     }
 
-    /// Knocks at the addresses where others may be found.
-    pub(super) fn introduce(&mut self, step: &mut Step<'_>) {
+    /// Sends introductions to the due seed and machine addresses that belong to no live member.
+    pub(super) fn send_introductions(&mut self, step: &mut Step<'_>) {
         let is_alone = self.table.live_count() <= 1;
         let maximum = if is_alone {
             self.config.maximum_introduction_interval_alone
@@ -199,8 +200,13 @@
         for address in self.introductions.take_due(step.now, maximum) {
             if self.table.live_at(address).is_none() {
                 let sequence = self.next_sequence();
-                let myself = Update::Alive(self.me.clone());
-                self.send(address, Message::Introduce { sequence }, vec![myself], step);
+                let own_profile = Update::Alive(self.me.clone());
+                self.send(
+                    address,
+                    Message::Introduce { sequence },
+                    vec![own_profile],
+                    step,
+                );
             }
         }
     }
--- a/crates/stairward-membership/src/swim/receiving.rs
+++ b/crates/stairward-membership/src/swim/receiving.rs
@@ -1,4 +1,4 @@
-//! Taking packets in.
+//! Handling of received packets.
 
 use std::net::SocketAddr;
 
@@ -14,7 +14,7 @@
     pub(super) fn receive(&mut self, from: SocketAddr, packet: Packet, step: &mut Step<'_>) {
         let sender = packet.sender;
         if sender == self.me.node {
-            // An own packet come back, or another process with the same number.
+            // The node's own packet, or one from another process with the same number.
             return;
         }
         let is_comparison = matches!(
@@ -26,17 +26,17 @@
         } else {
             Source::Gossip
         };
-        let brought_members = self.apply_all(&packet.updates, source, step);
+        let has_new_members = self.apply_all(&packet.updates, source, step);
         if is_comparison {
-            self.question_failures(&packet.updates, step);
+            self.probe_disputed_failure(&packet.updates, step);
         }
-        let brought_terms = packet.terms.iter().fold(false, |any, news| {
-            self.apply_term(news, !is_comparison, step) | any
+        let has_new_terms = packet.terms.iter().fold(false, |any, update| {
+            self.apply_term(update, !is_comparison, step) | any
         });
-        self.after_comparison(&packet.message, brought_members, brought_terms, step.now);
-        self.notice_settings(sender, packet.digest, step);
+        self.after_comparison(&packet.message, has_new_members, has_new_terms, step.now);
+        self.report_settings_difference(sender, packet.digest, step);
         self.answer(from, &packet, step);
-        self.notice_differences(from, packet.digest, step);
+        self.compare_digests(from, packet.digest, step);
     }
 
     fn apply_all(&mut self, updates: &[Update], source: Source, step: &mut Step<'_>) -> bool {
@@ -45,7 +45,7 @@
             .fold(false, |any, update| self.apply(update, source, step) | any)
     }
 
-    fn notice_settings(&self, node: NodeId, digest: PacketDigest, step: &mut Step<'_>) {
+    fn report_settings_difference(&self, node: NodeId, digest: PacketDigest, step: &mut Step<'_>) {
         let settings_revision = digest.settings_revision;
         if settings_revision != self.settings_revision {
             step.effects.push(Effect::PeerDigest {
@@ -102,9 +102,9 @@
         if target == self.me.node {
             self.acknowledge(from, sender, version, sequence, step);
         } else {
-            // Another process was here before. Its pinger should learn who is here now.
-            let myself = Update::Alive(self.me.clone());
-            self.send(from, Message::Gossip, vec![myself], step);
+            // The pinged process no longer runs at this address. Inform the sender of this one.
+            let own_profile = Update::Alive(self.me.clone());
+            self.send(from, Message::Gossip, vec![own_profile], step);
         }
     }
 
--- a/crates/stairward-membership/src/swim/updates.rs
+++ b/crates/stairward-membership/src/swim/updates.rs
@@ -1,4 +1,4 @@
-//! Taking news of members, and speaking for oneself.
+//! Handling of updates on members, and announcements of this node's own status.
 
 use std::sync::Arc;
 
@@ -8,18 +8,18 @@
 use crate::member::{Profile, Record, Status, Version};
 use crate::packet::Update;
 
-/// How news came in.
+/// How an update was received.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Source {
-    /// As fresh news, to be passed on.
+    /// By gossip; the update is new and is disseminated further.
     Gossip,
-    /// By comparing views with another node. It may be old; it is not passed on, since every node
-    /// compares its view.
+    /// In a comparison of views. The update may be old and is not disseminated further, since every
+    /// node compares its view.
     Comparison,
 }
 
 impl SwimMember {
-    /// Takes news of a member; says whether it changed a belief.
+    /// Applies an update; returns whether it changed a record.
     pub(super) fn apply(&mut self, update: &Update, source: Source, step: &mut Step<'_>) -> bool {
         match update {
             Update::Alive(profile) => self.apply_alive(profile, source, step),
@@ -44,19 +44,19 @@
         if old.is_some_and(|old| profile.version <= old.version) {
             return self.complete_profile(profile);
         }
-        if self.is_stale_claim(profile) {
+        if self.is_superseded_at_address(profile) {
             return false;
         }
         let old = old.cloned();
         self.displace_from_address(profile, step);
         self.suspicions.clear(profile.node);
-        self.believe(alive_record(profile, step.now), step);
+        self.set_record(alive_record(profile, step.now), step);
         self.report_alive(profile, old.as_ref(), step);
-        self.pass_on(Update::Alive(Arc::clone(profile)), source, step);
+        self.broadcast(Update::Alive(Arc::clone(profile)), source, step);
         true
     }
 
-    /// A version heard of through others only lacks what the member says of itself.
+    /// Fills in the profile of a version that was known only from updates by other members.
     fn complete_profile(&mut self, profile: &Arc<Profile>) -> bool {
         let Some(old) = self.table.get(profile.node) else {
             return false;
@@ -73,15 +73,16 @@
         true
     }
 
-    /// Whether another member has since started at the same address.
-    fn is_stale_claim(&self, profile: &Profile) -> bool {
+    /// Whether another member has started at the same address since.
+    fn is_superseded_at_address(&self, profile: &Profile) -> bool {
         self.table.live_at(profile.address).is_some_and(|holder| {
             holder.profile.node != profile.node
                 && holder.profile.version.incarnation > profile.version.incarnation
         })
     }
 
-    /// A process that starts at an address ends whichever member was there before.
+    /// Marks another member at the same address as failed, since a new process has taken its
+    /// address.
     fn displace_from_address(&mut self, profile: &Profile, step: &mut Step<'_>) {
         let Some(holder) = self.table.live_at(profile.address) else {
             return;
@@ -134,7 +135,7 @@
             ..record.clone()
         };
         self.suspicions.clear(node);
-        self.believe(suspected, step);
+        self.set_record(suspected, step);
         report(node, MemberChange::Suspected, step);
         self.confirm_suspicion(node, version, accusers, source, step);
         true
@@ -159,13 +160,13 @@
                 version,
                 accusers,
             };
-            self.pass_on(update, source, step);
+            self.broadcast(update, source, step);
         }
         grew
     }
 
-    /// Counted as sent already for the end of a suspicion, which ends at most nodes by itself.
-    fn half_limit(&self) -> u32 {
+    /// Initial transmission count of the end of a suspicion, which most nodes detect on their own.
+    fn half_retransmit_limit(&self) -> u32 {
         self.config.retransmit_limit(self.table.live_count()) / 2
     }
 
@@ -181,17 +182,17 @@
             return false;
         }
         if source == Source::Comparison && self.table.live(node).is_some() {
-            // Perhaps the failure stems from a partition that has healed.
+            // The failure may date from a partition that has healed.
             return false;
         }
         if self.is_catching_up(step.now) && self.table.live(node).is_some() {
-            // Perhaps the news is old and the member has refuted it since.
+            // The update may be old, and the member may have refuted it since.
             return self.apply_suspect(node, version, &[self.me.node], source, step);
         }
         self.fail(node, version, source, step)
     }
 
-    /// Takes a member as failed.
+    /// Marks a member as failed.
     pub(super) fn fail(
         &mut self,
         node: NodeId,
@@ -200,7 +201,7 @@
         step: &mut Step<'_>,
     ) -> bool {
         let update = Update::Failed { node, version };
-        self.end(node, version, Status::Failed, update, source, step)
+        self.end_membership(node, version, Status::Failed, update, source, step)
     }
 
     fn apply_left(
@@ -215,10 +216,10 @@
             return false;
         }
         let update = Update::Left { node, version };
-        self.end(node, version, Status::Left, update, source, step)
+        self.end_membership(node, version, Status::Left, update, source, step)
     }
 
-    fn end(
+    fn end_membership(
         &mut self,
         node: NodeId,
         version: Version,
@@ -242,7 +243,7 @@
             ..record.clone()
         };
         self.suspicions.clear(node);
-        self.believe(ended, step);
+        self.set_record(ended, step);
         if was_live {
             let change = match status {
                 Status::Left => MemberChange::Left,
@@ -250,19 +251,23 @@
             };
             report(node, change, step);
         }
-        let sent = if was_suspected { self.half_limit() } else { 0 };
-        self.pass_on_as_sent(update, sent, source, step);
+        let sent = if was_suspected {
+            self.half_retransmit_limit()
+        } else {
+            0
+        };
+        self.broadcast_with_count(update, sent, source, step);
         true
     }
 
-    /// Puts a belief in force.
-    fn believe(&mut self, record: Record, step: &mut Step<'_>) {
+    /// Stores a record, and updates the probe order and the view-change flag.
+    fn set_record(&mut self, record: Record, step: &mut Step<'_>) {
         let node = record.profile.node;
         let old = self.table.live(node);
         let was_live = old.is_some();
         let is_live = record.status.is_live();
         self.view_changed |= match old {
-            Some(old) => !is_live || !looks_alike(&old.profile, &record.profile),
+            Some(old) => !is_live || !is_equivalent(&old.profile, &record.profile),
             None => is_live,
         };
         self.table.put(record);
@@ -274,13 +279,19 @@
         }
     }
 
-    fn pass_on(&mut self, update: Update, source: Source, step: &mut Step<'_>) {
-        self.pass_on_as_sent(update, 0, source, step);
+    fn broadcast(&mut self, update: Update, source: Source, step: &mut Step<'_>) {
+        self.broadcast_with_count(update, 0, source, step);
     }
 
-    fn pass_on_as_sent(&mut self, update: Update, sent: u32, source: Source, step: &mut Step<'_>) {
+    fn broadcast_with_count(
+        &mut self,
+        update: Update,
+        sent: u32,
+        source: Source,
+        step: &mut Step<'_>,
+    ) {
         if source == Source::Gossip {
-            self.news.push_as_sent(update, sent);
+            self.update_queue.push_with_count(update, sent);
             self.schedule_gossip(step);
         }
     }
@@ -292,24 +303,24 @@
         }
     }
 
-    /// Speaks up in a version above the one that others claim things about.
+    /// Announces this node as alive with a version higher than the claimed one.
     fn refute(&mut self, claimed: Version, step: &mut Step<'_>) {
         let version = claimed.max(self.me.version).next();
         let leaving = self.me.leaving;
-        self.speak(version, leaving, step);
+        self.announce_self(version, leaving, step);
     }
 
-    /// Announces a planned stop; it cannot be taken back in this life.
+    /// Announces a planned stop, which cannot be revoked in this incarnation.
     pub(super) fn announce_leave(&mut self, step: &mut Step<'_>) {
         if !self.me.leaving {
             let version = self.me.version.next();
-            self.speak(version, true, step);
+            self.announce_self(version, true, step);
             self.view_changed = true;
             self.gossip_now(step);
         }
     }
 
-    fn speak(&mut self, version: Version, leaving: bool, step: &mut Step<'_>) {
+    fn announce_self(&mut self, version: Version, leaving: bool, step: &mut Step<'_>) {
         self.me = Arc::new(Profile {
             version,
             leaving,
@@ -317,10 +328,10 @@
         });
         self.table.put(alive_record(&self.me, step.now));
         let update = Update::Alive(Arc::clone(&self.me));
-        self.pass_on(update, Source::Gossip, step);
+        self.broadcast(update, Source::Gossip, step);
     }
 
-    /// Tells others that the process exits.
+    /// Announces that this process exits.
     pub(super) fn depart(&mut self, step: &mut Step<'_>) {
         if self.has_departed {
             return;
@@ -333,13 +344,13 @@
             node: self.me.node,
             version: self.me.version,
         };
-        self.pass_on(update, Source::Gossip, step);
+        self.broadcast(update, Source::Gossip, step);
         self.gossip_now(step);
     }
 }
 
-/// Whether the users of the view need not tell two profiles of a member apart.
-fn looks_alike(old: &Profile, new: &Profile) -> bool {
+/// Whether two profiles of a member are equal for users of the view.
+fn is_equivalent(old: &Profile, new: &Profile) -> bool {
     old.version.incarnation == new.version.incarnation
         && old.address == new.address
         && old.leaving == new.leaving
--- a/crates/stairward-membership/src/table.rs
+++ b/crates/stairward-membership/src/table.rs
@@ -1,4 +1,4 @@
-//! All members a node knows, with digests to compare views by.
+//! All known members, with digests for comparing views.
 
 use std::collections::{BTreeMap, HashMap};
 use std::hash::BuildHasherDefault;
@@ -11,14 +11,14 @@
 use crate::member::{Record, Status};
 use crate::packet::BucketDigests;
 
-/// Failed and left members kept at most; beyond that the oldest go.
-const MAXIMUM_NOT_LIVE: usize = 4_096;
+/// Maximum number of failed and left members; beyond it, the oldest are removed.
+const MAXIMUM_DEAD_MEMBERS: usize = 4_096;
 const BUCKET_SEED: u64 = 0x6275_636b_6574;
 
-/// Lookup only; never iterated, so its order plays no part.
+/// Used for lookups only. The iteration order is not deterministic and must not affect behaviour.
 type AddressIndex = HashMap<SocketAddr, NodeId, BuildHasherDefault<Xxh3Default>>;
 
-/// All members a node knows, this one included.
+/// All known members, including this node.
 #[derive(Debug, Clone)]
 pub(crate) struct MemberTable {
     records: BTreeMap<NodeId, Record>,
@@ -46,22 +46,20 @@
         self.records.get(&node)
     }
 
-    /// The record of a live member.
     pub fn live(&self, node: NodeId) -> Option<&Record> {
         self.get(node).filter(|record| record.status.is_live())
     }
 
-    /// The live member at an address.
     pub fn live_at(&self, address: SocketAddr) -> Option<&Record> {
         self.live(*self.addresses.get(&address)?)
     }
 
-    /// How many members are live.
+    /// Number of live members.
     pub fn live_count(&self) -> usize {
         self.live
     }
 
-    /// Every record, by number.
+    /// All records, ordered by node number.
     pub fn records(&self) -> impl Iterator<Item = &Record> {
         self.records.values()
     }
@@ -71,12 +69,12 @@
         self.digest
     }
 
-    /// The same by bucket.
+    /// Digests per bucket.
     pub fn buckets(&self) -> &BucketDigests {
         &self.buckets
     }
 
-    /// Every record of the wanted buckets, by bucket.
+    /// All records in the wanted buckets, by bucket.
     pub fn group_by_bucket(&self, wanted: &[usize]) -> BTreeMap<usize, Vec<&Record>> {
         let mut groups: BTreeMap<usize, Vec<&Record>> =
             wanted.iter().map(|bucket| (*bucket, Vec::new())).collect();
@@ -92,7 +90,7 @@
     pub fn put(&mut self, record: Record) {
         let node = record.profile.node;
         if let Some(old) = self.records.remove(&node) {
-            self.uncount(&old);
+            self.remove_from_index(&old);
         }
         if record.status.is_live() {
             self.live += 1;
@@ -102,7 +100,7 @@
         self.records.insert(node, record);
     }
 
-    fn uncount(&mut self, old: &Record) {
+    fn remove_from_index(&mut self, old: &Record) {
         if !old.status.is_live() {
             return;
         }
@@ -113,8 +111,13 @@
         }
     }
 
-    /// Forgets members that failed or left long ago.
-    pub fn forget_old(&mut self, now: Time, failed_retention: Duration, left_retention: Duration) {
+    /// Removes failed and left members after their retention time.
+    pub fn remove_expired(
+        &mut self,
+        now: Time,
+        failed_retention: Duration,
+        left_retention: Duration,
+    ) {
         self.records.retain(|_, record| {
             let retention = match record.status {
                 Status::Failed => failed_retention,
@@ -123,12 +126,12 @@
             };
             now.since(record.since) <= retention
         });
-        while self.records.len() - self.live > MAXIMUM_NOT_LIVE {
-            self.forget_oldest();
+        while self.records.len() - self.live > MAXIMUM_DEAD_MEMBERS {
+            self.remove_oldest();
         }
     }
 
-    fn forget_oldest(&mut self) {
+    fn remove_oldest(&mut self) {
         let oldest = self
             .records
             .values()
@@ -140,7 +143,7 @@
         }
     }
 
-    /// Adds a record to the digests, or takes it out again: exclusive or is its own inverse.
+    /// Adds a record to the digests or removes it; XOR is its own inverse.
     fn toggle(&mut self, record: &Record) {
         let hash = record_hash(record);
         self.digest ^= hash;
@@ -161,7 +164,7 @@
     xxh3_64(&bytes)
 }
 
-/// The bucket a member belongs to.
+/// The bucket of a member.
 pub(crate) fn bucket_of(node: NodeId) -> usize {
     let hash = xxhash_rust::xxh3::xxh3_64_with_seed(&node.0.to_be_bytes(), BUCKET_SEED);
     usize::try_from(hash % SYNC_BUCKETS as u64).unwrap_or_default()
--- a/crates/stairward-membership/src/terms.rs
+++ b/crates/stairward-membership/src/terms.rs
@@ -1,4 +1,4 @@
-//! The newest term of each group, spread by the same means as news of members.
+//! The newest term of each group, disseminated like membership updates.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -7,14 +7,14 @@
 use stairward_types::GroupId;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::broadcast::{BroadcastQueue, News};
+use crate::broadcast::{Broadcast, BroadcastQueue};
 use crate::packet::{BucketDigests, TermUpdate};
 use crate::wire::term_length;
 
-/// Groups whose terms are kept at most; news of further groups is not taken.
+/// Maximum number of groups; terms of further groups are ignored.
 const CAPACITY: usize = 16_384;
 
-impl News for Arc<TermUpdate> {
+impl Broadcast for Arc<TermUpdate> {
     type Key = GroupId;
 
     fn key(&self) -> GroupId {
@@ -26,11 +26,11 @@
     }
 }
 
-/// The newest terms known, with digests to compare them by.
+/// The newest known terms, with digests for comparison.
 #[derive(Debug, Clone)]
 pub(crate) struct Terms {
     newest: BTreeMap<GroupId, Arc<TermUpdate>>,
-    /// What is still to be passed on.
+    /// Terms to disseminate.
     pub queue: BroadcastQueue<Arc<TermUpdate>>,
     digest: u64,
     buckets: Box<BucketDigests>,
@@ -48,22 +48,22 @@
 }
 
 impl Terms {
-    /// Takes news if its term is newer than the one known; says whether it was.
-    pub fn learn(&mut self, news: &Arc<TermUpdate>) -> bool {
-        if !self.is_newer(news) {
+    /// Stores a term if it is newer than the known one; returns whether it was.
+    pub fn learn(&mut self, update: &Arc<TermUpdate>) -> bool {
+        if !self.is_newer(update) {
             return false;
         }
-        self.toggle(news);
-        if let Some(old) = self.newest.insert(news.group.clone(), Arc::clone(news)) {
+        self.toggle(update);
+        if let Some(old) = self.newest.insert(update.group.clone(), Arc::clone(update)) {
             self.toggle(&old);
         }
         true
     }
 
-    /// Whether news would change what is known.
-    pub fn is_newer(&self, news: &TermUpdate) -> bool {
-        match self.newest.get(&news.group) {
-            Some(known) => news.term > known.term,
+    /// Whether the term is newer than the known one.
+    pub fn is_newer(&self, update: &TermUpdate) -> bool {
+        match self.newest.get(&update.group) {
+            Some(known) => update.term > known.term,
             None => self.newest.len() < CAPACITY,
         }
     }
@@ -73,32 +73,32 @@
         self.digest
     }
 
-    /// The same by bucket.
+    /// Digests per bucket.
     pub fn buckets(&self) -> &BucketDigests {
         &self.buckets
     }
 
-    /// Every term of the wanted buckets, by bucket.
+    /// All terms in the wanted buckets, by bucket.
     pub fn group_by_bucket(&self, wanted: &[usize]) -> BTreeMap<usize, Vec<Arc<TermUpdate>>> {
         let mut groups: BTreeMap<usize, Vec<_>> =
             wanted.iter().map(|bucket| (*bucket, Vec::new())).collect();
-        for news in self.newest.values() {
-            if let Some(group) = groups.get_mut(&bucket_of(&news.group)) {
-                group.push(Arc::clone(news));
+        for update in self.newest.values() {
+            if let Some(group) = groups.get_mut(&bucket_of(&update.group)) {
+                group.push(Arc::clone(update));
             }
         }
         groups
     }
 
-    fn toggle(&mut self, news: &TermUpdate) {
-        let hash = news_hash(news);
+    fn toggle(&mut self, update: &TermUpdate) {
+        let hash = update_hash(update);
         self.digest ^= hash;
-        self.buckets[bucket_of(&news.group)] ^= (hash >> 32) as u32;
+        self.buckets[bucket_of(&update.group)] ^= (hash >> 32) as u32;
     }
 }
 
-fn news_hash(news: &TermUpdate) -> u64 {
-    xxh3_64(format!("{} {}", news.group, news.term.0).as_bytes())
+fn update_hash(update: &TermUpdate) -> u64 {
+    xxh3_64(format!("{} {}", update.group, update.term.0).as_bytes())
 }
 
 fn bucket_of(group: &GroupId) -> usize {
--- a/crates/stairward-membership/src/wire.rs
+++ b/crates/stairward-membership/src/wire.rs
@@ -1,4 +1,4 @@
-//! Packets to and from datagrams.
+//! Conversion between packets and datagrams.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 use crate::member::{Profile, Version};
 use crate::packet::{Message, Packet, PacketDigest, TermUpdate, Update};
 
-/// Version, sender, its version, digest, and the two counts, in bytes.
+/// Protocol version, sender, sender version, digest and the two counts, in bytes.
 const HEADER_BYTES: usize = 2 + 8 + VERSION_BYTES + 24 + 1 + 1;
 const VERSION_BYTES: usize = 12;
 const NODE_BYTES: usize = 8;
@@ -28,15 +28,15 @@
 /// Encodes a packet with its proof.
 ///
 /// # Errors
-/// [`DatagramError::Length`] when it is too long, which the state machine never makes it.
+/// [`DatagramError::Length`] if it is too long. The state machine never creates such packets.
 pub fn encode(packet: &Packet, key: &ClusterKey) -> Result<Vec<u8>, DatagramError> {
     seal(&to_datagram(packet), key)
 }
 
-/// Checks the proof of received bytes and decodes them.
+/// Verifies the proof of received bytes and decodes them.
 ///
 /// # Errors
-/// [`DatagramError`] when the proof is wrong or the content is not of this protocol.
+/// [`DatagramError`] if the proof is wrong or the content violates the protocol.
 pub fn decode(bytes: &[u8], key: &ClusterKey) -> Result<Packet, DatagramError> {
     from_datagram(open(bytes, key)?).map_err(|error| DatagramError::Content {
         reason: error.to_string(),
@@ -47,7 +47,7 @@
 #[must_use]
 pub fn encoded_length(packet: &Packet) -> usize {
     let updates: usize = packet.updates.iter().map(update_length).sum();
-    let terms: usize = packet.terms.iter().map(|news| term_length(news)).sum();
+    let terms: usize = packet.terms.iter().map(|update| term_length(update)).sum();
     HEADER_BYTES + message_length(&packet.message) + updates + terms + DATAGRAM_PROOF_BYTES
 }
 
@@ -64,8 +64,8 @@
     TAG_BYTES + NODE_BYTES + VERSION_BYTES + payload
 }
 
-pub(crate) fn term_length(news: &TermUpdate) -> usize {
-    text_length(news.group.as_str()) + 8 + text_length(news.primary.as_str())
+pub(crate) fn term_length(update: &TermUpdate) -> usize {
+    text_length(update.group.as_str()) + 8 + text_length(update.primary.as_str())
 }
 
 fn message_length(message: &Message) -> usize {
@@ -102,7 +102,11 @@
         },
         to_wire_message(&packet.message),
         packet.updates.iter().map(to_wire_update).collect(),
-        packet.terms.iter().map(|news| to_wire_term(news)).collect(),
+        packet
+            .terms
+            .iter()
+            .map(|update| to_wire_term(update))
+            .collect(),
     )
 }
 
@@ -178,11 +182,11 @@
     }
 }
 
-fn to_wire_term(news: &TermUpdate) -> WireTerm {
+fn to_wire_term(update: &TermUpdate) -> WireTerm {
     WireTerm {
-        group: Text::new(news.group.as_str()),
-        term: news.term.0,
-        primary: Text::new(news.primary.as_str()),
+        group: Text::new(update.group.as_str()),
+        term: update.term.0,
+        primary: Text::new(update.primary.as_str()),
     }
 }
 
@@ -284,10 +288,10 @@
     })
 }
 
-fn from_wire_term(news: &WireTerm) -> Result<Arc<TermUpdate>, InvalidName> {
+fn from_wire_term(update: &WireTerm) -> Result<Arc<TermUpdate>, InvalidName> {
     Ok(Arc::new(TermUpdate {
-        group: GroupId::new(news.group.as_str())?,
-        term: Term(news.term),
-        primary: BackendId::new(news.primary.as_str())?,
+        group: GroupId::new(update.group.as_str())?,
+        term: Term(update.term),
+        primary: BackendId::new(update.primary.as_str())?,
     }))
 }
