--- a/crates/stairward-membership/tests/feed.rs
+++ b/crates/stairward-membership/tests/feed.rs
@@ -1,4 +1,4 @@
-//! Feeds: a few members of a region read the store, the others hear of it from them.
+//! Feeds: a few members of a region read the store, and the others follow them.
 
 use std::collections::BTreeMap;
 
@@ -8,14 +8,14 @@
 };
 use stairward_types::{Duration, NodeId, RegionName, StoreRevision, Time};
 
-const READS_AFTER: Duration = Duration::from_millis(2_000);
-const FOLLOWS_AFTER: Duration = Duration::from_millis(3_000);
-const SETTLES_AFTER: Duration = Duration::from_millis(4_000);
-/// Milliseconds for which a node ranks as a watcher before it reads.
-const VIEW_SETTLES: u64 = 1_000;
+const DIRECT_READ_TIMEOUT: Duration = Duration::from_millis(2_000);
+const STORE_TIMEOUT: Duration = Duration::from_millis(3_000);
+const RESTORE_SETTLE_TIME: Duration = Duration::from_millis(4_000);
+/// Time for which a node must rank as a watcher before it reads the store, in milliseconds.
+const VIEW_SETTLE_MS: u64 = 1_000;
 
 fn region(name: &str) -> RegionName {
-    RegionName::new(name).expect("a region's name")
+    RegionName::new(name).expect("a valid region name")
 }
 
 fn members(count: u64) -> Vec<PeerLocation> {
@@ -31,15 +31,15 @@
     let parameters = FeedParameters {
         node: NodeId(node),
         region: region("north"),
-        direct_read_timeout: READS_AFTER,
+        direct_read_timeout: DIRECT_READ_TIMEOUT,
         listing_timeout: Duration::ZERO,
-        store_timeout: FOLLOWS_AFTER,
-        restore_settle_time: SETTLES_AFTER,
+        store_timeout: STORE_TIMEOUT,
+        restore_settle_time: RESTORE_SETTLE_TIME,
     };
     Feed::new(parameters, Time::ZERO)
 }
 
-/// A feed of a node among so many, and what it did on hearing of them.
+/// The feed of a node in a region of `count` members, and its effects on receiving the view.
 fn feed_among(node: u64, count: u64) -> (Feed, Vec<Effect>) {
     let mut feed = feed(node);
     feed.handle(Time::ZERO, Event::Tick);
@@ -58,7 +58,7 @@
             return (feed, sources.collect());
         }
     }
-    panic!("all are watchers");
+    panic!("all nodes are watchers");
 }
 
 fn changes(text: &str) -> FeedContent {
@@ -88,45 +88,45 @@
     }
 }
 
-fn reads(effects: &[Effect]) -> Option<bool> {
+fn reading_change(effects: &[Effect]) -> Option<bool> {
     effects.iter().find_map(|effect| match effect {
         Effect::ReadStore(is_reading) => Some(*is_reading),
         _ => None,
     })
 }
 
-fn taken(effects: &[Effect]) -> Vec<&FeedContent> {
-    let taken = effects.iter().filter_map(|effect| match effect {
+fn applied(effects: &[Effect]) -> Vec<&FeedContent> {
+    let applied = effects.iter().filter_map(|effect| match effect {
         Effect::Apply { content, .. } => Some(content),
         _ => None,
     });
-    taken.collect()
+    applied.collect()
 }
 
 #[test]
 fn every_node_of_a_small_region_reads_the_store() {
     for node in 1..=3 {
         let mut feed = feed(node);
-        assert_eq!(reads(&feed.handle(Time::ZERO, Event::Tick)), None);
+        assert_eq!(reading_change(&feed.handle(Time::ZERO, Event::Tick)), None);
         let effects = feed.handle(Time::ZERO, Event::MembersChanged(members(3)));
-        assert_eq!(reads(&effects), None, "its view has to settle first");
+        assert_eq!(reading_change(&effects), None, "the view must settle first");
         assert!(feed.is_watcher());
         assert_eq!(
             feed.next_deadline(Time::ZERO),
-            Some(Time::from_millis(VIEW_SETTLES))
+            Some(Time::from_millis(VIEW_SETTLE_MS))
         );
-        let settled = feed.handle(Time::from_millis(VIEW_SETTLES), Event::Tick);
-        assert_eq!(reads(&settled), Some(true));
+        let settled = feed.handle(Time::from_millis(VIEW_SETTLE_MS), Event::Tick);
+        assert_eq!(reading_change(&settled), Some(true));
         let effects = feed.handle(
-            Time::from_millis(VIEW_SETTLES),
+            Time::from_millis(VIEW_SETTLE_MS),
             Event::MembersChanged(members(3)),
         );
-        assert_eq!(reads(&effects), None, "it goes on reading");
+        assert_eq!(reading_change(&effects), None, "reading continues");
     }
 }
 
 #[test]
-fn watchers_are_few_and_followers_spread_over_them() {
+fn watcher_count_is_bounded_and_followers_are_spread_evenly() {
     for (count, watchers) in [(24, 3), (400, 13), (700, 22)] {
         let mut followed: BTreeMap<NodeId, usize> = BTreeMap::new();
         let mut reading = 0;
@@ -146,77 +146,77 @@
 }
 
 #[test]
-fn a_follower_reads_until_a_watcher_confirms_and_no_longer() {
+fn a_follower_stops_reading_once_a_watcher_confirms() {
     let (mut feed, sources) = follower_among(24);
     assert_eq!(sources.len(), 2);
     let answered = from_source(sources[0], 7, 100, whole("all"));
     let late = Time::from_millis(2_000);
-    assert_eq!(reads(&feed.handle(late, Event::Tick)), Some(true));
+    assert_eq!(reading_change(&feed.handle(late, Event::Tick)), Some(true));
     let effects = feed.handle(Time::from_millis(2_100), answered);
-    assert_eq!(taken(&effects), [&whole("all")]);
-    assert_eq!(reads(&effects), Some(false));
+    assert_eq!(applied(&effects), [&whole("all")]);
+    assert_eq!(reading_change(&effects), Some(false));
 }
 
 #[test]
-fn a_follower_that_starts_reads_only_where_no_watcher_confirms_in_time() {
+fn a_starting_follower_reads_only_if_no_watcher_confirms_in_time() {
     let (mut feed, sources) = follower_among(24);
     let starting = feed.handle(Time::from_millis(1_500), Event::Tick);
-    assert_eq!(reads(&starting), None);
+    assert_eq!(reading_change(&starting), None);
     let answered = from_source(sources[0], 7, 100, whole("all"));
     feed.handle(Time::from_millis(1_600), answered);
     let later = feed.handle(Time::from_millis(3_499), Event::Tick);
-    assert_eq!(reads(&later), None);
+    assert_eq!(reading_change(&later), None);
     let unconfirmed = feed.handle(Time::from_millis(3_500), Event::Tick);
-    assert_eq!(reads(&unconfirmed), Some(true));
+    assert_eq!(reading_change(&unconfirmed), Some(true));
 }
 
 #[test]
-fn a_node_that_ranks_as_a_watcher_for_a_moment_does_not_read() {
+fn a_node_that_briefly_ranks_as_watcher_does_not_read() {
     let (mut feed, _) = follower_among(24);
     let own = members(24).into_iter().take(1).collect();
     let alone = feed.handle(Time::from_millis(400), Event::MembersChanged(own));
     assert!(feed.is_watcher());
-    assert_eq!(reads(&alone), None);
+    assert_eq!(reading_change(&alone), None);
     let again = feed.handle(Time::from_millis(900), Event::MembersChanged(members(24)));
-    assert_eq!(reads(&again), None);
+    assert_eq!(reading_change(&again), None);
     let later = feed.handle(Time::from_millis(1_450), Event::Tick);
-    assert_eq!(reads(&later), None);
+    assert_eq!(reading_change(&later), None);
 }
 
 #[test]
-fn a_stale_listing_is_taken_but_confirms_nothing() {
+fn a_stale_listing_is_applied_but_confirms_nothing() {
     let (mut feed, sources) = follower_among(24);
     let listing = |at, objects: &str| Event::StaleListing {
         at: StoreRevision::new(0, at),
         objects: objects.as_bytes().to_vec(),
     };
     let effects = feed.handle(Time::from_millis(10), listing(7, "seven"));
-    assert_eq!(taken(&effects), [&whole("seven")]);
+    assert_eq!(applied(&effects), [&whole("seven")]);
     let follower = FollowerId(1);
     let asked = Event::FollowRequested {
         follower,
         known: None,
     };
     let effects = feed.handle(Time::from_millis(20), asked);
-    assert!(effects.is_empty(), "followers would take it for confirmed");
+    assert!(effects.is_empty(), "followers would consider it confirmed");
     let unconfirmed = feed.handle(Time::from_millis(2_000), Event::Tick);
-    assert_eq!(reads(&unconfirmed), Some(true));
+    assert_eq!(reading_change(&unconfirmed), Some(true));
     feed.handle(
         Time::from_millis(2_100),
         from_source(sources[0], 9, 0, whole("nine")),
     );
     let effects = feed.handle(Time::from_millis(2_200), listing(8, "eight"));
-    assert!(taken(&effects).is_empty(), "it is older than what is held");
+    assert!(applied(&effects).is_empty(), "older than the held revision");
 }
 
 #[test]
-fn a_follower_whose_watchers_fall_silent_reads_the_store_in_time() {
+fn a_follower_reads_the_store_once_its_watchers_time_out() {
     let (mut feed, sources) = follower_among(24);
     for source in &sources {
         let answered = from_source(*source, 7, 0, whole("all"));
         feed.handle(Time::from_millis(500), answered);
     }
-    // One of the two goes on.
+    // One of the two watchers continues to confirm.
     let confirmed = from_source(sources[1], 7, 0, FeedContent::Unchanged);
     feed.handle(Time::from_millis(2_000), confirmed);
     assert_eq!(
@@ -224,29 +224,29 @@
         Some(Time::from_millis(4_000))
     );
     assert_eq!(
-        reads(&feed.handle(Time::from_millis(3_999), Event::Tick)),
+        reading_change(&feed.handle(Time::from_millis(3_999), Event::Tick)),
         None
     );
     assert_eq!(
-        reads(&feed.handle(Time::from_millis(4_000), Event::Tick)),
+        reading_change(&feed.handle(Time::from_millis(4_000), Event::Tick)),
         Some(true)
     );
 }
 
 #[test]
-fn the_word_of_a_watcher_that_the_store_turned_away_is_no_confirmation() {
+fn an_outdated_confirmation_does_not_stop_a_follower_from_reading() {
     let (mut feed, sources) = follower_among(24);
     let started = feed.handle(Time::from_millis(2_900), Event::Tick);
-    assert_eq!(reads(&started), Some(true));
+    assert_eq!(reading_change(&started), Some(true));
     for source in &sources {
         let answered = from_source(*source, 7, 2_500, whole("all"));
         let effects = feed.handle(Time::from_millis(3_000), answered);
-        assert_eq!(reads(&effects), None, "it goes on reading");
+        assert_eq!(reading_change(&effects), None, "reading continues");
     }
 }
 
 #[test]
-fn what_is_older_than_what_is_held_is_never_taken() {
+fn content_older_than_the_held_revision_is_never_applied() {
     let (mut feed, sources) = follower_among(24);
     let now = Time::from_millis(500);
     feed.handle(now, from_source(sources[0], 9, 0, whole("nine")));
@@ -255,14 +255,14 @@
         from_source(sources[1], 9, 0, changes("nine")),
         from_store(8, whole("eight")),
     ] {
-        assert!(taken(&feed.handle(now, late)).is_empty());
+        assert!(applied(&feed.handle(now, late)).is_empty());
     }
     let next = feed.handle(now, from_source(sources[1], 10, 0, changes("ten")));
-    assert_eq!(taken(&next), [&changes("ten")]);
+    assert_eq!(applied(&next), [&changes("ten")]);
 }
 
 #[test]
-fn a_watcher_passes_on_every_word_of_the_store_also_what_it_knew_already() {
+fn a_watcher_forwards_every_store_answer_even_if_already_held() {
     let (mut feed, effects) = feed_among(1, 3);
     assert!(
         effects
@@ -277,38 +277,42 @@
         known: None,
     };
     let effects = feed.handle(Time::from_millis(300), asked);
-    let told = Effect::Push {
+    let pushed = Effect::Push {
         followers: vec![follower],
         at: StoreRevision::new(0, 5),
         age: Duration::from_millis(300),
         current_at: Some(Time::ZERO),
         content: whole(""),
     };
-    assert_eq!(effects, [told]);
-    // The store falls silent, another watcher is faster, then the store's word comes.
+    assert_eq!(effects, [pushed]);
+    // The store does not answer, another watcher has newer content, then the store answers with
+    // older content.
     let silent = Time::from_millis(3_000);
     let effects = feed.handle(silent, Event::Tick);
     let source = effects.iter().find_map(|effect| match effect {
         Effect::Follow { source, .. } => Some(*source),
         _ => None,
     });
-    let source = source.expect("it follows others");
+    let source = source.expect("it follows another watcher");
     feed.handle(silent, from_source(source, 8, 0, whole("eight")));
     let effects = feed.handle(silent, from_store(7, changes("seven")));
-    assert!(taken(&effects).is_empty());
-    let told = Effect::Push {
+    assert!(applied(&effects).is_empty());
+    let pushed = Effect::Push {
         followers: vec![follower],
         at: StoreRevision::new(0, 7),
         age: Duration::ZERO,
         current_at: Some(Time::ZERO),
         content: changes("seven"),
     };
-    assert!(effects.contains(&told), "a follower in step would miss it");
+    assert!(
+        effects.contains(&pushed),
+        "a synchronized follower would miss it"
+    );
     assert!(effects.contains(&Effect::Unfollow(source)));
 }
 
 #[test]
-fn a_watcher_does_not_pass_on_what_it_heard_of_others() {
+fn a_watcher_does_not_forward_confirmations_by_other_watchers() {
     let (mut feed, _) = feed_among(1, 3);
     let follower = FollowerId(1);
     let effects = feed.handle(
@@ -318,7 +322,7 @@
             known: None,
         },
     );
-    assert!(effects.is_empty(), "it holds nothing yet");
+    assert!(effects.is_empty(), "nothing is held yet");
     feed.handle(Time::ZERO, from_store(5, whole("five")));
     let silent = Time::from_millis(4_000);
     let effects = feed.handle(silent, Event::Tick);
@@ -328,14 +332,14 @@
             let effects = feed.handle(silent, confirmed);
             assert!(
                 effects.is_empty(),
-                "two nodes would confirm each other for ever"
+                "two nodes would confirm each other indefinitely"
             );
         }
     }
 }
 
 #[test]
-fn a_lost_watcher_is_asked_again_after_a_pause_and_with_what_is_held() {
+fn a_lost_watcher_is_followed_again_after_a_delay_from_the_held_revision() {
     let (mut feed, sources) = follower_among(24);
     let now = Time::from_millis(500);
     feed.handle(now, from_source(sources[0], 9, 0, whole("nine")));
@@ -350,19 +354,19 @@
 }
 
 #[test]
-fn a_watcher_that_left_the_view_is_followed_no_more() {
+fn a_watcher_that_left_the_view_is_unfollowed() {
     let (mut feed, sources) = follower_among(24);
     let mut view = members(24);
     view.retain(|member| member.node != sources[0]);
     let effects = feed.handle(Time::from_millis(600), Event::MembersChanged(view));
     assert!(effects.contains(&Effect::Unfollow(sources[0])));
     let late = from_source(sources[0], 9, 0, whole("nine"));
-    assert!(taken(&feed.handle(Time::from_millis(600), late)).is_empty());
+    assert!(applied(&feed.handle(Time::from_millis(600), late)).is_empty());
 }
 
-/// In 5 s of a store that refused everybody, 295 nodes made some 8,000 calls.
+/// During 5 s in which a store rejected all reads, 295 nodes made about 8,000 calls.
 #[test]
-fn followers_try_a_store_that_is_away_less_often_than_watchers() {
+fn followers_retry_an_unavailable_store_less_often_than_watchers() {
     let tries_within = |is_watcher: bool, limit: Duration| {
         let mut retry = StoreRetry::default();
         let mut elapsed = Duration::ZERO;
@@ -379,7 +383,7 @@
 }
 
 #[test]
-fn a_store_that_answered_is_tried_again_soon_and_nodes_that_failed_together_come_apart() {
+fn an_answer_resets_the_retry_delay_and_jitter_spreads_retries() {
     let mut retry = StoreRetry::default();
     for _ in 0..40 {
         retry.record_failure(false, 0.0);
@@ -396,8 +400,9 @@
     assert_eq!(retry.record_failure(false, 0.0), Duration::from_millis(75));
 }
 
-/// A follower in a region of so many, and how long after its start it reads the store where no watcher answers.
-fn reads_unanswered(count: u64, held: Option<u64>) -> Duration {
+/// The time after its start at which a follower in a region of `count` members reads the store if
+/// no watcher answers.
+fn direct_read_delay(count: u64, held: Option<u64>) -> Duration {
     let (mut feed, _) = follower_among(count);
     if let Some(held) = held {
         let at = StoreRevision::new(0, held);
@@ -409,19 +414,19 @@
         now = feed
             .next_deadline(now)
             .unwrap_or_else(|| panic!("no deadline after {now:?}: {count} {held:?}"));
-        if reads(&feed.handle(now, Event::Tick)) == Some(true) {
+        if reading_change(&feed.handle(now, Event::Tick)) == Some(true) {
             return now.since(Time::ZERO);
         }
     }
 }
 
 #[test]
-fn a_node_that_holds_nothing_waits_for_its_turn_and_one_that_holds_something_does_not() {
-    assert_eq!(reads_unanswered(330, Some(5)), READS_AFTER);
-    assert!(reads_unanswered(330, None) >= 2 * READS_AFTER);
-    assert!(reads_unanswered(330, None) < Duration::from_secs(15));
-    // In a small region the watchers have told everybody soon.
-    assert_eq!(reads_unanswered(8, None), READS_AFTER);
-    // The wait follows from the followers of a watcher, not from the size of the region.
-    assert!(reads_unanswered(5_000, None) < Duration::from_secs(15));
+fn only_a_node_without_content_waits_for_its_queued_delivery() {
+    assert_eq!(direct_read_delay(330, Some(5)), DIRECT_READ_TIMEOUT);
+    assert!(direct_read_delay(330, None) >= 2 * DIRECT_READ_TIMEOUT);
+    assert!(direct_read_delay(330, None) < Duration::from_secs(15));
+    // In a small region the watchers serve all followers within the normal timeout.
+    assert_eq!(direct_read_delay(8, None), DIRECT_READ_TIMEOUT);
+    // The delay depends on the number of followers per watcher, not on the size of the region.
+    assert!(direct_read_delay(5_000, None) < Duration::from_secs(15));
 }
--- a/crates/stairward-membership/tests/feed_eras.rs
+++ b/crates/stairward-membership/tests/feed_eras.rs
@@ -1,5 +1,6 @@
-//! Feeds where the store comes back from an older copy: its revisions are given out again, and name other contents. A
-//! configuration written after that was left out as older than the one that was lost, on every node.
+//! Feeds across restores of the store from an older copy, after which it assigns the same revisions
+//! to different content. The tests guard against ignoring a configuration written after a restore
+//! as older than the lost one, which happened on every node.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -8,16 +9,16 @@
 use stairward_testing::check;
 use stairward_types::{Duration, NodeId, RegionName, StoreRevision, Time};
 
-const SETTLES_AFTER: u64 = 4_000;
+const RESTORE_SETTLE_MS: u64 = 4_000;
 const MEMBERS: u64 = 24;
 
 fn members() -> Vec<PeerLocation> {
-    let place = |number| PeerLocation {
+    let index = |number| PeerLocation {
         node: NodeId(number),
         region: RegionName::new("north").unwrap(),
         leaving: false,
     };
-    (1..=MEMBERS).map(place).collect()
+    (1..=MEMBERS).map(index).collect()
 }
 
 fn feed(number: u64) -> Feed {
@@ -27,7 +28,7 @@
         direct_read_timeout: Duration::from_secs(2),
         listing_timeout: Duration::ZERO,
         store_timeout: Duration::from_secs(3),
-        restore_settle_time: Duration::from_millis(SETTLES_AFTER),
+        restore_settle_time: Duration::from_millis(RESTORE_SETTLE_MS),
     };
     let mut feed = Feed::new(parameters, Time::ZERO);
     feed.handle(Time::ZERO, Event::MembersChanged(members()));
@@ -39,11 +40,11 @@
     feeds.find(Feed::is_watcher).unwrap()
 }
 
-/// A node that follows watchers, and these.
+/// A node that follows watchers, and the watchers it follows.
 fn follower() -> (Feed, Vec<NodeId>) {
     let mut feeds = (1..=MEMBERS).map(feed);
     let mut feed = feeds.find(|feed| !feed.is_watcher()).unwrap();
-    // Both are followed once the first had its time.
+    // Follow both watchers, after the time reserved for the first.
     feed.handle(at(1), Event::Tick);
     let sources: Vec<_> = feed.sources().collect();
     (feed, sources)
@@ -84,62 +85,62 @@
     }
 }
 
-fn taken(effects: &[Effect]) -> Vec<(&FeedContent, Option<Time>)> {
-    let taken = effects.iter().filter_map(|effect| match effect {
+fn applied(effects: &[Effect]) -> Vec<(&FeedContent, Option<Time>)> {
+    let applied = effects.iter().filter_map(|effect| match effect {
         Effect::Apply { content, since, .. } => Some((content, *since)),
         _ => None,
     });
-    taken.collect()
+    applied.collect()
 }
 
 const BEFORE: StoreRevision = StoreRevision::new(0, 900);
 const AFTER: StoreRevision = StoreRevision::new(1, 40);
 
 #[test]
-fn a_listing_of_a_later_copy_is_taken_although_its_revision_is_lower() {
+fn a_listing_of_a_later_era_is_applied_despite_its_lower_revision() {
     let mut feed = watcher();
     feed.handle(at(10), from_store(10, BEFORE, whole("before")));
     let effects = feed.handle(at(20), from_store(20, AFTER, whole("after")));
-    assert_eq!(taken(&effects), [(&whole("after"), Some(at(10)))]);
+    assert_eq!(applied(&effects), [(&whole("after"), Some(at(10)))]);
     let later = StoreRevision::new(1, 41);
     let effects = feed.handle(at(30), from_store(30, later, changes("more")));
-    assert_eq!(taken(&effects).len(), 1);
+    assert_eq!(applied(&effects).len(), 1);
     assert_eq!(feed.held_revision(), Some(later));
 }
 
 #[test]
-fn a_change_in_a_later_copy_does_not_follow_on_what_an_earlier_one_told() {
+fn changes_of_a_later_era_are_not_applied_to_an_earlier_one() {
     let (mut feed, sources) = follower();
     let source = sources[0];
     feed.handle(at(10), from_source(10, source, BEFORE, whole("before")));
     let later = StoreRevision::new(1, 901);
     let effects = feed.handle(at(20), from_source(20, source, later, changes("more")));
-    assert!(taken(&effects).is_empty());
+    assert!(applied(&effects).is_empty());
     assert_eq!(feed.held_revision(), Some(BEFORE));
-    let asked = effects.iter().any(|effect| {
+    let requests = effects.iter().any(|effect| {
         let known = Some(BEFORE);
-        matches!(effect, Effect::Follow { source: to, known: told } if *to == source && *told == known)
+        matches!(effect, Effect::Follow { source: to, known: revision } if *to == source && *revision == known)
     });
-    assert!(asked, "{effects:?}");
+    assert!(requests, "{effects:?}");
 }
 
 #[test]
-fn a_follower_of_an_earlier_copy_is_told_all_objects() {
+fn a_follower_with_an_earlier_era_receives_a_snapshot() {
     let mut feed = watcher();
     feed.handle(at(10), from_store(10, AFTER, whole("after")));
-    let asked = Event::FollowRequested {
+    let requests = Event::FollowRequested {
         follower: FollowerId(7),
         known: Some(BEFORE),
     };
-    let effects = feed.handle(at(11), asked);
-    let told = effects.iter().any(|effect| {
+    let effects = feed.handle(at(11), requests);
+    let pushed = effects.iter().any(|effect| {
         matches!(effect, Effect::Push { content: FeedContent::Snapshot(_), at, .. } if *at == AFTER)
     });
-    assert!(told, "{effects:?}");
+    assert!(pushed, "{effects:?}");
 }
 
 #[test]
-fn a_watcher_that_still_speaks_for_an_earlier_copy_confirms_nothing() {
+fn a_watcher_with_an_earlier_era_confirms_nothing() {
     let (mut feed, sources) = follower();
     let source = sources[0];
     feed.handle(at(10), from_source(10, source, AFTER, whole("after")));
@@ -147,7 +148,7 @@
     for now in (20..5_000).step_by(100) {
         let old = from_source(now, source, BEFORE, FeedContent::Unchanged);
         let effects = feed.handle(at(now), old);
-        assert!(taken(&effects).is_empty());
+        assert!(applied(&effects).is_empty());
         if effects.contains(&Effect::ReadStore(true)) {
             reads_at = Some(now);
             break;
@@ -155,54 +156,60 @@
     }
     assert!(
         reads_at.is_some_and(|now| now < 2_200),
-        "it reads the store itself: {reads_at:?}"
+        "must read the store directly: {reads_at:?}"
     );
 }
 
 #[test]
-fn content_of_an_earlier_copy_is_not_taken_after_what_was_held_was_refused() {
+fn content_of_an_earlier_era_is_rejected_even_after_a_mismatch() {
     let (mut feed, sources) = follower();
     let source = sources[0];
     feed.handle(at(10), from_source(10, source, AFTER, whole("after")));
     feed.handle(at(20), Event::ContentMismatch);
     let effects = feed.handle(at(30), from_source(30, source, BEFORE, whole("before")));
-    assert!(taken(&effects).is_empty());
+    assert!(applied(&effects).is_empty());
 }
 
 #[test]
-fn what_was_lost_may_be_written_again_for_a_while_and_news_of_that_time_is_dated_before_the_loss() {
+fn changes_during_the_settle_time_are_dated_before_the_restore() {
     let mut feed = watcher();
     feed.handle(at(10), from_store(10, BEFORE, whole("before")));
     feed.handle(at(1_000), from_store(1_000, AFTER, whole("after")));
-    let news = StoreRevision::new(1, 41);
-    let effects = feed.handle(at(2_000), from_store(2_000, news, changes("lost word")));
-    assert_eq!(taken(&effects), [(&changes("lost word"), Some(at(10)))]);
+    let update = StoreRevision::new(1, 41);
+    let effects = feed.handle(
+        at(2_000),
+        from_store(2_000, update, changes("lost content")),
+    );
+    assert_eq!(
+        applied(&effects),
+        [(&changes("lost content"), Some(at(10)))]
+    );
     assert_eq!(
         feed.next_deadline(at(4_999)),
-        Some(at(1_000 + SETTLES_AFTER))
+        Some(at(1_000 + RESTORE_SETTLE_MS))
     );
-    let effects = feed.handle(at(1_000 + SETTLES_AFTER), Event::Tick);
+    let effects = feed.handle(at(1_000 + RESTORE_SETTLE_MS), Event::Tick);
     assert!(effects.contains(&Effect::RestoreSettled), "{effects:?}");
-    let unchanged = from_store(5_100, news, FeedContent::Unchanged);
+    let unchanged = from_store(5_100, update, FeedContent::Unchanged);
     feed.handle(at(5_100), unchanged);
     let later = StoreRevision::new(1, 42);
     let effects = feed.handle(at(5_200), from_store(5_200, later, changes("news")));
-    assert_eq!(taken(&effects), [(&changes("news"), Some(at(5_100)))]);
+    assert_eq!(applied(&effects), [(&changes("news"), Some(at(5_100)))]);
 }
 
 #[test]
-fn a_node_that_starts_after_a_restore_dates_no_news_by_what_the_copy_showed() {
+fn a_node_started_after_a_restore_does_not_date_changes() {
     let mut feed = watcher();
     feed.handle(at(10), from_store(10, AFTER, whole("after")));
-    let news = StoreRevision::new(1, 41);
-    let effects = feed.handle(at(20), from_store(20, news, changes("lost word")));
-    assert_eq!(taken(&effects), [(&changes("lost word"), None)]);
+    let update = StoreRevision::new(1, 41);
+    let effects = feed.handle(at(20), from_store(20, update, changes("lost content")));
+    assert_eq!(applied(&effects), [(&changes("lost content"), None)]);
 }
 
 /// An object's value, and the revision of its last change.
 type Objects = BTreeMap<u8, (u64, StoreRevision)>;
 
-/// A store that takes copies of itself and comes back from them.
+/// A store that can be copied and restored.
 #[derive(Default)]
 struct Store {
     era: u64,
@@ -210,7 +217,7 @@
     objects: Objects,
     written: u64,
     copies: Vec<(u64, Objects)>,
-    /// What it held at each moment of its life.
+    /// The content at each revision.
     history: BTreeMap<StoreRevision, Vec<(u8, u64)>>,
 }
 
@@ -251,7 +258,7 @@
         self.remember();
     }
 
-    /// What a reader is told that has read up to here.
+    /// The answer to a reader that has read up to this revision.
     fn answer(&self, read: Option<StoreRevision>) -> FeedContent {
         let known = read.filter(|read| read.era() == self.era && read.revision() <= self.revision);
         match known {
@@ -304,7 +311,7 @@
 struct Node {
     feed: Feed,
     objects: Objects,
-    /// Up to where it has read the store, as a reader of it.
+    /// The revision up to which it has read the store.
     read: Option<StoreRevision>,
 }
 
@@ -317,8 +324,8 @@
         }
     }
 
-    /// Takes content over. Returns whether the objects are now those that it is about.
-    fn take(&mut self, content: &FeedContent) -> bool {
+    /// Applies content. Returns whether the objects match the content's digest.
+    fn apply(&mut self, content: &FeedContent) -> bool {
         match content {
             FeedContent::Snapshot(bytes) => self.objects = unpack(bytes),
             FeedContent::Changes(bytes) => self.objects.extend(unpack(bytes)),
@@ -340,14 +347,14 @@
     now: Time,
     watchers: Vec<(NodeId, Node)>,
     follower: Node,
-    /// What each watcher has told and the follower has not heard yet.
-    told: Vec<VecDeque<Event>>,
-    /// What the follower has asked of each watcher.
-    asked: Vec<VecDeque<Event>>,
+    /// Messages in transit from each watcher to the follower.
+    to_follower: Vec<VecDeque<Event>>,
+    /// Messages in transit from the follower to each watcher.
+    to_watchers: Vec<VecDeque<Event>>,
 }
 
-/// Messages each way that settle everything between two nodes.
-const MESSAGES_AT_REST: usize = 1_000;
+/// Upper bound on the messages in each direction until two nodes are idle.
+const MAXIMUM_MESSAGES: usize = 1_000;
 const FOLLOWER: FollowerId = FollowerId(1);
 
 impl Fleet {
@@ -358,8 +365,8 @@
             now: at(2_000),
             watchers: Vec::new(),
             follower: Node::new(feed),
-            told: vec![VecDeque::new(); 2],
-            asked: vec![VecDeque::new(); 2],
+            to_follower: vec![VecDeque::new(); 2],
+            to_watchers: vec![VecDeque::new(); 2],
         };
         fleet.store.remember();
         let effects = fleet.follower.feed.handle(fleet.now, Event::Tick);
@@ -370,68 +377,68 @@
                 .watchers
                 .push((*source, Node::new(watcher_numbered(source.0))));
         }
-        // The first watcher was asked when the follower was made.
-        for place in 0..2 {
-            fleet.asked[place].push_back(asks(None));
+        // Queue the follow requests, of which the first was sent when the follower was created.
+        for index in 0..2 {
+            fleet.to_watchers[index].push_back(follow_request(None));
         }
         drop(effects);
         fleet
     }
 
-    fn place(&self, source: NodeId) -> usize {
-        let mut places = self.watchers.iter();
-        places.position(|(node, _)| *node == source).unwrap()
+    fn index(&self, source: NodeId) -> usize {
+        let mut positions = self.watchers.iter();
+        positions.position(|(node, _)| *node == source).unwrap()
     }
 
     fn step(&mut self, kind: u8, argument: u8) {
-        let place = usize::from(argument) % 2;
+        let index = usize::from(argument) % 2;
         match kind % 9 {
             0 | 1 => self.store.write(argument % 4),
             2 => self.store.copy(),
             3 => self.store.restore(),
-            4 => self.read(place),
-            5 | 6 => self.hear(place),
-            7 => self.pass_on(place),
+            4 => self.read(index),
+            5 | 6 => self.deliver_to_follower(index),
+            7 => self.deliver_to_watcher(index),
             _ => {
                 self.now = self.now + Duration::from_millis(u64::from(argument) * 4);
-                self.tell_follower(Event::Tick);
-                for place in 0..2 {
-                    self.tell_watcher(place, Event::Tick);
+                self.handle_at_follower(Event::Tick);
+                for index in 0..2 {
+                    self.handle_at_watcher(index, Event::Tick);
                 }
             }
         }
     }
 
-    fn read(&mut self, place: usize) {
-        let read = self.watchers[place].1.read;
+    fn read(&mut self, index: usize) {
+        let read = self.watchers[index].1.read;
         let content = self.store.answer(read);
         let at = self.store.at();
-        self.watchers[place].1.read = Some(at);
+        self.watchers[index].1.read = Some(at);
         let answered = Event::StoreAnswered {
             at,
             current_at: self.now,
             content,
         };
-        self.tell_watcher(place, answered);
+        self.handle_at_watcher(index, answered);
     }
 
-    fn hear(&mut self, place: usize) {
-        if let Some(event) = self.told[place].pop_front() {
-            self.tell_follower(event);
+    fn deliver_to_follower(&mut self, index: usize) {
+        if let Some(event) = self.to_follower[index].pop_front() {
+            self.handle_at_follower(event);
         }
     }
 
-    fn pass_on(&mut self, place: usize) {
-        if let Some(event) = self.asked[place].pop_front() {
-            self.tell_watcher(place, event);
+    fn deliver_to_watcher(&mut self, index: usize) {
+        if let Some(event) = self.to_watchers[index].pop_front() {
+            self.handle_at_watcher(index, event);
         }
     }
 
-    fn tell_watcher(&mut self, place: usize, event: Event) {
-        let (source, node) = &mut self.watchers[place];
+    fn handle_at_watcher(&mut self, index: usize, event: Event) {
+        let (source, node) = &mut self.watchers[index];
         for effect in node.feed.handle(self.now, event) {
             match effect {
-                Effect::Apply { content, .. } => assert!(node.take(&content)),
+                Effect::Apply { content, .. } => assert!(node.apply(&content)),
                 Effect::Push {
                     at,
                     age,
@@ -448,7 +455,7 @@
                         },
                         other => other,
                     };
-                    self.told[place].push_back(Event::SourceAnswered {
+                    self.to_follower[index].push_back(Event::SourceAnswered {
                         source: *source,
                         at,
                         age,
@@ -461,30 +468,31 @@
         }
     }
 
-    fn tell_follower(&mut self, event: Event) {
+    fn handle_at_follower(&mut self, event: Event) {
         for effect in self.follower.feed.handle(self.now, event) {
             match effect {
                 Effect::Apply { content, .. } => {
-                    let is_in_turn = !matches!(content, FeedContent::Changes(_));
-                    if !self.follower.take(&content) {
-                        self.tell_follower(Event::ContentMismatch);
-                    } else if is_in_turn && let Some(held) = self.follower.feed.held_revision() {
-                        for asked in &mut self.asked {
+                    let is_acknowledged = !matches!(content, FeedContent::Changes(_));
+                    if !self.follower.apply(&content) {
+                        self.handle_at_follower(Event::ContentMismatch);
+                    } else if is_acknowledged && let Some(held) = self.follower.feed.held_revision()
+                    {
+                        for requests in &mut self.to_watchers {
                             let follower = FOLLOWER;
-                            asked.push_back(Event::FollowerAcknowledged { follower, held });
+                            requests.push_back(Event::FollowerAcknowledged { follower, held });
                         }
                     }
                 }
                 Effect::Follow { source, known } => {
-                    let place = self.place(source);
-                    self.asked[place].push_back(asks(known));
+                    let index = self.index(source);
+                    self.to_watchers[index].push_back(follow_request(known));
                 }
                 _ => {}
             }
         }
     }
 
-    /// Each node's objects are those that the store had at the revision that the node holds.
+    /// Checks that each node's objects equal those of the store at the node's held revision.
     fn check(&self) {
         let nodes = self.watchers.iter().map(|(_, node)| node);
         for node in nodes.chain([&self.follower]) {
@@ -498,28 +506,29 @@
         }
     }
 
-    /// Every message arrives, and the store is read once more.
-    fn come_to_rest(&mut self) {
+    /// Delivers all messages and reads the store again.
+    fn settle(&mut self) {
         for _ in 0..6 {
             self.now = self.now + Duration::from_millis(600);
-            for place in 0..2 {
-                self.read(place);
-                self.tell_watcher(place, Event::Tick);
+            for index in 0..2 {
+                self.read(index);
+                self.handle_at_watcher(index, Event::Tick);
             }
-            self.tell_follower(Event::Tick);
-            for place in 0..2 {
-                for _ in 0..MESSAGES_AT_REST {
-                    self.pass_on(place);
-                    self.hear(place);
+            self.handle_at_follower(Event::Tick);
+            for index in 0..2 {
+                for _ in 0..MAXIMUM_MESSAGES {
+                    self.deliver_to_watcher(index);
+                    self.deliver_to_follower(index);
                 }
-                let is_quiet = self.told[place].is_empty() && self.asked[place].is_empty();
-                assert!(is_quiet, "the nodes go on asking and telling");
+                let is_quiet =
+                    self.to_follower[index].is_empty() && self.to_watchers[index].is_empty();
+                assert!(is_quiet, "the nodes do not become idle");
             }
         }
     }
 }
 
-fn asks(known: Option<StoreRevision>) -> Event {
+fn follow_request(known: Option<StoreRevision>) -> Event {
     let follower = FOLLOWER;
     Event::FollowRequested { follower, known }
 }
@@ -531,14 +540,14 @@
 }
 
 #[test]
-fn what_a_node_holds_is_what_the_store_had_whatever_copies_it_came_back_from() {
+fn held_content_matches_the_store_history_across_restores() {
     check!().with_type::<Vec<(u8, u8)>>().for_each(|steps| {
         let mut fleet = Fleet::new();
         for (kind, argument) in steps {
             fleet.step(*kind, *argument);
             fleet.check();
         }
-        fleet.come_to_rest();
+        fleet.settle();
         fleet.check();
         assert_eq!(fleet.follower.feed.held_revision(), Some(fleet.store.at()));
     });
--- a/crates/stairward-membership/tests/restored_view.rs
+++ b/crates/stairward-membership/tests/restored_view.rs
@@ -1,4 +1,5 @@
-//! While what a restored store lost is written again, its older word takes back nothing that a node knew.
+//! While lost objects are being rewritten after a restore of the store, its older content does not
+//! revert what a node knew.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +9,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Entry {
     at: StoreRevision,
-    word: &'static str,
+    state: &'static str,
 }
 
 impl StoreObject for Entry {
@@ -17,30 +18,31 @@
     }
 
     fn has_same_content(&self, other: &Self) -> bool {
-        self.word == other.word
+        self.state == other.state
     }
 }
 
 fn entries(era: u64, entries: &[(&str, u64, &'static str)]) -> BTreeMap<String, Entry> {
-    let entry = |revision, word| Entry {
+    let entry = |revision, state| Entry {
         at: StoreRevision::new(era, revision),
-        word,
+        state,
     };
     let entries = entries.iter();
     entries
-        .map(|(name, revision, word)| ((*name).to_owned(), entry(*revision, *word)))
+        .map(|(name, revision, state)| ((*name).to_owned(), entry(*revision, *state)))
         .collect()
 }
 
-fn words(entries: &BTreeMap<String, Entry>) -> Vec<(&str, &str)> {
-    let words = entries
+fn states(entries: &BTreeMap<String, Entry>) -> Vec<(&str, &str)> {
+    let states = entries
         .iter()
-        .map(|(name, entry)| (name.as_str(), entry.word));
-    words.collect()
+        .map(|(name, entry)| (name.as_str(), entry.state));
+    states.collect()
 }
 
-/// What is seen of a listing of a restored store by who knew something and that something had gone.
-fn seen(
+/// The view after a listing of a restored store, on a node that knew `known` and the deletion of
+/// `gone`.
+fn view_after_restore(
     known: &[(&str, u64, &'static str)],
     gone: &[&str],
     listed: &[(&str, u64, &'static str)],
@@ -55,29 +57,30 @@
 }
 
 #[test]
-fn a_back_end_that_leaves_does_not_read_as_staying() {
-    let (mut view, listed) = seen(&[("db", 80, "draining")], &[], &[("db", 20, "ready")]);
+fn a_restore_does_not_revert_a_leaving_back_end() {
+    let (mut view, listed) =
+        view_after_restore(&[("db", 80, "draining")], &[], &[("db", 20, "ready")]);
     assert_eq!(
-        words(&view.effective_objects(&listed)),
+        states(&view.effective_objects(&listed)),
         [("db", "draining")]
     );
     view.mark_written("db");
-    assert_eq!(words(&view.effective_objects(&listed)), [("db", "ready")]);
+    assert_eq!(states(&view.effective_objects(&listed)), [("db", "ready")]);
 }
 
 #[test]
-fn a_back_end_that_has_ended_is_not_there_again() {
-    let (mut view, listed) = seen(&[], &["db"], &[("db", 20, "ready")]);
+fn a_restore_does_not_bring_back_a_removed_back_end() {
+    let (mut view, listed) = view_after_restore(&[], &["db"], &[("db", 20, "ready")]);
     assert!(view.effective_objects(&listed).is_empty());
     assert_eq!(view.clear_retained().len(), 1);
-    assert_eq!(words(&view.effective_objects(&listed)), [("db", "ready")]);
+    assert_eq!(states(&view.effective_objects(&listed)), [("db", "ready")]);
 }
 
 #[test]
-fn an_evacuation_that_the_copy_lacks_is_kept_until_nobody_writes_it_again() {
-    let (mut view, listed) = seen(&[("zone", 80, "evacuated")], &[], &[]);
+fn a_lost_evacuation_is_retained_until_the_restore_settles() {
+    let (mut view, listed) = view_after_restore(&[("zone", 80, "evacuated")], &[], &[]);
     assert_eq!(
-        words(&view.effective_objects(&listed)),
+        states(&view.effective_objects(&listed)),
         [("zone", "evacuated")]
     );
     view.clear_retained();
@@ -86,26 +89,30 @@
 }
 
 #[test]
-fn what_was_written_again_counts_at_once() {
-    let (view, _) = seen(&[("db", 80, "ready")], &[], &[("db", 80, "draining")]);
-    assert!(view.matches_store(), "the same revision with another word");
-    let (view, _) = seen(&[("db", 80, "ready")], &[], &[("db", 81, "draining")]);
+fn rewritten_objects_take_effect_at_once() {
+    let (view, _) = view_after_restore(&[("db", 80, "ready")], &[], &[("db", 80, "draining")]);
+    assert!(view.matches_store(), "the same revision with other content");
+    let (view, _) = view_after_restore(&[("db", 80, "ready")], &[], &[("db", 81, "draining")]);
     assert!(view.matches_store());
-    let (view, _) = seen(&[], &[], &[("new", 5, "ready")]);
+    let (view, _) = view_after_restore(&[], &[], &[("new", 5, "ready")]);
     assert!(view.matches_store(), "never seen before");
 }
 
 #[test]
-fn what_a_second_restore_brings_takes_back_nothing_either() {
-    let (mut view, listed) = seen(&[("db", 80, "draining")], &[], &[("db", 20, "ready")]);
+fn a_second_restore_does_not_revert_retained_objects() {
+    let (mut view, listed) =
+        view_after_restore(&[("db", 80, "draining")], &[], &[("db", 20, "ready")]);
     let again = entries(2, &[("db", 20, "ready")]);
     assert!(view.apply_listing(Some(2), listed, Vec::new(), &again));
-    assert_eq!(words(&view.effective_objects(&again)), [("db", "draining")]);
+    assert_eq!(
+        states(&view.effective_objects(&again)),
+        [("db", "draining")]
+    );
 }
 
 #[test]
-fn a_second_restore_brings_back_nothing_that_has_ended() {
-    let (mut view, listed) = seen(&[], &["db"], &[("db", 20, "ready")]);
+fn a_second_restore_does_not_bring_back_removed_objects() {
+    let (mut view, listed) = view_after_restore(&[], &["db"], &[("db", 20, "ready")]);
     let again = entries(2, &[("db", 20, "ready")]);
     assert!(view.apply_listing(Some(2), listed, Vec::new(), &again));
     assert!(view.effective_objects(&again).is_empty());
