--- a/crates/stairward-membership/tests/configuration.rs
+++ b/crates/stairward-membership/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration spreader: what it guarantees, under arbitrary schedules and in known trouble.
+//! Settings dissemination: guarantees under arbitrary schedules and under specific faults.
 
 mod configuration_support;
 
@@ -14,7 +14,8 @@
 const SECOND: Duration = Duration::from_secs(1);
 const NODES: usize = 5;
 
-/// Parameters under which only the store, directly or through peers, makes a node ready.
+/// Parameters under which a node becomes ready only by proof from the store, received directly or
+/// through peers.
 fn store_only() -> DisseminationParameters {
     DisseminationParameters {
         confirmation_timeout: Duration::from_secs(1_000_000),
@@ -33,24 +34,25 @@
     fleet.nodes.iter().all(|node| node.in_force == revision)
 }
 
-/// One step of a schedule. The harness asserts after each event that no serving place goes back.
+/// Performs one step of a schedule. The harness asserts after each event that no serving node
+/// reverts to an older revision.
 fn step(fleet: &mut Fleet, choice: u8, argument: u8) {
     let node = usize::from(argument) % NODES;
-    let mail = usize::from(argument) % fleet.mail.len().max(1);
+    let message = usize::from(argument) % fleet.messages.len().max(1);
     match choice % 12 {
         0 | 1 => fleet.advance(Duration::from_millis(u64::from(argument) * 4)),
         2 | 3 => fleet.answer_read(node),
         4..=7 => {
-            if let Some(mail) = fleet.mail.remove(mail) {
-                fleet.deliver(mail);
+            if let Some(message) = fleet.messages.remove(message) {
+                fleet.deliver(message);
             }
         }
         8 => {
-            fleet.mail.remove(mail);
+            fleet.messages.remove(message);
         }
         9 => {
-            if let Some(copy) = fleet.mail.get(mail).cloned() {
-                fleet.mail.push_back(copy);
+            if let Some(copy) = fleet.messages.get(message).cloned() {
+                fleet.messages.push_back(copy);
             }
         }
         10 => fleet.edit(node),
@@ -60,7 +62,7 @@
 }
 
 #[test]
-fn no_schedule_makes_a_place_serve_an_older_revision() {
+fn no_schedule_makes_a_node_serve_an_older_revision() {
     check!().with_type::<Vec<(u8, u8)>>().for_each(|schedule| {
         let mut fleet = Fleet::new(NODES, store_only());
         fleet.run(3 * SECOND);
@@ -70,26 +72,27 @@
     });
 }
 
-/// Shows that the harness can tell: one peer's word, without a wait, is not proof.
+/// Verifies that the harness detects the fault: the answer of a single peer, accepted without a
+/// delay, is not proof.
 #[test]
 #[should_panic(expected = "serves 1 after 2")]
-fn a_node_that_believes_any_one_peer_is_caught() {
-    let credulous = DisseminationParameters {
+fn harness_detects_a_node_that_trusts_a_single_peer() {
+    let trusting = DisseminationParameters {
         confirmation_timeout: Duration::ZERO,
         confirmations: 1,
         ..DisseminationParameters::default()
     };
-    let mut fleet = Fleet::new(NODES, credulous);
+    let mut fleet = Fleet::new(NODES, trusting);
     fleet.run(5 * SECOND);
     fleet.edit(0);
-    fleet.mail.clear();
+    fleet.messages.clear();
     fleet.store_is_up = false;
     fleet.restart(0);
     fleet.run(10 * SECOND);
 }
 
 #[test]
-fn after_any_schedule_all_nodes_come_to_hold_the_newest_revision() {
+fn all_nodes_converge_to_the_newest_revision_after_any_schedule() {
     check!().with_type::<Vec<(u8, u8)>>().for_each(|schedule| {
         let mut fleet = Fleet::new(NODES, store_only());
         for (choice, argument) in schedule {
@@ -105,8 +108,8 @@
 fn an_edit_reaches_all_nodes_without_the_store_being_read_again() {
     let mut fleet = settled_fleet(40);
     fleet.edit(7);
-    while let Some(mail) = fleet.mail.pop_front() {
-        fleet.deliver(mail);
+    while let Some(message) = fleet.messages.pop_front() {
+        fleet.deliver(message);
     }
     assert!(all_hold(&fleet, Revision(2)));
 }
@@ -114,16 +117,19 @@
 #[test]
 fn two_nodes_of_a_region_read_the_store() {
     let fleet = settled_fleet(40);
-    let watchers = fleet.nodes.iter().filter(|node| node.spreader.is_watcher());
+    let watchers = fleet
+        .nodes
+        .iter()
+        .filter(|node| node.disseminator.is_watcher());
     assert_eq!(watchers.count(), 2);
 }
 
 #[test]
 fn a_watcher_stands_down_when_the_store_has_too_many_readers() {
     let mut fleet = settled_fleet(3);
-    let is_watcher = |fleet: &Fleet, node: usize| fleet.nodes[node].spreader.is_watcher();
+    let is_watcher = |fleet: &Fleet, node: usize| fleet.nodes[node].disseminator.is_watcher();
     let watcher = (0..3).find(|node| is_watcher(&fleet, *node));
-    let watcher = watcher.expect("somebody watches");
+    let watcher = watcher.expect("a watcher exists");
     fleet.handle(watcher, Event::StoreAnswered(StoreAnswer::TooManyReaders));
     assert!(!is_watcher(&fleet, watcher));
     fleet.run(5 * SECOND);
@@ -139,11 +145,11 @@
     fleet.run(60 * SECOND);
     for node in &fleet.nodes {
         assert_eq!(
-            node.spreader.source_status(fleet.now),
+            node.disseminator.source_status(fleet.now),
             SourceStatus::StoreUnreachable
         );
-        assert!(node.spreader.trusted_until(fleet.now) > fleet.now);
-        let age = node.spreader.source_age(fleet.now);
+        assert!(node.disseminator.trusted_until(fleet.now) > fleet.now);
+        let age = node.disseminator.source_age(fleet.now);
         assert!(age.is_some_and(|age| age > 55 * SECOND));
     }
 }
@@ -157,7 +163,7 @@
     fleet.run(10 * SECOND);
     fleet.restart(4);
     fleet.run(SECOND);
-    assert!(!fleet.is_ready(4), "too early to be sure");
+    assert!(!fleet.is_ready(4), "confirmations must be awaited first");
     fleet.run(9 * SECOND);
     assert!(fleet.is_ready(4));
     assert_eq!(fleet.nodes[4].in_force, Revision(2));
@@ -176,33 +182,33 @@
     let mut fleet = settled_fleet(5);
     let limit = DisseminationParameters::default().source_timeout;
     let last_heard = fleet.now;
-    // Time passes for one node, and nothing reaches it. Its view still shows everybody.
+    // Time passes for one node that receives nothing, while its view still contains all members.
     while fleet.now < last_heard + limit + SECOND {
         fleet.now = fleet.now + Duration::from_millis(100);
         fleet.handle(0, Event::Tick);
         if fleet.nodes[0].reads.pop_front().is_some() {
             fleet.handle(0, Event::StoreAnswered(StoreAnswer::Failed));
         }
-        fleet.mail.clear();
+        fleet.messages.clear();
     }
-    let spreader = &fleet.nodes[0].spreader;
-    assert_eq!(spreader.source_status(fleet.now), SourceStatus::CutOff);
-    assert!(spreader.trusted_until(fleet.now) < fleet.now);
+    let disseminator = &fleet.nodes[0].disseminator;
+    assert_eq!(disseminator.source_status(fleet.now), SourceStatus::CutOff);
+    assert!(disseminator.trusted_until(fleet.now) < fleet.now);
 }
 
 #[test]
 fn a_store_that_answers_with_an_older_revision_proves_nothing() {
     let mut fleet = settled_fleet(1);
     fleet.edit(0);
-    let before = fleet.nodes[0].spreader.store_read_at();
+    let before = fleet.nodes[0].disseminator.store_read_at();
     fleet.advance(SECOND);
     fleet.handle(0, Event::StoreAnswered(StoreAnswer::Read(Revision(1))));
     assert_eq!(fleet.nodes[0].in_force, Revision(2));
-    assert_eq!(fleet.nodes[0].spreader.store_read_at(), before);
+    assert_eq!(fleet.nodes[0].disseminator.store_read_at(), before);
 }
 
 #[test]
-fn the_neighbour_relation_is_symmetric_and_few() {
+fn neighbour_relation_is_symmetric_and_sparse() {
     let members: Vec<NodeId> = (0..200).map(id).collect();
     for member in &members {
         let own = neighbours(*member, &members, 3);
@@ -214,7 +220,7 @@
 }
 
 #[test]
-fn the_neighbour_graph_is_a_few_hops_wide() {
+fn neighbour_graph_has_a_small_diameter() {
     let members: Vec<NodeId> = (0..1_400).map(id).collect();
     let mut reached = BTreeSet::from([id(0)]);
     let mut frontier = vec![id(0)];
@@ -231,42 +237,42 @@
 }
 
 #[test]
-fn ages_only_count_from_before_the_question() {
+fn delayed_answers_do_not_make_proof_look_fresher() {
     let mut fleet = settled_fleet(2);
-    let start: Time = fleet.now;
+    let start_node: Time = fleet.now;
     fleet.store_is_up = false;
-    // Answers wait on the way for a long time: their proof must not look younger for that.
+    // Answers are delayed in transit, which must not make their proof look fresher.
     fleet.advance(Duration::from_millis(1_500));
-    let delayed: Vec<_> = fleet.mail.drain(..).collect();
+    let delayed: Vec<_> = fleet.messages.drain(..).collect();
     fleet.now = fleet.now + 60 * SECOND;
-    for mail in delayed {
-        fleet.deliver(mail);
+    for message in delayed {
+        fleet.deliver(message);
     }
     let latest = fleet
         .nodes
         .iter()
-        .filter_map(|node| node.spreader.store_read_at());
-    assert!(latest.max() <= Some(start));
+        .filter_map(|node| node.disseminator.store_read_at());
+    assert!(latest.max() <= Some(start_node));
 }
 
 #[test]
 fn a_minority_that_loses_the_others_and_the_store_stops_trusting_its_settings() {
     let mut fleet = settled_fleet(5);
-    // The view shrinks before the last proof from the store has grown old.
-    fleet.show_members(0, &[0, 1]);
-    fleet.show_members(1, &[0, 1]);
+    // The view shrinks before the last proof from the store expires.
+    fleet.set_view(0, &[0, 1]);
+    fleet.set_view(1, &[0, 1]);
     fleet.store_is_up = false;
     for _ in 0..100 {
         fleet.advance(Duration::from_millis(100));
         (0..2).for_each(|node| fleet.answer_read(node));
-        while let Some(mail) = fleet.mail.pop_front() {
-            if mail.is_between(&[0, 1]) {
-                fleet.deliver(mail);
+        while let Some(message) = fleet.messages.pop_front() {
+            if message.is_between(&[0, 1]) {
+                fleet.deliver(message);
             }
         }
     }
     for node in &fleet.nodes[..2] {
-        let status = node.spreader.source_status(fleet.now);
+        let status = node.disseminator.source_status(fleet.now);
         assert_eq!(status, SourceStatus::CutOff);
     }
 }
--- a/crates/stairward-membership/tests/configuration_support/mod.rs
+++ b/crates/stairward-membership/tests/configuration_support/mod.rs
@@ -1,4 +1,4 @@
-//! A few spreaders, the mail between them and a store, all under the test's control.
+//! Test harness: a few nodes with settings dissemination, the messages between them, and a store.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -14,86 +14,86 @@
 /// How long a node waits for the answer to an exchange.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A message on its way.
+/// A message in transit.
 #[derive(Debug, Clone)]
-pub enum Mail {
-    /// Starts an exchange.
-    Ask {
+pub enum Message {
+    /// The request of an exchange.
+    Request {
         from: usize,
         to: usize,
         exchange: ExchangeId,
         request: ExchangeRequest,
     },
-    /// Answers it, to the life of the process that had asked.
+    /// The answer, addressed to the incarnation that sent the request.
     Answer {
         from: usize,
         to: usize,
-        life: u32,
+        incarnation: u32,
         exchange: ExchangeId,
         answer: ExchangeAnswer,
     },
 }
 
-impl Mail {
-    /// Whether both ends are among these nodes.
+impl Message {
+    /// Whether sender and receiver are among these nodes.
     pub fn is_between(&self, nodes: &[usize]) -> bool {
-        let (Self::Ask { from, to, .. } | Self::Answer { from, to, .. }) = self;
+        let (Self::Request { from, to, .. } | Self::Answer { from, to, .. }) = self;
         nodes.contains(from) && nodes.contains(to)
     }
 }
 
-/// One place of the fleet.
+/// One node of the fleet.
 pub struct Node {
-    pub spreader: ConfigurationDisseminator,
+    pub disseminator: ConfigurationDisseminator,
     pub in_force: Revision,
-    /// The highest revision in force while serving, over all lives of the place.
+    /// The highest revision in force while serving, over all incarnations of the node.
     pub highest_served: Revision,
     pub reads: VecDeque<()>,
-    /// Exchanges without an answer, and when each is given up.
-    open: BTreeMap<ExchangeId, Time>,
-    life: u32,
-    asked: Vec<(u64, usize, u32, ExchangeId)>,
+    /// Unanswered exchanges and their deadlines.
+    deadlines: BTreeMap<ExchangeId, Time>,
+    incarnation: u32,
+    open_calls: Vec<(u64, usize, u32, ExchangeId)>,
     next_call: u64,
     rng: StdRng,
 }
 
-/// The fleet.
+/// All nodes, the messages in transit and the store.
 pub struct Fleet {
     pub now: Time,
     pub nodes: Vec<Node>,
-    pub mail: VecDeque<Mail>,
+    pub messages: VecDeque<Message>,
     pub newest: Revision,
     pub store_is_up: bool,
     parameters: DisseminationParameters,
 }
 
 impl Fleet {
-    /// Nodes that have just started and see each other; the store holds revision 1.
+    /// Nodes that have just started, with complete views; the store holds revision 1.
     pub fn new(nodes: usize, parameters: DisseminationParameters) -> Self {
         let now = Time::ZERO;
         let mut fleet = Self {
             now,
             nodes: (0..nodes)
-                .map(|node| start(now, node, 0, &parameters))
+                .map(|node| start_node(now, node, 0, &parameters))
                 .collect(),
-            mail: VecDeque::new(),
+            messages: VecDeque::new(),
             newest: Revision(1),
             store_is_up: true,
             parameters,
         };
-        fleet.show_all_members();
+        fleet.set_full_views();
         fleet
     }
 
-    pub fn show_all_members(&mut self) {
+    pub fn set_full_views(&mut self) {
         let all: Vec<usize> = (0..self.nodes.len()).collect();
         for node in 0..self.nodes.len() {
-            self.show_members(node, &all);
+            self.set_view(node, &all);
         }
     }
 
-    pub fn show_members(&mut self, node: usize, members: &[usize]) {
-        let places: Arc<[PeerLocation]> = members
+    pub fn set_view(&mut self, node: usize, members: &[usize]) {
+        let locations: Arc<[PeerLocation]> = members
             .iter()
             .map(|member| PeerLocation {
                 node: id(*member),
@@ -101,28 +101,28 @@
                 leaving: false,
             })
             .collect();
-        self.handle(node, Event::MembersChanged(places));
+        self.handle(node, Event::MembersChanged(locations));
     }
 
-    /// Replaces a process by a new one that knows nothing.
+    /// Replaces a process by a new one without any state.
     pub fn restart(&mut self, node: usize) {
         let old = &self.nodes[node];
         let highest_served = old.highest_served;
-        let mut fresh = start(self.now, node, old.life + 1, &self.parameters);
+        let mut fresh = start_node(self.now, node, old.incarnation + 1, &self.parameters);
         fresh.highest_served = highest_served;
         self.nodes[node] = fresh;
         let all: Vec<usize> = (0..self.nodes.len()).collect();
-        self.show_members(node, &all);
+        self.set_view(node, &all);
     }
 
-    /// The store accepts an edit made through a node, which learns of it at once.
+    /// Commits an edit to the store through a node, which applies it at once.
     pub fn edit(&mut self, node: usize) {
         if !self.store_is_up {
             return;
         }
         self.newest = Revision(self.newest.0 + 1);
         let newest = self.newest;
-        if let Some(applied) = self.put_in_force(node, newest) {
+        if let Some(applied) = self.apply_revision(node, newest) {
             self.handle(node, applied);
         }
     }
@@ -130,26 +130,26 @@
     pub fn advance(&mut self, time: Duration) {
         self.now = self.now + time;
         for node in 0..self.nodes.len() {
-            self.give_up_exchanges(node);
+            self.expire_exchanges(node);
             self.handle(node, Event::Tick);
         }
     }
 
-    fn give_up_exchanges(&mut self, node: usize) {
+    fn expire_exchanges(&mut self, node: usize) {
         let now = self.now;
-        let open = &mut self.nodes[node].open;
-        let expired: Vec<ExchangeId> = open
+        let deadlines = &mut self.nodes[node].deadlines;
+        let expired: Vec<ExchangeId> = deadlines
             .iter()
             .filter(|(_, deadline)| now >= **deadline)
             .map(|(exchange, _)| *exchange)
             .collect();
-        open.retain(|_, deadline| now < *deadline);
+        deadlines.retain(|_, deadline| now < *deadline);
         for exchange in expired {
             self.handle(node, Event::ExchangeFailed { exchange });
         }
     }
 
-    /// The store answers a node's read, if there is one.
+    /// Answers a pending read of a node, if any.
     pub fn answer_read(&mut self, node: usize) {
         if self.nodes[node].reads.pop_front().is_none() {
             return;
@@ -159,26 +159,28 @@
             return;
         }
         let newest = self.newest;
-        if let Some(applied) = self.put_in_force(node, newest) {
+        if let Some(applied) = self.apply_revision(node, newest) {
             self.handle(node, applied);
         }
         self.handle(node, Event::StoreAnswered(StoreAnswer::Read(newest)));
     }
 
     /// Delivers a message.
-    pub fn deliver(&mut self, mail: Mail) {
-        match mail {
-            Mail::Ask {
+    pub fn deliver(&mut self, message: Message) {
+        match message {
+            Message::Request {
                 from,
                 to,
                 exchange,
                 request,
             } => {
-                let life = self.nodes[from].life;
+                let incarnation = self.nodes[from].incarnation;
                 let receiver = &mut self.nodes[to];
                 let call = receiver.next_call;
                 receiver.next_call += 1;
-                receiver.asked.push((call, from, life, exchange));
+                receiver
+                    .open_calls
+                    .push((call, from, incarnation, exchange));
                 let from = id(from);
                 let event = Event::ExchangeRequested {
                     from,
@@ -187,22 +189,24 @@
                 };
                 self.handle(to, event);
             }
-            Mail::Answer {
+            Message::Answer {
                 to,
-                life,
+                incarnation,
                 exchange,
                 answer,
                 ..
             } => {
                 let receiver = &mut self.nodes[to];
-                if receiver.life == life && receiver.open.remove(&exchange).is_some() {
+                if receiver.incarnation == incarnation
+                    && receiver.deadlines.remove(&exchange).is_some()
+                {
                     self.handle(to, Event::ExchangeAnswered { exchange, answer });
                 }
             }
         }
     }
 
-    /// Lets time pass with a prompt network and store.
+    /// Advances time with a fast network and store.
     pub fn run(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
@@ -211,41 +215,41 @@
                 self.answer_read(node);
             }
             let mut rounds = 0;
-            while let Some(mail) = self.mail.pop_front() {
-                self.deliver(mail);
+            while let Some(message) = self.messages.pop_front() {
+                self.deliver(message);
                 rounds += 1;
-                assert!(rounds < 10_000, "the nodes never stop talking");
+                assert!(rounds < 10_000, "the nodes do not become idle");
             }
         }
     }
 
     pub fn is_ready(&self, node: usize) -> bool {
-        self.nodes[node].spreader.readiness() == Readiness::Ready
+        self.nodes[node].disseminator.readiness() == Readiness::Ready
     }
 
     pub fn handle(&mut self, node: usize, event: Event) {
         let mut events = VecDeque::from([event]);
         while let Some(event) = events.pop_front() {
             let now = self.now;
-            let place = &mut self.nodes[node];
-            let effects = place.spreader.handle(now, event, &mut place.rng);
+            let state = &mut self.nodes[node];
+            let effects = state.disseminator.handle(now, event, &mut state.rng);
             for effect in effects {
-                events.extend(self.carry_out(node, effect));
+                events.extend(self.apply_effect(node, effect));
             }
         }
         if self.is_ready(node) {
-            let place = &mut self.nodes[node];
+            let state = &mut self.nodes[node];
             assert!(
-                place.in_force >= place.highest_served,
+                state.in_force >= state.highest_served,
                 "node {node} serves {} after {}",
-                place.in_force,
-                place.highest_served
+                state.in_force,
+                state.highest_served
             );
-            place.highest_served = place.in_force;
+            state.highest_served = state.in_force;
         }
     }
 
-    fn carry_out(&mut self, node: usize, effect: Effect) -> Option<Event> {
+    fn apply_effect(&mut self, node: usize, effect: Effect) -> Option<Event> {
         let held = self.nodes[node].in_force;
         match effect {
             Effect::StartExchange {
@@ -255,10 +259,10 @@
                 update,
             } => {
                 let deadline = self.now + EXCHANGE_TIMEOUT;
-                self.nodes[node].open.insert(exchange, deadline);
+                self.nodes[node].deadlines.insert(exchange, deadline);
                 let update = encode(held, update);
                 let request = ExchangeRequest { digest, update };
-                self.mail.push_back(Mail::Ask {
+                self.messages.push_back(Message::Request {
                     from: node,
                     to: index(to),
                     exchange,
@@ -277,7 +281,7 @@
                     update: encode(held, update),
                 },
             ),
-            Effect::Apply(update) => return self.put_in_force(node, update.revision),
+            Effect::Apply(update) => return self.apply_revision(node, update.revision),
             Effect::ReadStore { .. } => self.nodes[node].reads.push_back(()),
             Effect::WatcherStarted | Effect::WatcherStopped | Effect::ReadinessChanged(_) => {}
         }
@@ -285,20 +289,21 @@
     }
 
     fn answer(&mut self, node: usize, call: u64, answer: ExchangeAnswer) {
-        let asked = &mut self.nodes[node].asked;
-        let position = asked.iter().position(|(known, ..)| *known == call);
-        let (_, to, life, exchange) = asked.swap_remove(position.expect("it was asked"));
-        self.mail.push_back(Mail::Answer {
+        let open_calls = &mut self.nodes[node].open_calls;
+        let position = open_calls.iter().position(|(known, ..)| *known == call);
+        let (_, to, incarnation, exchange) =
+            open_calls.swap_remove(position.expect("the call is open"));
+        self.messages.push_back(Message::Answer {
             from: node,
             to,
-            life,
+            incarnation,
             exchange,
             answer,
         });
     }
 
-    /// As the proxy's cluster does: never replaces a revision by a lower one.
-    fn put_in_force(&mut self, node: usize, revision: Revision) -> Option<Event> {
+    /// Like the proxy's cluster, never replaces a revision by an older one.
+    fn apply_revision(&mut self, node: usize, revision: Revision) -> Option<Event> {
         if revision <= self.nodes[node].in_force {
             return None;
         }
@@ -310,15 +315,20 @@
     }
 }
 
-fn start(now: Time, node: usize, life: u32, parameters: &DisseminationParameters) -> Node {
+fn start_node(
+    now: Time,
+    node: usize,
+    incarnation: u32,
+    parameters: &DisseminationParameters,
+) -> Node {
     Node {
-        spreader: ConfigurationDisseminator::new(now, id(node), region(), parameters.clone()),
+        disseminator: ConfigurationDisseminator::new(now, id(node), region(), parameters.clone()),
         in_force: Revision(0),
         highest_served: Revision(0),
         reads: VecDeque::new(),
-        open: BTreeMap::new(),
-        life,
-        asked: Vec::new(),
+        deadlines: BTreeMap::new(),
+        incarnation,
+        open_calls: Vec::new(),
         next_call: 0,
         rng: StdRng::seed_from_u64(node as u64),
     }
@@ -338,7 +348,7 @@
     })
 }
 
-/// A node's number: its index, from one.
+/// The node number of an index.
 pub fn id(index: usize) -> NodeId {
     NodeId(index as u64 + 1)
 }
