--- a/crates/stairward-membership/tests/common/mod.rs
+++ b/crates/stairward-membership/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A handful of members whose packets are carried by hand.
+//! Test harness for a single member, with packets exchanged by the test itself.
 
 #![allow(dead_code)]
 
@@ -15,12 +15,11 @@
 };
 use stairward_types::{Duration, Incarnation, NodeId, RegionName, Time, ZoneName};
 
-/// A member's address.
 pub fn address(node: u64) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, u8::try_from(node).unwrap()], 7_400))
 }
 
-/// What a member says of itself in the first version of a life.
+/// The profile of a member in the first version of an incarnation.
 pub fn profile(node: u64, incarnation: u64) -> Profile {
     Profile {
         node: NodeId(node),
@@ -32,21 +31,21 @@
     }
 }
 
-/// One member with its clock and randomness.
-pub struct Bench {
+/// A member with its clock and random generator.
+pub struct Harness {
     pub member: SwimMember,
     pub now: Time,
     pub rng: ChaCha8Rng,
 }
 
-impl Bench {
-    /// Member 1, which knows the members up to `count`.
-    pub fn knowing(count: u64) -> Self {
-        Self::configured(count, SwimConfig::default())
+impl Harness {
+    /// Member 1, knowing members 2 to `count`.
+    pub fn with_members(count: u64) -> Self {
+        Self::with_config(count, SwimConfig::default())
     }
 
-    /// The same with times and sizes of its own.
-    pub fn configured(count: u64, config: SwimConfig) -> Self {
+    /// The same with the given configuration.
+    pub fn with_config(count: u64, config: SwimConfig) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(7);
         let now = Time::from_millis(1_000);
         let mut member = SwimMember::new(profile(1, 1), &[], config, now, &mut rng);
@@ -60,7 +59,7 @@
         self.member.handle(self.now, event, &mut self.rng)
     }
 
-    /// Lets another member's packet arrive.
+    /// Delivers a packet from another member.
     pub fn receive(&mut self, sender: u64, message: Message, updates: Vec<Update>) -> Vec<Effect> {
         let packet = Packet {
             sender: NodeId(sender),
@@ -81,37 +80,36 @@
         self.receive(2, Message::Gossip, updates)
     }
 
-    /// Runs the member's timers for a while; answers none of its packets.
+    /// Runs the member's timers without answering its packets.
     pub fn run(&mut self, time: Duration) -> Vec<Effect> {
         self.run_answering(time, |_| None)
     }
 
-    /// Runs the member's timers for a while; `answer` may answer its packets at once.
+    /// Runs the member's timers; `answer` may answer each of its packets at once.
     pub fn run_answering(
         &mut self,
         time: Duration,
         answer: impl Fn(&Packet) -> Option<(u64, Message)>,
     ) -> Vec<Effect> {
         let end = self.now + time;
-        let mut seen = Vec::new();
+        let mut all_effects = Vec::new();
         while self.member.next_deadline() <= end {
             self.now = self.member.next_deadline().max(self.now);
             let effects = self.handle(Event::Tick);
-            let mut waiting: VecDeque<Effect> = effects.into();
-            while let Some(effect) = waiting.pop_front() {
+            let mut pending: VecDeque<Effect> = effects.into();
+            while let Some(effect) = pending.pop_front() {
                 if let Effect::Send { packet, .. } = &effect
                     && let Some((sender, message)) = answer(packet)
                 {
-                    waiting.extend(self.receive(sender, message, Vec::new()));
+                    pending.extend(self.receive(sender, message, Vec::new()));
                 }
-                seen.push(effect);
+                all_effects.push(effect);
             }
         }
         self.now = end;
-        seen
+        all_effects
     }
 
-    /// Whether a member is in the view.
     pub fn sees(&self, node: u64) -> bool {
         self.member
             .view()
@@ -127,8 +125,8 @@
     }
 }
 
-/// Answers pings of every member but these.
-pub fn all_answer_but(silent: &[u64]) -> impl Fn(&Packet) -> Option<(u64, Message)> {
+/// Answers the pings to all members except these.
+pub fn all_answer_except(silent: &[u64]) -> impl Fn(&Packet) -> Option<(u64, Message)> {
     move |packet| match packet.message {
         Message::Ping { sequence, target } if !silent.contains(&target.0) => {
             Some((target.0, Message::Ack { sequence }))
@@ -154,7 +152,7 @@
     }
 }
 
-/// The failure of a member's first version.
+/// A failure of a member's first version.
 pub fn failed(node: u64) -> Update {
     Update::Failed {
         node: NodeId(node),
@@ -162,7 +160,7 @@
     }
 }
 
-/// A member's word that it is alive.
+/// An announcement by a member that it is alive.
 pub fn alive(profile: Profile) -> Update {
     Update::Alive(Arc::new(profile))
 }
--- a/crates/stairward-membership/tests/common/network.rs
+++ b/crates/stairward-membership/tests/common/network.rs
@@ -1,4 +1,4 @@
-//! A few members on a network with a virtual clock, and members that break a rule on purpose.
+//! Members on a simulated network with a virtual clock, optionally with a protocol rule disabled.
 
 use std::collections::BTreeMap;
 
@@ -11,26 +11,26 @@
 
 const LATENCY: Duration = Duration::from_millis(5);
 
-/// A rule that is broken on purpose, to prove that a test would notice.
+/// A protocol rule disabled on purpose, to verify that the tests detect its absence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Broken {
-    /// All rules are kept.
+pub enum DisabledRule {
+    /// All rules are in force.
     Nothing,
-    /// An accused member never speaks up.
+    /// Accused members never refute.
     Refutation,
     /// Views are never compared.
     Comparison,
 }
 
-/// Members numbered from 1, all on one network.
+/// Members numbered from 1 on one network.
 pub struct Network {
-    broken: Broken,
+    disabled: DisabledRule,
     now: Time,
     members: BTreeMap<u64, SwimMember>,
     incarnations: BTreeMap<u64, u64>,
-    /// Members reach only those on the same side.
+    /// The side of the partition each member is on; members reach only those on the same side.
     sides: BTreeMap<u64, u8>,
-    /// Percent of packets lost.
+    /// Packet loss in percent.
     pub loss: u8,
     queue: BTreeMap<(Time, u64), (u64, u64, Packet)>,
     next_order: u64,
@@ -38,10 +38,10 @@
 }
 
 impl Network {
-    /// Members that know each other's addresses, and nothing more, at the start.
-    pub fn start(count: u64, seed: u64, broken: Broken) -> Self {
+    /// Starts members that initially know only each other's addresses.
+    pub fn start(count: u64, seed: u64, disabled: DisabledRule) -> Self {
         let mut network = Self {
-            broken,
+            disabled,
             now: Time::from_millis(1_000),
             members: BTreeMap::new(),
             incarnations: BTreeMap::new(),
@@ -57,7 +57,7 @@
         network
     }
 
-    /// Starts a member, in a new life if it ran before.
+    /// Starts a member with a new incarnation.
     pub fn start_member(&mut self, node: u64) {
         let incarnation = self.incarnations.entry(node).or_default();
         *incarnation += 1;
@@ -68,23 +68,23 @@
         self.members.insert(node, member);
     }
 
-    /// Ends a member without notice.
+    /// Stops a member without notice.
     pub fn kill(&mut self, node: u64) {
         self.members.remove(&node);
     }
 
-    /// Puts a member on a side.
+    /// Moves a member to one side of the partition.
     pub fn set_side(&mut self, node: u64, side: u8) {
         self.sides.insert(node, side);
     }
 
-    /// Puts all members on one side and loses no packets.
+    /// Removes partition and packet loss.
     pub fn heal(&mut self) {
         self.loss = 0;
         self.sides.values_mut().for_each(|side| *side = 0);
     }
 
-    /// Whether every running member sees exactly the running members.
+    /// Whether every running member's view consists of exactly the running members.
     pub fn has_converged(&self) -> bool {
         let running: Vec<NodeId> = self.members.keys().map(|node| NodeId(*node)).collect();
         self.members.values().all(|member| {
@@ -95,7 +95,7 @@
         })
     }
 
-    /// Runs for a while.
+    /// Runs the simulation for a period.
     pub fn run(&mut self, time: Duration) {
         let end = self.now + time;
         loop {
@@ -109,7 +109,7 @@
             if packet == Some(next) {
                 self.deliver();
             } else {
-                self.feed(tick.1, Event::Tick);
+                self.handle_event(tick.1, Event::Tick);
             }
         }
         self.now = end;
@@ -126,11 +126,11 @@
     fn deliver(&mut self) {
         if let Some((_, (from, to, packet))) = self.queue.pop_first() {
             let from = address(from);
-            self.feed(to, Event::Received { from, packet });
+            self.handle_event(to, Event::Received { from, packet });
         }
     }
 
-    fn feed(&mut self, node: u64, event: Event) {
+    fn handle_event(&mut self, node: u64, event: Event) {
         let Some(member) = self.members.get_mut(&node) else {
             return;
         };
@@ -144,7 +144,7 @@
 
     fn send(&mut self, from: u64, to: u64, mut packet: Packet) {
         let is_lost = self.rng.random_range(0..100) < self.loss;
-        if is_lost || self.sides[&from] != self.sides[&to] || self.is_broken_off(&mut packet) {
+        if is_lost || self.sides[&from] != self.sides[&to] || self.is_suppressed(&mut packet) {
             return;
         }
         let at = self.now + LATENCY;
@@ -152,12 +152,13 @@
         self.next_order += 1;
     }
 
-    /// Takes out of a packet what a broken member would not have sent.
-    fn is_broken_off(&self, packet: &mut Packet) -> bool {
-        match self.broken {
-            Broken::Nothing => false,
-            Broken::Comparison => matches!(packet.message, Message::CompareMembers { .. }),
-            Broken::Refutation => {
+    /// Removes from a packet what a member with the disabled rule would not send. Returns whether
+    /// the whole packet is dropped.
+    fn is_suppressed(&self, packet: &mut Packet) -> bool {
+        match self.disabled {
+            DisabledRule::Nothing => false,
+            DisabledRule::Comparison => matches!(packet.message, Message::CompareMembers { .. }),
+            DisabledRule::Refutation => {
                 packet.updates.retain(|update| {
                     !matches!(update, Update::Alive(profile) if profile.version.refutation > 0)
                 });
--- a/crates/stairward-membership/tests/convergence.rs
+++ b/crates/stairward-membership/tests/convergence.rs
@@ -1,18 +1,19 @@
-//! Views agree again after any small sequence of faults; members that break a rule are caught.
+//! Membership views converge after short sequences of faults. Members with a disabled protocol rule
+//! are detected.
 
 mod common;
 
 use bolero::TypeGenerator;
-use common::network::{Broken, Network};
+use common::network::{DisabledRule, Network};
 use stairward_testing::check;
 use stairward_types::Duration;
 
 const MEMBERS: u64 = 5;
-/// Failed members are probed every few seconds, and a suspicion takes up to two.
+/// Failed members are pinged every few seconds, and a suspicion lasts up to two seconds.
 const SETTLING_SECONDS: usize = 40;
 const SECOND: Duration = Duration::from_secs(1);
 
-/// One thing that befalls the members, and how long it lasts before the next.
+/// A fault or its repair. In a test case, each step comes with the time until the next one.
 #[derive(Debug, Clone, TypeGenerator)]
 enum Step {
     Kill(u8),
@@ -26,7 +27,7 @@
     u64::from(number) % MEMBERS + 1
 }
 
-fn act(network: &mut Network, step: &Step) {
+fn apply_step(network: &mut Network, step: &Step) {
     match *step {
         Step::Kill(number) => network.kill(node(number)),
         Step::Restart(number) => {
@@ -39,19 +40,19 @@
     }
 }
 
-/// Whether views agree after the steps, and a quiet time.
-fn converges(steps: &[(Step, u8)], seed: u64, broken: Broken) -> bool {
-    let mut network = Network::start(MEMBERS, seed, broken);
+/// Whether views agree after the steps and a period without faults.
+fn converges(steps: &[(Step, u8)], seed: u64, disabled: DisabledRule) -> bool {
+    let mut network = Network::start(MEMBERS, seed, disabled);
     network.run(Duration::from_secs(3));
     for (step, tenths) in steps.iter().take(8) {
-        act(&mut network, step);
+        apply_step(&mut network, step);
         network.run(Duration::from_millis(100) * u32::from(*tenths % 25));
     }
     network.heal();
     settles(&mut network)
 }
 
-/// Whether views come to agree in time, and still do a few seconds later.
+/// Whether views agree within the time limit and remain so for a few seconds.
 fn settles(network: &mut Network) -> bool {
     for _ in 0..SETTLING_SECONDS {
         network.run(SECOND);
@@ -68,11 +69,11 @@
     check!()
         .with_type::<(Vec<(Step, u8)>, u64)>()
         .for_each(|(steps, seed)| {
-            assert!(converges(steps, *seed, Broken::Nothing));
+            assert!(converges(steps, *seed, DisabledRule::Nothing));
         });
 }
 
-/// Two sides that took each other as failed.
+/// A partition during which each side marks the other as failed.
 fn partition() -> Vec<(Step, u8)> {
     vec![
         (Step::Side(3, true), 0),
@@ -83,15 +84,15 @@
 
 #[test]
 fn views_agree_after_a_partition() {
-    assert!((0..10).all(|seed| converges(&partition(), seed, Broken::Nothing)));
+    assert!((0..10).all(|seed| converges(&partition(), seed, DisabledRule::Nothing)));
 }
 
 #[test]
-fn members_that_never_refute_are_caught() {
-    assert!(!converges(&partition(), 1, Broken::Refutation));
+fn harness_detects_members_that_never_refute() {
+    assert!(!converges(&partition(), 1, DisabledRule::Refutation));
 }
 
-/// News that all members were told of is lost on the way to some.
+/// Restarts whose updates are lost on the way to some members.
 fn lossy_restarts() -> Vec<(Step, u8)> {
     vec![
         (Step::Loss(59), 0),
@@ -102,8 +103,9 @@
 }
 
 #[test]
-fn members_that_never_compare_views_are_caught() {
-    let caught = (0..20).any(|seed| !converges(&lossy_restarts(), seed, Broken::Comparison));
-    assert!(caught);
-    assert!((0..20).all(|seed| converges(&lossy_restarts(), seed, Broken::Nothing)));
+fn harness_detects_members_that_never_compare_views() {
+    let detected =
+        (0..20).any(|seed| !converges(&lossy_restarts(), seed, DisabledRule::Comparison));
+    assert!(detected);
+    assert!((0..20).all(|seed| converges(&lossy_restarts(), seed, DisabledRule::Nothing)));
 }
--- a/crates/stairward-membership/tests/holders.rs
+++ b/crates/stairward-membership/tests/holders.rs
@@ -1,4 +1,4 @@
-//! Which members hold a service's connections.
+//! Ranking of the members that hold a service's connections.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn each_zone_has_holders_and_no_more_are_named_than_asked_for() {
+fn holders_cover_all_zones_up_to_the_requested_count() {
     let fleet = Fleet::new(90);
     let holders = fleet.holders("core", 11, &[]);
     assert_eq!(holders.len(), 11);
@@ -61,8 +61,8 @@
     assert!(!after.contains(&before[0]));
 }
 
-/// The ranking in its plain form: every zone sorted whole, then taken in turn.
-fn plainly_ranked(members: &[(NodeId, u8, bool)], service: &str, count: usize) -> Vec<NodeId> {
+/// Reference implementation: sorts every zone completely, then merges them in round-robin order.
+fn reference_ranking(members: &[(NodeId, u8, bool)], service: &str, count: usize) -> Vec<NodeId> {
     let mut zones: BTreeMap<u8, Vec<(Reverse<u64>, NodeId)>> = BTreeMap::new();
     for (node, zone, _) in members.iter().filter(|(_, _, leaving)| !leaving) {
         let score = xxhash_rust::xxh3::xxh3_64_with_seed(service.as_bytes(), node.0);
@@ -81,14 +81,17 @@
     holders.map(|(_, (_, node))| node).collect()
 }
 
-/// The zone of a number, and its region.
+/// The region and zone with this number.
 fn place(zone: u8) -> (RegionName, ZoneName) {
     let region = RegionName::new(format!("region-{}", zone / 2)).unwrap();
     (region, ZoneName::new(format!("zone-{zone}")).unwrap())
 }
 
-/// Gives a ranking its members.
-fn show(ranking: &mut HolderRanking, members: &[(NodeId, u8, bool)]) -> BTreeSet<ServiceName> {
+/// Replaces the members of a ranking.
+fn update_members(
+    ranking: &mut HolderRanking,
+    members: &[(NodeId, u8, bool)],
+) -> BTreeSet<ServiceName> {
     let names: Vec<_> = members.iter().map(|(_, zone, _)| place(*zone)).collect();
     let candidates = members.iter().zip(&names);
     ranking.set_members(candidates.map(|(member, names)| Candidate {
@@ -99,9 +102,9 @@
     }))
 }
 
-/// Each drawn number is a member that comes, goes, leaves as planned or moves to another zone, one after the other.
+/// Each generated entry makes a member join, leave, announce its stop or move to another zone.
 #[test]
-fn the_ranking_names_the_holders_that_sorting_everything_does_after_every_change() {
+fn incremental_ranking_matches_a_full_sort_after_every_change() {
     check!()
         .with_type::<(Vec<(u8, u8, u8)>, u8, u8)>()
         .for_each(|(drawn, count, other_count)| {
@@ -121,7 +124,7 @@
                     2 => _ = present.insert(node, (zone % 6, true)),
                     _ => _ = present.insert(node, (zone % 6, false)),
                 }
-                // Some changes are seen together with the next.
+                // Some changes are applied together with the next one.
                 let is_last = index + 1 == drawn.len();
                 if change / 8 % 3 == 0 && !is_last {
                     continue;
@@ -134,39 +137,42 @@
                     .keys()
                     .map(|service| ranking.holders(service).to_vec());
                 let before: Vec<_> = before.collect();
-                let changed = show(&mut ranking, &members);
+                let changed = update_members(&mut ranking, &members);
                 for ((service, count), before) in counts.iter().zip(before) {
-                    let plain = plainly_ranked(&members, service.as_str(), *count);
-                    assert_eq!(ranking.holders(service), plain);
-                    assert!(before == plain || changed.contains(service));
+                    let expected = reference_ranking(&members, service.as_str(), *count);
+                    assert_eq!(ranking.holders(service), expected);
+                    assert!(before == expected || changed.contains(service));
                 }
             }
         });
 }
 
 #[test]
-fn a_service_is_ranked_when_it_comes_and_forgotten_when_it_goes() {
+fn a_service_is_ranked_when_added_and_dropped_when_removed() {
     let mut ranking = HolderRanking::default();
     let members: Vec<_> = (0..12).map(|node| (NodeId(node), 0, false)).collect();
-    show(&mut ranking, &members);
+    update_members(&mut ranking, &members);
     let core = ServiceName::new("core").unwrap();
     let counts = BTreeMap::from([(core.clone(), 3)]);
     assert_eq!(
         ranking.set_services(&counts),
         BTreeSet::from([core.clone()])
     );
-    assert_eq!(ranking.holders(&core), plainly_ranked(&members, "core", 3));
+    assert_eq!(
+        ranking.holders(&core),
+        reference_ranking(&members, "core", 3)
+    );
     assert!(ranking.set_services(&counts).is_empty());
     ranking.set_services(&BTreeMap::new());
     assert!(ranking.holders(&core).is_empty());
 }
 
 #[test]
-fn a_holder_that_comes_back_in_another_zone_is_told_as_a_change() {
+fn a_holder_that_rejoins_in_another_zone_is_reported_as_a_change() {
     let mut ranking = HolderRanking::default();
     let core = ServiceName::new("core").unwrap();
     ranking.set_services(&BTreeMap::from([(core.clone(), 3)]));
-    show(&mut ranking, &[(NodeId(1), 0, false)]);
-    let changed = show(&mut ranking, &[(NodeId(1), 1, false)]);
+    update_members(&mut ranking, &[(NodeId(1), 0, false)]);
+    let changed = update_members(&mut ranking, &[(NodeId(1), 1, false)]);
     assert_eq!(changed, BTreeSet::from([core]));
 }
--- a/crates/stairward-membership/tests/ownership.rs
+++ b/crates/stairward-membership/tests/ownership.rs
@@ -1,4 +1,4 @@
-//! Rendezvous ranking: nearness, leaving members, stability.
+//! Rendezvous ranking: distance, leaving members and stability.
 
 use stairward_membership::{Candidate, Ranking, rank_owners};
 use stairward_types::{BackendId, NodeId, RegionName, ZoneName};
@@ -32,7 +32,7 @@
     rank_owners(candidates, &backend, &region, &zone)
 }
 
-/// Twelve nodes: two regions, two zones in each, three nodes in a zone.
+/// Twelve nodes in two regions, with two zones per region and three nodes per zone.
 fn fleet() -> Vec<Place> {
     (0..12)
         .map(|node| {
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn owner_and_standby_stand_in_the_zone_of_the_back_end() {
+fn owner_and_standby_are_in_the_zone_of_the_back_end() {
     for backend in backends() {
         let ranking = rank(&fleet(), &backend, "west", "west-a").unwrap();
         assert!((6..9).contains(&ranking.owner.0));
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_lost_zone_falls_to_its_region() {
+fn back_ends_of_a_lost_zone_move_within_the_region() {
     let mut places = fleet();
     places.retain(|place| place.zone.as_str() != "west-a");
     for backend in backends() {
--- a/crates/stairward-membership/tests/partial_views.rs
+++ b/crates/stairward-membership/tests/partial_views.rs
@@ -1,4 +1,5 @@
-//! Members that share a partial view, and agree among themselves, still learn of the others.
+//! Members that share an incomplete view, and whose digests therefore agree, still learn of the
+//! other members.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,7 +10,8 @@
 use stairward_types::{Duration, Incarnation, NodeId, RegionName, Time, ZoneName};
 
 const MEMBERS: u64 = 6;
-/// The members that know only each other and two more.
+/// The incomplete view. Its first two members know only these four members; all other members know
+/// all.
 const PARTIAL: [u64; 4] = [3, 4, 5, 6];
 
 fn address(node: u64) -> SocketAddr {
@@ -27,7 +29,7 @@
     })
 }
 
-/// Packets on their way, each with its sender's address and its receiver's.
+/// Packets in transit with the sender's and the receiver's address.
 type Packets = Vec<(SocketAddr, SocketAddr, Packet)>;
 
 fn sent(from: u64, effects: Vec<Effect>) -> Packets {
@@ -54,19 +56,19 @@
         member.preload(&known, Time::ZERO, &mut random);
         members.push(member);
     }
-    let mut underway = Packets::new();
+    let mut in_transit = Packets::new();
     let mut now = Time::ZERO;
     while now < Time::from_millis(15_000) {
         now = now + Duration::from_millis(10);
-        for (from, to, packet) in std::mem::take(&mut underway) {
+        for (from, to, packet) in std::mem::take(&mut in_transit) {
             let place = (1..=MEMBERS).position(|node| address(node) == to).unwrap();
             let event = Event::Received { from, packet };
             let effects = members[place].handle(now, event, &mut random);
-            underway.extend(sent(place as u64 + 1, effects));
+            in_transit.extend(sent(place as u64 + 1, effects));
         }
         for (place, member) in members.iter_mut().enumerate() {
             let effects = member.handle(now, Event::Tick, &mut random);
-            underway.extend(sent(place as u64 + 1, effects));
+            in_transit.extend(sent(place as u64 + 1, effects));
         }
     }
     for member in &members {
--- a/crates/stairward-membership/tests/wire.rs
+++ b/crates/stairward-membership/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Packets as bytes: exact lengths, round trips, and garbage.
+//! Encoding of packets: exact lengths, round trips and invalid input.
 
 mod common;
 
@@ -21,7 +21,7 @@
     ClusterKey::new(secret).unwrap()
 }
 
-/// A packet's content, from which every kind can be made.
+/// Generated content from which packets of every kind are built.
 #[derive(Debug, Clone, TypeGenerator)]
 struct Content {
     numbers: [u64; 6],
@@ -105,12 +105,17 @@
             },
             message: self.message(),
             updates: updates.map(|update| self.update(*update)).collect(),
-            terms: self.terms.iter().take(4).map(|term| news(*term)).collect(),
+            terms: self
+                .terms
+                .iter()
+                .take(4)
+                .map(|term| term_update(*term))
+                .collect(),
         }
     }
 }
 
-fn news(term: u64) -> Arc<TermUpdate> {
+fn term_update(term: u64) -> Arc<TermUpdate> {
     Arc::new(TermUpdate {
         group: GroupId::new("orders").unwrap(),
         term: Term(term),
@@ -119,7 +124,7 @@
 }
 
 #[test]
-fn packets_survive_the_way_through_bytes_at_their_exact_length() {
+fn packets_round_trip_at_their_exact_encoded_length() {
     let key = key("a shared secret 16");
     check!().with_type::<Content>().for_each(|content| {
         let packet = content.packet();
@@ -131,7 +136,7 @@
 }
 
 #[test]
-fn garbage_is_refused() {
+fn random_bytes_are_rejected() {
     let key = key("a shared secret 16");
     check!().with_type::<Vec<u8>>().for_each(|bytes| {
         assert!(decode(bytes, &key).is_err());
@@ -139,22 +144,23 @@
 }
 
 #[test]
-fn a_changed_or_shortened_packet_is_refused() {
+fn a_modified_or_truncated_packet_is_rejected() {
     let key = key("a shared secret 16");
     check!()
         .with_type::<(Content, u16, u8)>()
-        .for_each(|(content, place, flip)| {
+        .for_each(|(content, position, flip)| {
             let mut bytes = encode(&content.packet(), &key).unwrap();
-            let place = usize::from(*place) % bytes.len();
-            assert!(decode(&bytes[..place], &key).is_err());
-            bytes[place] ^= flip | 1;
+            let position = usize::from(*position) % bytes.len();
+            assert!(decode(&bytes[..position], &key).is_err());
+            bytes[position] ^= flip | 1;
             assert_eq!(decode(&bytes, &key), Err(DatagramError::Proof));
         });
 }
 
-/// Signed by one who knows the key, so that the decoder itself meets the garbage.
+/// Signs the random bytes with the cluster key, so that they pass the proof check and reach the
+/// decoder.
 #[test]
-fn signed_garbage_never_panics() {
+fn authenticated_random_bytes_never_panic() {
     let key = key("a shared secret 16");
     check!().with_type::<Vec<u8>>().for_each(|content| {
         let mut bytes = content.clone();
@@ -165,7 +171,7 @@
 }
 
 #[test]
-fn another_clusters_packet_is_refused() {
+fn a_packet_of_another_cluster_is_rejected() {
     let packet = Packet {
         sender: NodeId(1),
         sender_version: Version::default(),
@@ -175,6 +181,6 @@
         terms: Vec::new(),
     };
     let bytes = encode(&packet, &key("another shared secret")).unwrap();
-    let refused = decode(&bytes, &key("a shared secret 16"));
-    assert_eq!(refused, Err(DatagramError::Proof));
+    let result = decode(&bytes, &key("a shared secret 16"));
+    assert_eq!(result, Err(DatagramError::Proof));
 }
