--- a/crates/stairward-membership/src/configuration/exchange.rs
+++ b/crates/stairward-membership/src/configuration/exchange.rs
@@ -11,7 +11,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct OpenExchange {
     pub(super) to: NodeId,
-    pub(super) asked_at: Time,
+    pub(super) requested_at: Time,
 }
 
 /// A bounded set of exchanges that have not been answered yet.
@@ -29,8 +29,13 @@
         }
         let exchange = ExchangeId(self.next);
         self.next += 1;
-        self.open
-            .insert(exchange, OpenExchange { to, asked_at: now });
+        self.open.insert(
+            exchange,
+            OpenExchange {
+                to,
+                requested_at: now,
+            },
+        );
         Some(exchange)
     }
 
--- a/crates/stairward-membership/src/configuration/gossip.rs
+++ b/crates/stairward-membership/src/configuration/gossip.rs
@@ -65,15 +65,15 @@
         answer: ExchangeAnswer,
         effects: &mut Vec<Effect>,
     ) {
-        let Some(OpenExchange { to, asked_at }) = self.exchanges.finish(exchange) else {
+        let Some(OpenExchange { to, requested_at }) = self.exchanges.finish(exchange) else {
             return;
         };
         let theirs = answer.digest;
         self.newest_heard = self.newest_heard.max(theirs.revision);
-        self.source.learn(asked_at, &theirs, self.revision);
+        self.source.learn(requested_at, &theirs, self.revision);
         let minimum_store_age = self.parameters.source_timeout;
         self.readiness.record_answer(to, &theirs, minimum_store_age);
-        self.quorum.record_answer(to, asked_at, &theirs);
+        self.quorum.record_answer(to, requested_at, &theirs);
         if self.fleet_size == 0 && theirs.ready {
             self.fleet_size = theirs.fleet_size;
         }
@@ -236,7 +236,7 @@
         }
         let is_requested = self
             .whole_tree_exchange
-            .is_some_and(|asked| self.exchanges.is_open(asked));
+            .is_some_and(|pending| self.exchanges.is_open(pending));
         if is_requested {
             return WantedContent::Nothing;
         }
--- a/crates/stairward-membership/src/configuration/source.rs
+++ b/crates/stairward-membership/src/configuration/source.rs
@@ -38,13 +38,13 @@
 }
 
 impl SourceEvidence {
-    /// Updates the evidence from a peer's answer to a request sent at `asked_at`.
-    pub(super) fn learn(&mut self, asked_at: Time, digest: &SettingsDigest, own: Revision) {
+    /// Updates the evidence from a peer's answer to a request sent at `requested_at`.
+    pub(super) fn learn(&mut self, requested_at: Time, digest: &SettingsDigest, own: Revision) {
         if let Some(age) = digest.store_read {
-            self.store_read(asked_at - age, digest.revision, own);
+            self.store_read(requested_at - age, digest.revision, own);
         }
         if let Some(age) = digest.watcher_heard {
-            self.watcher_heard(asked_at - age);
+            self.watcher_heard(requested_at - age);
         }
     }
 
--- a/crates/stairward-membership/src/configuration/watcher_quorum.rs
+++ b/crates/stairward-membership/src/configuration/watcher_quorum.rs
@@ -46,19 +46,24 @@
         self.others.keys().copied().collect()
     }
 
-    /// Records a watcher's answer to a request sent at `asked_at`.
-    pub(super) fn record_answer(&mut self, peer: NodeId, asked_at: Time, digest: &SettingsDigest) {
+    /// Records a watcher's answer to a request sent at `requested_at`.
+    pub(super) fn record_answer(
+        &mut self,
+        peer: NodeId,
+        requested_at: Time,
+        digest: &SettingsDigest,
+    ) {
         if let Some(heard_at) = self.others.get_mut(&peer).filter(|_| digest.watching) {
-            *heard_at = (*heard_at).max(Some(asked_at));
+            *heard_at = (*heard_at).max(Some(requested_at));
         }
     }
 
     /// The latest time at which a majority of the watchers, including this node, was reachable.
     pub(super) fn majority_heard_at(&self, now: Time) -> Option<Time> {
         let majority = self.others.len().div_ceil(2) + 1;
-        let mut heard: Vec<Time> = self.others.values().copied().flatten().collect();
-        heard.push(now);
-        heard.sort_unstable_by(|left, right| right.cmp(left));
-        heard.get(majority - 1).copied()
+        let mut times: Vec<Time> = self.others.values().copied().flatten().collect();
+        times.push(now);
+        times.sort_unstable_by(|left, right| right.cmp(left));
+        times.get(majority - 1).copied()
     }
 }
--- a/crates/stairward-membership/src/feed/follower.rs
+++ b/crates/stairward-membership/src/feed/follower.rs
@@ -17,8 +17,8 @@
 
 /// Largest change, in bytes, that is pushed to all followers at once. Larger ones, such as a whole
 /// configuration, are queued and delivered to a few followers at a time. Pushing 4 kB to 50
-/// followers takes 0.04 s on a 10 Mbit/s link with compression; a configuration of 35 kB took 1.4
-/// s, during which the watcher's membership probes were lost.
+/// followers takes 0.04 s on a 10 Mbit/s link with compression; a configuration of 35 kB took
+/// 1.4 s, during which the watcher's membership probes were lost.
 pub const MAXIMUM_IMMEDIATE_PUSH_BYTES: usize = 4 * 1024;
 
 /// The first watcher that a starting node follows gets this multiple of `listing_timeout` to
@@ -63,7 +63,7 @@
     era: Option<u64>,
     /// When the store last confirmed to this node directly that the held content is the newest.
     store_confirmed_at: Option<Time>,
-    /// When a watcher last did so.
+    /// When a watcher last confirmed that the held content is the newest.
     source_confirmed_at: Option<Time>,
     /// The latest time at which the held content is known to have been the newest; any other change
     /// was made later. A confirmation delayed in transit, or by a pause of this process, counts
@@ -230,7 +230,7 @@
     /// How long after the last confirmation by a watcher this node reads the store directly. A node
     /// without content waits longer: it cannot act on outdated content, and it may be the last in a
     /// watcher's delivery queue. If all nodes of a starting fleet read the store at once, they
-    /// saturate its link.
+    /// saturate the store's link.
     fn direct_read_timeout(&self) -> Duration {
         let base_timeout = self.parameters.direct_read_timeout;
         if self.held.is_some() || self.expected_delivery_time <= base_timeout {
@@ -360,13 +360,13 @@
         if self.is_from_earlier_era(at) {
             return false;
         }
-        let is_other_copy = self.era.is_some_and(|era| era != at.era());
-        if is_other_copy && !matches!(content, FeedContent::Snapshot(_)) {
+        let is_other_era = self.era.is_some_and(|era| era != at.era());
+        if is_other_era && !matches!(content, FeedContent::Snapshot(_)) {
             return false;
         }
         // A node that has just started cannot know when the store was last restored.
         let may_be_restored = self.era.is_none() && at.era() > 0;
-        if is_other_copy || may_be_restored {
+        if is_other_era || may_be_restored {
             self.restore_settles_at = Some(now + self.parameters.restore_settle_time);
         }
         self.era = Some(at.era());
@@ -476,10 +476,10 @@
             .is_some_and(|since| now.since(since) >= VIEW_SETTLE_TIME);
         let is_unconfirmed =
             now.since(self.last_source_confirmation()) >= self.direct_read_timeout();
-        let wants = is_settled_watcher || is_unconfirmed;
-        if wants != self.is_reading {
-            self.is_reading = wants;
-            effects.push(Effect::ReadStore(wants));
+        let should_read = is_settled_watcher || is_unconfirmed;
+        if should_read != self.is_reading {
+            self.is_reading = should_read;
+            effects.push(Effect::ReadStore(should_read));
         }
     }
 }
--- a/crates/stairward-membership/src/feed/followers.rs
+++ b/crates/stairward-membership/src/feed/followers.rs
@@ -12,8 +12,8 @@
 
 use super::message::{FeedContent, FollowerId};
 
-/// Deliveries of missing content in progress at a time. At 35 kB each, four take 0.1 s of a 10
-/// Mbit/s link, which is less than the probe timeout.
+/// Deliveries of missing content in progress at a time. At 35 kB each, four take 0.1 s of a
+/// 10 Mbit/s link, which is less than the probe timeout.
 const MAXIMUM_CONCURRENT_DELIVERIES: usize = 4;
 /// A delivery that is not acknowledged within this time no longer counts against the limit.
 const DELIVERY_TIMEOUT: Duration = Duration::from_millis(500);
@@ -73,14 +73,14 @@
 
     /// Returns the synchronized followers, recorded as having received a change that leads to `at`.
     pub fn push_to_synchronized(&mut self, at: StoreRevision) -> Vec<FollowerId> {
-        let mut deliveries = Vec::new();
+        let mut synchronized = Vec::new();
         for (id, follower) in &mut self.by_id {
             if !follower.is_waiting {
                 follower.held = Some(at);
-                deliveries.push(*id);
+                synchronized.push(*id);
             }
         }
-        deliveries
+        synchronized
     }
 
     /// Queues all followers, after the watcher received a snapshot or a change too large to push at
@@ -111,8 +111,8 @@
         self.in_flight
             .retain(|_, sent| now.since(*sent) < DELIVERY_TIMEOUT);
         // One set of changes since the oldest held revision serves all queued followers. Encoding a
-        // set for each follower took a watcher with an eighth of a core 0.7 s (60 revisions, 35
-        // kB).
+        // set for each follower took a watcher with an eighth of a core 0.7 s (60 revisions,
+        // 35 kB).
         let waiting = self.queue.iter().filter_map(|id| self.by_id.get(id)?.held);
         let oldest = waiting.filter(|held| held.era() == at.era()).min();
         let mut deliveries: BTreeMap<Option<StoreRevision>, Vec<FollowerId>> = BTreeMap::new();
--- a/crates/stairward-membership/src/feed/restored_view.rs
+++ b/crates/stairward-membership/src/feed/restored_view.rs
@@ -37,19 +37,19 @@
 
 impl<T: StoreObject> RestoredView<T> {
     /// Applies a new listing of all objects. `era` identifies the copy of the store, `None` for a
-    /// listing from a peer. `known` holds the objects before, `gone` the names of recently deleted
+    /// listing from a peer. `known` holds the objects before, `deleted` the names of recently deleted
     /// ones. Returns whether the store was restored from an older copy.
     pub fn apply_listing(
         &mut self,
         era: Option<u64>,
         known: BTreeMap<String, T>,
-        gone: impl IntoIterator<Item = String>,
+        deleted: impl IntoIterator<Item = String>,
         listed: &BTreeMap<String, T>,
     ) -> bool {
         let is_restored = self.era.is_some() && era > self.era;
         self.era = era.or(self.era);
         if is_restored {
-            self.keep_known(known, gone, listed);
+            self.retain_known(known, deleted, listed);
         } else {
             let revision = |objects: &BTreeMap<String, T>, name: &str| {
                 objects.get(name).map(StoreObject::revision)
@@ -66,22 +66,22 @@
         self.era
     }
 
-    fn keep_known(
+    fn retain_known(
         &mut self,
         known: BTreeMap<String, T>,
-        gone: impl IntoIterator<Item = String>,
+        deleted: impl IntoIterator<Item = String>,
         listed: &BTreeMap<String, T>,
     ) {
-        let known_gone: Vec<_> = self.known_gone().map(str::to_owned).collect();
+        let known_deleted: Vec<_> = self.known_deleted().map(str::to_owned).collect();
         let known = self.take_effective_objects(known);
-        for name in gone.into_iter().chain(known_gone) {
+        for name in deleted.into_iter().chain(known_deleted) {
             if listed.contains_key(&name) && !known.contains_key(&name) {
                 self.retained.insert(name, None);
             }
         }
         for (name, object) in known {
             let is_present = listed.get(&name).is_some_and(|listed| {
-                listed.has_same_content(&object) || is_written_again(&object, listed)
+                listed.has_same_content(&object) || is_rewritten(&object, listed)
             });
             if !is_present {
                 self.retained.insert(name, Some(object));
@@ -124,12 +124,12 @@
     }
 
     /// The names of objects that the store lists but that are known to be deleted.
-    fn known_gone(&self) -> impl Iterator<Item = &str> {
-        let gone = self
+    fn known_deleted(&self) -> impl Iterator<Item = &str> {
+        let deleted = self
             .retained
             .iter()
             .filter(|(_, retained)| retained.is_none());
-        gone.map(|(name, _)| name.as_str())
+        deleted.map(|(name, _)| name.as_str())
     }
 
     /// Applies the retained objects to a listing and clears them.
@@ -147,6 +147,6 @@
 
 /// Whether an object was certainly written after the restore, because its revision is newer than
 /// any that the copy can contain. A lower revision is ambiguous and is treated as part of the copy.
-fn is_written_again<T: StoreObject>(known: &T, listed: &T) -> bool {
+fn is_rewritten<T: StoreObject>(known: &T, listed: &T) -> bool {
     listed.revision().revision() >= known.revision().revision()
 }
--- a/crates/stairward-membership/src/probe.rs
+++ b/crates/stairward-membership/src/probe.rs
@@ -81,9 +81,9 @@
     /// Waiting for an answer to the direct ping or to indirect pings.
     Indirect {
         /// Number of members that were sent an indirect ping.
-        asked: usize,
+        helper_count: usize,
         /// Whether a nack was received.
-        heard_nack: bool,
+        received_nack: bool,
     },
 }
 
--- a/crates/stairward-membership/src/swim/comparison.rs
+++ b/crates/stairward-membership/src/swim/comparison.rs
@@ -115,12 +115,12 @@
         has_new_terms: bool,
         now: Time,
     ) {
-        let (comparison, has_news) = match message {
+        let (comparison, has_new_items) = match message {
             Message::Members { .. } => (&mut self.member_comparison, has_new_members),
             Message::Terms { .. } => (&mut self.term_comparison, has_new_terms),
             _ => return,
         };
-        if has_news {
+        if has_new_items {
             let interval = if comparison.has_joined {
                 self.config.sync_catch_up_interval
             } else {
--- a/crates/stairward-membership/src/swim/probing.rs
+++ b/crates/stairward-membership/src/swim/probing.rs
@@ -126,8 +126,11 @@
         for (sequence, probe) in self.outstanding.take_due_probes(step.now) {
             match probe.stage {
                 ProbeStage::Direct => self.ask_others(sequence, probe.target, step),
-                ProbeStage::Indirect { asked, heard_nack } => {
-                    if asked > 0 && !heard_nack {
+                ProbeStage::Indirect {
+                    helper_count,
+                    received_nack,
+                } => {
+                    if helper_count > 0 && !received_nack {
                         self.health.worsen();
                     }
                     self.suspect(probe.target, step);
@@ -162,8 +165,8 @@
         let probe = Probe {
             target,
             stage: ProbeStage::Indirect {
-                asked: helpers.len(),
-                heard_nack: false,
+                helper_count: helpers.len(),
+                received_nack: false,
             },
             deadline: step.now + self.health.stretch(self.config.indirect_timeout),
         };
--- a/crates/stairward-membership/src/swim/receiving.rs
+++ b/crates/stairward-membership/src/swim/receiving.rs
@@ -133,9 +133,9 @@
 
     fn take_nack(&mut self, sequence: u64) {
         if let Some(probe) = self.outstanding.probes.get_mut(&sequence)
-            && let ProbeStage::Indirect { heard_nack, .. } = &mut probe.stage
+            && let ProbeStage::Indirect { received_nack, .. } = &mut probe.stage
         {
-            *heard_nack = true;
+            *received_nack = true;
         }
     }
 
--- a/crates/stairward-membership/src/swim/updates.rs
+++ b/crates/stairward-membership/src/swim/updates.rs
@@ -94,12 +94,12 @@
     }
 
     fn report_alive(&self, profile: &Profile, old: Option<&Record>, step: &mut Step<'_>) {
-        let was_live_in_this_life = old.is_some_and(|old| {
+        let was_live_in_this_incarnation = old.is_some_and(|old| {
             old.status.is_live() && old.version.incarnation == profile.version.incarnation
         });
         let was_leaving = old.is_some_and(|old| old.profile.leaving);
         let change = match () {
-            () if !was_live_in_this_life => MemberChange::Joined,
+            () if !was_live_in_this_incarnation => MemberChange::Joined,
             () if profile.leaving && !was_leaving => MemberChange::Leaving,
             () => MemberChange::Refuted,
         };
--- a/crates/stairward-membership/tests/feed.rs
+++ b/crates/stairward-membership/tests/feed.rs
@@ -193,11 +193,11 @@
     let effects = feed.handle(Time::from_millis(10), listing(7, "seven"));
     assert_eq!(applied(&effects), [&whole("seven")]);
     let follower = FollowerId(1);
-    let asked = Event::FollowRequested {
+    let request = Event::FollowRequested {
         follower,
         known: None,
     };
-    let effects = feed.handle(Time::from_millis(20), asked);
+    let effects = feed.handle(Time::from_millis(20), request);
     assert!(effects.is_empty(), "followers would consider it confirmed");
     let unconfirmed = feed.handle(Time::from_millis(2_000), Event::Tick);
     assert_eq!(reading_change(&unconfirmed), Some(true));
@@ -272,11 +272,11 @@
     );
     let follower = FollowerId(1);
     feed.handle(Time::ZERO, from_store(5, whole("five")));
-    let asked = Event::FollowRequested {
+    let request = Event::FollowRequested {
         follower,
         known: None,
     };
-    let effects = feed.handle(Time::from_millis(300), asked);
+    let effects = feed.handle(Time::from_millis(300), request);
     let pushed = Effect::Push {
         followers: vec![follower],
         at: StoreRevision::new(0, 5),
--- a/crates/stairward-membership/tests/feed_age.rs
+++ b/crates/stairward-membership/tests/feed_age.rs
@@ -174,11 +174,11 @@
     let mut feed = feed(1);
     let follower = FollowerId(1);
     feed.handle(at(10), from_store(5, 5, FeedContent::Snapshot(Vec::new())));
-    let asked = Event::FollowRequested {
+    let request = Event::FollowRequested {
         follower,
         known: None,
     };
-    let effects = feed.handle(at(300), asked);
+    let effects = feed.handle(at(300), request);
     assert_eq!(pushed(&effects), [(StoreRevision::new(0, 5), Some(at(5)))]);
     let effects = feed.handle(at(1_700), from_store(5, 1_610, FeedContent::Unchanged));
     assert_eq!(
--- a/crates/stairward-membership/tests/restored_view.rs
+++ b/crates/stairward-membership/tests/restored_view.rs
@@ -41,18 +41,18 @@
 }
 
 /// The view after a listing of a restored store, on a node that knew `known` and the deletion of
-/// `gone`.
+/// `deleted`.
 fn view_after_restore(
     known: &[(&str, u64, &'static str)],
-    gone: &[&str],
+    deleted: &[&str],
     listed: &[(&str, u64, &'static str)],
 ) -> (RestoredView<Entry>, BTreeMap<String, Entry>) {
     let listed = entries(1, listed);
     let mut view = RestoredView::default();
-    let gone = gone.iter().map(|name| (*name).to_owned());
+    let deleted = deleted.iter().map(|name| (*name).to_owned());
     let known = entries(0, known);
     assert!(!view.apply_listing(Some(0), BTreeMap::new(), Vec::new(), &known));
-    assert!(view.apply_listing(Some(1), known, gone, &listed));
+    assert!(view.apply_listing(Some(1), known, deleted, &listed));
     (view, listed)
 }
 
