--- a/crates/stairward-membership/src/holder_ranking.rs
+++ b/crates/stairward-membership/src/holder_ranking.rs
@@ -12,7 +12,7 @@
 use crate::ownership::Candidate;
 
 /// A zone with members, by region and name.
-type Place = (RegionName, ZoneName);
+type ZoneKey = (RegionName, ZoneName);
 
 /// A member's score for a service (rendezvous hashing; Thaler and Ravishankar, 1998). The smallest
 /// ranks first.
@@ -25,8 +25,8 @@
 #[derive(Debug, Clone, Default)]
 pub struct HolderRanking {
     /// The members that may hold connections; leaving members are excluded.
-    members: BTreeMap<NodeId, Place>,
-    zones: BTreeMap<Place, BTreeSet<NodeId>>,
+    members: BTreeMap<NodeId, ZoneKey>,
+    zones: BTreeMap<ZoneKey, BTreeSet<NodeId>>,
     services: BTreeMap<ServiceName, ServiceRanking>,
 }
 
@@ -38,7 +38,7 @@
     /// Maximum number of holders in a zone.
     per_zone: usize,
     /// The first `per_zone` members of each zone.
-    best: BTreeMap<Place, Vec<Score>>,
+    best: BTreeMap<ZoneKey, Vec<Score>>,
     /// The holders, best rank first.
     holders: Vec<NodeId>,
 }
@@ -87,46 +87,49 @@
         let present: BTreeMap<NodeId, (&RegionName, &ZoneName)> = active
             .map(|member| (member.node, (member.region, member.zone)))
             .collect();
-        let is_present = |node: &NodeId, place: &Place| {
+        let is_present = |node: &NodeId, zone_key: &ZoneKey| {
             present
                 .get(node)
-                .is_some_and(|(region, zone)| **region == place.0 && **zone == place.1)
+                .is_some_and(|(region, zone)| **region == zone_key.0 && **zone == zone_key.1)
         };
         let removed: Vec<_> = self
             .members
             .iter()
-            .filter(|(node, place)| !is_present(node, place))
-            .map(|(node, place)| (*node, place.clone()))
+            .filter(|(node, zone_key)| !is_present(node, zone_key))
+            .map(|(node, zone_key)| (*node, zone_key.clone()))
             .collect();
-        for (node, place) in &removed {
-            self.remove(*node, place);
+        for (node, zone_key) in &removed {
+            self.remove(*node, zone_key);
         }
         let joined: Vec<_> = present
             .iter()
             .filter(|(node, _)| !self.members.contains_key(*node))
             .map(|(node, (region, zone))| (*node, ((*region).clone(), (*zone).clone())))
             .collect();
-        for (node, place) in &joined {
-            self.members.insert(*node, place.clone());
-            self.zones.entry(place.clone()).or_default().insert(*node);
+        for (node, zone_key) in &joined {
+            self.members.insert(*node, zone_key.clone());
+            self.zones
+                .entry(zone_key.clone())
+                .or_default()
+                .insert(*node);
         }
         self.rerank(&removed, &joined)
     }
 
-    fn remove(&mut self, node: NodeId, place: &Place) {
+    fn remove(&mut self, node: NodeId, zone_key: &ZoneKey) {
         self.members.remove(&node);
-        if let Some(zone) = self.zones.get_mut(place) {
+        if let Some(zone) = self.zones.get_mut(zone_key) {
             zone.remove(&node);
             if zone.is_empty() {
-                self.zones.remove(place);
+                self.zones.remove(zone_key);
             }
         }
     }
 
     fn rerank(
         &mut self,
-        removed: &[(NodeId, Place)],
-        joined: &[(NodeId, Place)],
+        removed: &[(NodeId, ZoneKey)],
+        joined: &[(NodeId, ZoneKey)],
     ) -> BTreeSet<ServiceName> {
         if removed.is_empty() && joined.is_empty() {
             return BTreeSet::new();
@@ -154,7 +157,7 @@
 }
 
 fn rank(
-    zones: &BTreeMap<Place, BTreeSet<NodeId>>,
+    zones: &BTreeMap<ZoneKey, BTreeSet<NodeId>>,
     service: &ServiceName,
     count: usize,
 ) -> ServiceRanking {
@@ -162,7 +165,7 @@
     let per_zone = required_per_zone(&sizes, count);
     let best = zones
         .iter()
-        .map(|(place, zone)| (place.clone(), best_of(zone, service, per_zone)))
+        .map(|(zone_key, zone)| (zone_key.clone(), best_of(zone, service, per_zone)))
         .collect();
     let mut ranked = ServiceRanking {
         count,
@@ -190,8 +193,8 @@
     if is_full && best.last().is_none_or(|last| score > *last) {
         return false;
     }
-    let place = best.partition_point(|known| *known < score);
-    best.insert(place, score);
+    let index = best.partition_point(|known| *known < score);
+    best.insert(index, score);
     best.truncate(per_zone);
     true
 }
@@ -202,33 +205,33 @@
     fn change(
         &mut self,
         service: &ServiceName,
-        zones: &BTreeMap<Place, BTreeSet<NodeId>>,
-        removed: &[(NodeId, Place)],
-        joined: &[(NodeId, Place)],
+        zones: &BTreeMap<ZoneKey, BTreeSet<NodeId>>,
+        removed: &[(NodeId, ZoneKey)],
+        joined: &[(NodeId, ZoneKey)],
     ) -> bool {
         let mut is_affected = false;
         let mut to_rerank = BTreeSet::new();
-        for (node, place) in removed {
-            let best = self.best.get(place);
+        for (node, zone_key) in removed {
+            let best = self.best.get(zone_key);
             if best.is_some_and(|best| best.iter().any(|(_, known)| known == node)) {
-                to_rerank.insert(place);
+                to_rerank.insert(zone_key);
             }
         }
-        for place in to_rerank {
+        for zone_key in to_rerank {
             is_affected = true;
-            match zones.get(place) {
+            match zones.get(zone_key) {
                 Some(zone) => {
                     let best = best_of(zone, service, self.per_zone);
-                    self.best.insert(place.clone(), best);
+                    self.best.insert(zone_key.clone(), best);
                 }
                 None => {
-                    self.best.remove(place);
+                    self.best.remove(zone_key);
                 }
             }
         }
-        for (node, place) in joined {
+        for (node, zone_key) in joined {
             let score = score_of(service, *node);
-            let best = self.best.entry(place.clone()).or_default();
+            let best = self.best.entry(zone_key.clone()).or_default();
             // A reranked zone already contains it.
             if !best.contains(&score) {
                 is_affected |= insert(best, score, self.per_zone);
@@ -247,7 +250,7 @@
     }
 
     /// Whether any of these members is a holder; it may have rejoined in another zone.
-    fn holds_any(&self, members: &[(NodeId, Place)]) -> bool {
+    fn holds_any(&self, members: &[(NodeId, ZoneKey)]) -> bool {
         members.iter().any(|(node, _)| self.holders.contains(node))
     }
 }
--- a/crates/stairward-membership/src/local_health.rs
+++ b/crates/stairward-membership/src/local_health.rs
@@ -25,7 +25,7 @@
     }
 
     /// Multiplies a timeout by the score plus one.
-    pub fn stretch(self, time: Duration) -> Duration {
+    pub fn scale(self, time: Duration) -> Duration {
         time * (self.score + 1)
     }
 }
--- a/crates/stairward-membership/src/probe.rs
+++ b/crates/stairward-membership/src/probe.rs
@@ -20,15 +20,15 @@
 impl ProbeOrder {
     /// Adds a member at a random position.
     pub fn insert(&mut self, node: NodeId, rng: &mut dyn Rng) {
-        let place = rng.random_range(0..=self.nodes.len());
+        let index = rng.random_range(0..=self.nodes.len());
         self.nodes.push(node);
         let last = self.nodes.len() - 1;
-        self.nodes.swap(place, last);
+        self.nodes.swap(index, last);
     }
 
     pub fn remove(&mut self, node: NodeId) {
-        if let Some(place) = self.nodes.iter().position(|other| *other == node) {
-            self.nodes.swap_remove(place);
+        if let Some(index) = self.nodes.iter().position(|other| *other == node) {
+            self.nodes.swap_remove(index);
         }
     }
 
--- a/crates/stairward-membership/src/swim.rs
+++ b/crates/stairward-membership/src/swim.rs
@@ -119,7 +119,7 @@
     has_departed: bool,
     table: MemberTable,
     order: ProbeOrder,
-    outstanding: PendingProbes,
+    pending_probes: PendingProbes,
     suspicions: Suspicions,
     health: LocalHealth,
     update_queue: BroadcastQueue<Update>,
@@ -161,7 +161,7 @@
             has_departed: false,
             table,
             order: ProbeOrder::default(),
-            outstanding: PendingProbes::default(),
+            pending_probes: PendingProbes::default(),
             suspicions: Suspicions::default(),
             health: LocalHealth::default(),
             update_queue: BroadcastQueue::default(),
@@ -217,7 +217,7 @@
             self.next_gossip,
             self.next_failed_probe,
             self.next_cleanup,
-            self.outstanding.next_deadline(),
+            self.pending_probes.next_deadline(),
             self.suspicions.next_deadline(),
             self.introductions.next_deadline(),
         ];
@@ -296,7 +296,7 @@
     fn handle_local_pause(&mut self, now: Time) {
         let delay = now.since(self.next_deadline());
         if delay > self.config.pause_threshold {
-            self.outstanding.clear();
+            self.pending_probes.clear();
             self.suspicions.postpone(delay);
             self.health.worsen();
             // Updates such as refutations were missed, and packets waiting in the socket buffer are
--- a/crates/stairward-membership/src/swim/comparison.rs
+++ b/crates/stairward-membership/src/swim/comparison.rs
@@ -108,7 +108,7 @@
     }
 
     /// Schedules the next comparison earlier after an answer with new information.
-    pub(super) fn after_comparison(
+    pub(super) fn reschedule_comparison(
         &mut self,
         message: &Message,
         has_new_members: bool,
--- a/crates/stairward-membership/src/swim/probing.rs
+++ b/crates/stairward-membership/src/swim/probing.rs
@@ -13,7 +13,7 @@
     /// Starts the probes that are due: one of the next member in order, and one of a failed member.
     pub(super) fn start_due_probes(&mut self, step: &mut Step<'_>) {
         if self.next_probe <= step.now {
-            self.next_probe = step.now + self.health.stretch(self.config.probe_interval);
+            self.next_probe = step.now + self.health.scale(self.config.probe_interval);
             if let Some(target) = self.order.next(step.rng) {
                 self.start_probe(target, Vec::new(), step);
             }
@@ -21,14 +21,14 @@
         if self.next_failed_probe <= step.now {
             let interval = self.config.failed_probe_interval;
             self.next_failed_probe = step.now + interval.mul_f64(0.5 + step.rng.random::<f64>());
-            self.probe_one_failed(step);
+            self.ping_random_failed_member(step);
         }
     }
 
     /// Probes a member at once after a connection to it was lost.
     pub(super) fn probe_lost_peer(&mut self, node: NodeId, step: &mut Step<'_>) {
         let is_known = self.table.live(node).is_some();
-        if is_known && node != self.me.node && !self.outstanding.is_probing(node) {
+        if is_known && node != self.me.node && !self.pending_probes.is_probing(node) {
             self.start_probe(node, Vec::new(), step);
         }
     }
@@ -47,7 +47,7 @@
         }
         let chosen = disputed[step.rng.random_range(0..disputed.len())].clone();
         if let Update::Failed { node, .. } = chosen
-            && !self.outstanding.is_probing(node)
+            && !self.pending_probes.is_probing(node)
         {
             self.start_probe(node, vec![chosen], step);
         }
@@ -67,13 +67,13 @@
     /// Probes a member, sending it these updates and its status if it is not considered alive.
     fn start_probe(&mut self, target: NodeId, updates: Vec<Update>, step: &mut Step<'_>) {
         let sequence = self.next_sequence();
-        let deadline = step.now + self.health.stretch(self.config.direct_timeout);
+        let deadline = step.now + self.health.scale(self.config.direct_timeout);
         let probe = Probe {
             target,
             stage: ProbeStage::Direct,
             deadline,
         };
-        self.outstanding.probes.insert(sequence, probe);
+        self.pending_probes.probes.insert(sequence, probe);
         self.ping(target, sequence, updates, step);
     }
 
@@ -99,7 +99,7 @@
 
     /// Pings a failed member at random. Members on the other side of a partition appear failed; a
     /// ping reaches them once it has healed.
-    fn probe_one_failed(&mut self, step: &mut Step<'_>) {
+    fn ping_random_failed_member(&mut self, step: &mut Step<'_>) {
         let failed: Vec<NodeId> = self
             .table
             .records()
@@ -114,7 +114,7 @@
 
     /// Advances probes and relays whose deadline has passed.
     pub(super) fn advance_probes(&mut self, step: &mut Step<'_>) {
-        for relay in self.outstanding.take_due_relays(step.now) {
+        for relay in self.pending_probes.take_due_relays(step.now) {
             let sequence = relay.sequence;
             self.send(
                 relay.requester,
@@ -123,9 +123,9 @@
                 step,
             );
         }
-        for (sequence, probe) in self.outstanding.take_due_probes(step.now) {
+        for (sequence, probe) in self.pending_probes.take_due_probes(step.now) {
             match probe.stage {
-                ProbeStage::Direct => self.ask_others(sequence, probe.target, step),
+                ProbeStage::Direct => self.send_indirect_pings(sequence, probe.target, step),
                 ProbeStage::Indirect {
                     helper_count,
                     received_nack,
@@ -139,7 +139,7 @@
         }
     }
 
-    fn ask_others(&mut self, sequence: u64, target: NodeId, step: &mut Step<'_>) {
+    fn send_indirect_pings(&mut self, sequence: u64, target: NodeId, step: &mut Step<'_>) {
         let table = &self.table;
         let helpers = self
             .order
@@ -168,9 +168,9 @@
                 helper_count: helpers.len(),
                 received_nack: false,
             },
-            deadline: step.now + self.health.stretch(self.config.indirect_timeout),
+            deadline: step.now + self.health.scale(self.config.indirect_timeout),
         };
-        self.outstanding.probes.insert(sequence, probe);
+        self.pending_probes.probes.insert(sequence, probe);
     }
 
     fn suspect(&mut self, node: NodeId, step: &mut Step<'_>) {
--- a/crates/stairward-membership/src/swim/receiving.rs
+++ b/crates/stairward-membership/src/swim/receiving.rs
@@ -26,20 +26,20 @@
         } else {
             Source::Gossip
         };
-        let has_new_members = self.apply_all(&packet.updates, source, step);
+        let has_new_members = self.apply_updates(&packet.updates, source, step);
         if is_comparison {
             self.probe_disputed_failure(&packet.updates, step);
         }
         let has_new_terms = packet.terms.iter().fold(false, |any, update| {
             self.apply_term(update, !is_comparison, step) | any
         });
-        self.after_comparison(&packet.message, has_new_members, has_new_terms, step.now);
+        self.reschedule_comparison(&packet.message, has_new_members, has_new_terms, step.now);
         self.report_settings_difference(sender, packet.digest, step);
-        self.answer(from, &packet, step);
+        self.handle_message(from, &packet, step);
         self.compare_digests(from, packet.digest, step);
     }
 
-    fn apply_all(&mut self, updates: &[Update], source: Source, step: &mut Step<'_>) -> bool {
+    fn apply_updates(&mut self, updates: &[Update], source: Source, step: &mut Step<'_>) -> bool {
         updates
             .iter()
             .fold(false, |any, update| self.apply(update, source, step) | any)
@@ -55,22 +55,22 @@
         }
     }
 
-    fn answer(&mut self, from: SocketAddr, packet: &Packet, step: &mut Step<'_>) {
+    fn handle_message(&mut self, from: SocketAddr, packet: &Packet, step: &mut Step<'_>) {
         let (sender, version) = (packet.sender, packet.sender_version);
         match &packet.message {
             Message::Ping { sequence, target } => {
-                self.answer_ping(from, sender, version, *sequence, *target, step);
+                self.handle_ping(from, sender, version, *sequence, *target, step);
             }
             Message::Introduce { sequence } => {
-                self.acknowledge(from, sender, version, *sequence, step);
+                self.send_ack(from, sender, version, *sequence, step);
             }
-            Message::Ack { sequence } => self.take_ack(*sequence, step),
-            Message::Nack { sequence } => self.take_nack(*sequence),
+            Message::Ack { sequence } => self.handle_ack(*sequence, step),
+            Message::Nack { sequence } => self.handle_nack(*sequence),
             Message::IndirectPing {
                 sequence,
                 target,
                 address,
-            } => self.ping_for_other(from, *sequence, *target, *address, step),
+            } => self.relay_ping(from, *sequence, *target, *address, step),
             Message::Gossip => {}
             Message::CompareMembers { digests } => self.answer_members(from, digests, step),
             Message::Members { bucket, is_answer } => {
@@ -87,7 +87,7 @@
         }
     }
 
-    fn answer_ping(
+    fn handle_ping(
         &mut self,
         from: SocketAddr,
         sender: NodeId,
@@ -100,7 +100,7 @@
             return;
         }
         if target == self.me.node {
-            self.acknowledge(from, sender, version, sequence, step);
+            self.send_ack(from, sender, version, sequence, step);
         } else {
             // The pinged process no longer runs at this address. Inform the sender of this one.
             let own_profile = Update::Alive(self.me.clone());
@@ -108,7 +108,7 @@
         }
     }
 
-    fn acknowledge(
+    fn send_ack(
         &mut self,
         to: SocketAddr,
         node: NodeId,
@@ -120,29 +120,29 @@
         self.send(to, Message::Ack { sequence }, accusation, step);
     }
 
-    fn take_ack(&mut self, sequence: u64, step: &mut Step<'_>) {
-        if self.outstanding.probes.remove(&sequence).is_some() {
+    fn handle_ack(&mut self, sequence: u64, step: &mut Step<'_>) {
+        if self.pending_probes.probes.remove(&sequence).is_some() {
             self.health.improve();
             return;
         }
-        if let Some(relay) = self.outstanding.take_relay(sequence) {
+        if let Some(relay) = self.pending_probes.take_relay(sequence) {
             let sequence = relay.sequence;
             self.send(relay.requester, Message::Ack { sequence }, Vec::new(), step);
         }
     }
 
-    fn take_nack(&mut self, sequence: u64) {
-        if let Some(probe) = self.outstanding.probes.get_mut(&sequence)
+    fn handle_nack(&mut self, sequence: u64) {
+        if let Some(probe) = self.pending_probes.probes.get_mut(&sequence)
             && let ProbeStage::Indirect { received_nack, .. } = &mut probe.stage
         {
             *received_nack = true;
         }
     }
 
-    fn ping_for_other(
+    fn relay_ping(
         &mut self,
         requester: SocketAddr,
-        requested_sequence: u64,
+        original_sequence: u64,
         target: NodeId,
         address: SocketAddr,
         step: &mut Step<'_>,
@@ -150,10 +150,10 @@
         let sequence = self.next_sequence();
         let relay = Relay {
             requester,
-            sequence: requested_sequence,
+            sequence: original_sequence,
             deadline: step.now + self.config.direct_timeout,
         };
-        if !self.has_departed && self.outstanding.add_relay(sequence, relay) {
+        if !self.has_departed && self.pending_probes.add_relay(sequence, relay) {
             let accusation = self.accusation(target, Version::default());
             let message = Message::Ping { sequence, target };
             self.send(address, message, accusation, step);
--- a/crates/stairward-membership/src/swim/updates.rs
+++ b/crates/stairward-membership/src/swim/updates.rs
@@ -339,7 +339,7 @@
         self.has_departed = true;
         self.next_probe = Time::NEVER;
         self.next_failed_probe = Time::NEVER;
-        self.outstanding.clear();
+        self.pending_probes.clear();
         let update = Update::Left {
             node: self.me.node,
             version: self.me.version,
--- a/crates/stairward-membership/tests/ownership.rs
+++ b/crates/stairward-membership/tests/ownership.rs
@@ -3,15 +3,15 @@
 use stairward_membership::{Candidate, Ranking, rank_owners};
 use stairward_types::{BackendId, NodeId, RegionName, ZoneName};
 
-struct Place {
+struct Member {
     node: u64,
     region: RegionName,
     zone: ZoneName,
     leaving: bool,
 }
 
-fn place(node: u64, region: &str, zone: &str) -> Place {
-    Place {
+fn member(node: u64, region: &str, zone: &str) -> Member {
+    Member {
         node,
         region: RegionName::new(region).unwrap(),
         zone: ZoneName::new(zone).unwrap(),
@@ -19,12 +19,12 @@
     }
 }
 
-fn rank(places: &[Place], backend: &str, region: &str, zone: &str) -> Option<Ranking> {
-    let candidates = places.iter().map(|place| Candidate {
-        node: NodeId(place.node),
-        region: &place.region,
-        zone: &place.zone,
-        leaving: place.leaving,
+fn rank(members: &[Member], backend: &str, region: &str, zone: &str) -> Option<Ranking> {
+    let candidates = members.iter().map(|member| Candidate {
+        node: NodeId(member.node),
+        region: &member.region,
+        zone: &member.zone,
+        leaving: member.leaving,
     });
     let backend = BackendId::new(backend).unwrap();
     let region = RegionName::new(region).unwrap();
@@ -33,12 +33,12 @@
 }
 
 /// Twelve nodes in two regions, with two zones per region and three nodes per zone.
-fn fleet() -> Vec<Place> {
+fn fleet() -> Vec<Member> {
     (0..12)
         .map(|node| {
             let region = ["east", "west"][node as usize / 6];
             let zone = ["east-a", "east-b", "west-a", "west-b"][node as usize / 3];
-            place(node, region, zone)
+            member(node, region, zone)
         })
         .collect()
 }
@@ -54,7 +54,7 @@
 
 #[test]
 fn a_single_member_owns_without_standby() {
-    let ranking = rank(&[place(7, "west", "west-a")], "db-1", "east", "east-a").unwrap();
+    let ranking = rank(&[member(7, "west", "west-a")], "db-1", "east", "east-a").unwrap();
     assert_eq!((ranking.owner, ranking.standby), (NodeId(7), None));
 }
 
@@ -70,21 +70,21 @@
 
 #[test]
 fn back_ends_of_a_lost_zone_move_within_the_region() {
-    let mut places = fleet();
-    places.retain(|place| place.zone.as_str() != "west-a");
+    let mut members = fleet();
+    members.retain(|member| member.zone.as_str() != "west-a");
     for backend in backends() {
-        let ranking = rank(&places, &backend, "west", "west-a").unwrap();
+        let ranking = rank(&members, &backend, "west", "west-a").unwrap();
         assert!((9..12).contains(&ranking.owner.0));
     }
 }
 
 #[test]
 fn a_leaving_member_owns_only_when_nobody_else_is_left() {
-    let mut places = fleet();
-    for place in &mut places {
-        place.leaving = place.node != 2;
+    let mut members = fleet();
+    for member in &mut members {
+        member.leaving = member.node != 2;
     }
-    let ranking = rank(&places, "db-1", "west", "west-a").unwrap();
+    let ranking = rank(&members, "db-1", "west", "west-a").unwrap();
     assert_eq!(ranking.owner, NodeId(2));
     assert!((6..9).contains(&ranking.standby.unwrap().0));
 }
@@ -93,7 +93,7 @@
 fn the_loss_of_a_member_moves_only_its_own_back_ends_to_the_standby() {
     let before = fleet();
     let mut after = fleet();
-    after.retain(|place| place.node != 7);
+    after.retain(|member| member.node != 7);
     for backend in backends() {
         let old = rank(&before, &backend, "west", "west-a").unwrap();
         let new = rank(&after, &backend, "west", "west-a").unwrap();
--- a/crates/stairward-membership/tests/partial_views.rs
+++ b/crates/stairward-membership/tests/partial_views.rs
@@ -61,14 +61,14 @@
     while now < Time::from_millis(15_000) {
         now = now + Duration::from_millis(10);
         for (from, to, packet) in std::mem::take(&mut in_transit) {
-            let place = (1..=MEMBERS).position(|node| address(node) == to).unwrap();
+            let index = (1..=MEMBERS).position(|node| address(node) == to).unwrap();
             let event = Event::Received { from, packet };
-            let effects = members[place].handle(now, event, &mut random);
-            in_transit.extend(sent(place as u64 + 1, effects));
+            let effects = members[index].handle(now, event, &mut random);
+            in_transit.extend(sent(index as u64 + 1, effects));
         }
-        for (place, member) in members.iter_mut().enumerate() {
+        for (index, member) in members.iter_mut().enumerate() {
             let effects = member.handle(now, Event::Tick, &mut random);
-            in_transit.extend(sent(place as u64 + 1, effects));
+            in_transit.extend(sent(index as u64 + 1, effects));
         }
     }
     for member in &members {
