--- a/crates/stairward-membership/src/swim/probing.rs
+++ b/crates/stairward-membership/src/swim/probing.rs
@@ -1,4 +1,4 @@
-//! Finding out whether members answer.
+//! Failure detection: direct and indirect probes, suspicions and introductions.
 
 use rand::RngExt as _;
 use stairward_types::NodeId;
@@ -10,10 +10,10 @@
 use crate::probe::{Probe, ProbeStage};
 
 impl SwimMember {
-    /// Starts the probes that are due: of the next member in turn, and of one that has failed.
+    /// Starts the probes that are due: one of the next member in order, and one of a failed member.
     pub(super) fn start_due_probes(&mut self, step: &mut Step<'_>) {
         if self.next_probe <= step.now {
-            self.next_probe = step.now + self.health.stretch(self.config.probe_interval);
+            self.next_probe = step.now + self.health.scale(self.config.probe_interval);
             if let Some(target) = self.order.next(step.rng) {
                 self.start_probe(target, Vec::new(), step);
             }
@@ -21,38 +21,39 @@
         if self.next_failed_probe <= step.now {
             let interval = self.config.failed_probe_interval;
             self.next_failed_probe = step.now + interval.mul_f64(0.5 + step.rng.random::<f64>());
-            self.probe_one_failed(step);
+            self.ping_random_failed_member(step);
         }
     }
 
-    /// A lost connection is a reason to look at once.
+    /// Probes a member at once after a connection to it was lost.
     pub(super) fn probe_lost_peer(&mut self, node: NodeId, step: &mut Step<'_>) {
         let is_known = self.table.live(node).is_some();
-        if is_known && node != self.me.node && !self.outstanding.is_probing(node) {
+        if is_known && node != self.me.node && !self.pending_probes.is_probing(node) {
             self.start_probe(node, Vec::new(), step);
         }
     }
 
-    /// A peer's view holds members failed that this node's view holds alive: since a partition that
-    /// has healed, or because this node missed the news. One of them is probed and told what is said
-    /// of it. Many nodes compare their views, so that each such member is told soon.
-    pub(super) fn question_failures(&mut self, updates: &[Update], step: &mut Step<'_>) {
-        let questionable: Vec<&Update> = updates
+    /// Handles failures reported in a comparison of members that are live in this node's view.
+    /// Either they date from a partition that has healed, or this node missed the updates. One such
+    /// member is probed and sent the report, so that it can refute it. Many nodes compare views, so
+    /// each such member soon receives a probe.
+    pub(super) fn probe_disputed_failure(&mut self, updates: &[Update], step: &mut Step<'_>) {
+        let disputed: Vec<&Update> = updates
             .iter()
-            .filter(|update| self.is_questionable(update))
+            .filter(|update| self.is_disputed(update))
             .collect();
-        if questionable.is_empty() {
+        if disputed.is_empty() {
             return;
         }
-        let chosen = questionable[step.rng.random_range(0..questionable.len())].clone();
+        let chosen = disputed[step.rng.random_range(0..disputed.len())].clone();
         if let Update::Failed { node, .. } = chosen
-            && !self.outstanding.is_probing(node)
+            && !self.pending_probes.is_probing(node)
         {
             self.start_probe(node, vec![chosen], step);
         }
     }
 
-    fn is_questionable(&self, update: &Update) -> bool {
+    fn is_disputed(&self, update: &Update) -> bool {
         let Update::Failed { node, version } = update else {
             return false;
         };
@@ -63,21 +64,20 @@
                 .is_some_and(|record| record.version <= *version)
     }
 
-    /// Probes a member and tells it these updates, besides what is believed of it.
+    /// Probes a member, sending it these updates and its status if it is not considered alive.
     fn start_probe(&mut self, target: NodeId, updates: Vec<Update>, step: &mut Step<'_>) {
         let sequence = self.next_sequence();
-        let deadline = step.now + self.health.stretch(self.config.direct_timeout);
+        let deadline = step.now + self.health.scale(self.config.direct_timeout);
         let probe = Probe {
             target,
             stage: ProbeStage::Direct,
             deadline,
         };
-        self.outstanding.probes.insert(sequence, probe);
+        self.pending_probes.probes.insert(sequence, probe);
         self.ping(target, sequence, updates, step);
     }
 
-    /// Pings without waiting for the answer: what counts is that the member hears what is believed
-    /// of it.
+    /// Pings a member without waiting for an answer, to inform it of its status.
     pub(super) fn ping_untracked(&mut self, target: NodeId, step: &mut Step<'_>) {
         let sequence = self.next_sequence();
         self.ping(target, sequence, Vec::new(), step);
@@ -97,8 +97,9 @@
         }
     }
 
-    /// Members on the far side of a partition look failed. Probing them finds out when it heals.
-    fn probe_one_failed(&mut self, step: &mut Step<'_>) {
+    /// Pings a failed member at random. Members on the other side of a partition appear failed; a
+    /// ping reaches them once it has healed.
+    fn ping_random_failed_member(&mut self, step: &mut Step<'_>) {
         let failed: Vec<NodeId> = self
             .table
             .records()
@@ -111,9 +112,9 @@
         }
     }
 
-    /// Moves on the probes and relays whose time is up.
-    pub(super) fn end_probe_stages(&mut self, step: &mut Step<'_>) {
-        for relay in self.outstanding.take_due_relays(step.now) {
+    /// Advances probes and relays whose deadline has passed.
+    pub(super) fn advance_probes(&mut self, step: &mut Step<'_>) {
+        for relay in self.pending_probes.take_due_relays(step.now) {
             let sequence = relay.sequence;
             self.send(
                 relay.requester,
@@ -122,11 +123,14 @@
                 step,
             );
         }
-        for (sequence, probe) in self.outstanding.take_due_probes(step.now) {
+        for (sequence, probe) in self.pending_probes.take_due_probes(step.now) {
             match probe.stage {
-                ProbeStage::Direct => self.ask_others(sequence, probe.target, step),
-                ProbeStage::Indirect { asked, heard_nack } => {
-                    if asked > 0 && !heard_nack {
+                ProbeStage::Direct => self.send_indirect_pings(sequence, probe.target, step),
+                ProbeStage::Indirect {
+                    helper_count,
+                    received_nack,
+                } => {
+                    if helper_count > 0 && !received_nack {
                         self.health.worsen();
                     }
                     self.suspect(probe.target, step);
@@ -135,7 +139,7 @@
         }
     }
 
-    fn ask_others(&mut self, sequence: u64, target: NodeId, step: &mut Step<'_>) {
+    fn send_indirect_pings(&mut self, sequence: u64, target: NodeId, step: &mut Step<'_>) {
         let table = &self.table;
         let helpers = self
             .order
@@ -161,12 +165,12 @@
         let probe = Probe {
             target,
             stage: ProbeStage::Indirect {
-                asked: helpers.len(),
-                heard_nack: false,
+                helper_count: helpers.len(),
+                received_nack: false,
             },
-            deadline: step.now + self.health.stretch(self.config.indirect_timeout),
+            deadline: step.now + self.health.scale(self.config.indirect_timeout),
         };
-        self.outstanding.probes.insert(sequence, probe);
+        self.pending_probes.probes.insert(sequence, probe);
     }
 
     fn suspect(&mut self, node: NodeId, step: &mut Step<'_>) {
@@ -179,8 +183,8 @@
         self.ping_untracked(node, step);
     }
 
-    /// Declares members failed whose time to refute is up.
-    pub(super) fn end_suspicions(&mut self, step: &mut Step<'_>) {
+    /// Marks members as failed that did not refute a suspicion in time.
+    pub(super) fn expire_suspicions(&mut self, step: &mut Step<'_>) {
         while let Some(node) = self.suspicions.pop_due(step.now) {
             if let Some(version) = self.table.live(node).map(|record| record.version) {
                 self.fail(node, version, Source::Gossip, step);
@@ -188,8 +192,8 @@
         }
     }
 
-    /// Knocks at the addresses where others may be found.
-    pub(super) fn introduce(&mut self, step: &mut Step<'_>) {
+    /// Sends introductions to the due seed and machine addresses that belong to no live member.
+    pub(super) fn send_introductions(&mut self, step: &mut Step<'_>) {
         let is_alone = self.table.live_count() <= 1;
         let maximum = if is_alone {
             self.config.maximum_introduction_interval_alone
@@ -199,8 +203,13 @@
         for address in self.introductions.take_due(step.now, maximum) {
             if self.table.live_at(address).is_none() {
                 let sequence = self.next_sequence();
-                let myself = Update::Alive(self.me.clone());
-                self.send(address, Message::Introduce { sequence }, vec![myself], step);
+                let own_profile = Update::Alive(self.me.clone());
+                self.send(
+                    address,
+                    Message::Introduce { sequence },
+                    vec![own_profile],
+                    step,
+                );
             }
         }
     }
