--- a/crates/stairward-lab/src/simulate/edge/mod.rs
+++ b/crates/stairward-lab/src/simulate/edge/mod.rs
@@ -178,7 +178,7 @@
             .map(|(number, _)| *number)
             .collect();
         for number in held {
-            self.feed_request(number, Event::PrimaryLearnt, out);
+            self.feed_request(number, Event::PrimaryFound, out);
         }
     }
 
--- a/crates/stairward-lab/src/simulate/edge/request.rs
+++ b/crates/stairward-lab/src/simulate/edge/request.rs
@@ -169,7 +169,9 @@
             }
         });
         let Some(owner) = owner else {
-            return Some(Event::StreamLost { opened: false });
+            return Some(Event::StreamLost {
+                request_sent: false,
+            });
         };
         self.edge.next_stream += 1;
         let stream = StreamKey {
@@ -292,7 +294,7 @@
                     request.stream = None;
                 }
                 self.edge.streams.remove(&stream);
-                self.feed_request(number, Event::StreamLost { opened: true }, out);
+                self.feed_request(number, Event::StreamLost { request_sent: true }, out);
             }
             None => self.transaction_stream_lost(connection, out),
         }
--- a/crates/stairward-proxy/src/edge/majority.rs
+++ b/crates/stairward-proxy/src/edge/majority.rs
@@ -45,7 +45,7 @@
         let last = view
             .backends()
             .get(&self.backend)
-            .and_then(|state| state.last);
+            .and_then(|state| state.last_observation);
         let role = if self.is_primary {
             BackendRole::Primary
         } else {
--- a/crates/stairward-proxy/src/edge/opening.rs
+++ b/crates/stairward-proxy/src/edge/opening.rs
@@ -146,7 +146,9 @@
 
     /// Opens a stream; returns what the machine must hear when that failed.
     async fn send_attempt(&mut self, attempt: &Attempt, opening: &Opening) -> Option<Event> {
-        let lost = Some(Event::StreamLost { opened: false });
+        let lost = Some(Event::StreamLost {
+            request_sent: false,
+        });
         let owners = self.service.cluster.owners(&attempt.backend);
         let node = owners.and_then(|owners| {
             if attempt.use_standby {
@@ -221,15 +223,17 @@
             Heard::Owner(Some(message)) => message,
             Heard::Owner(None) => {
                 self.active = None;
-                return Ok(Progress::Continue(Some(Event::StreamLost { opened: true })));
+                return Ok(Progress::Continue(Some(Event::StreamLost {
+                    request_sent: true,
+                })));
             }
             Heard::Flush => {
                 let begun = self.flush_answers().await?;
                 opening.output_before = 0;
-                return Ok(Progress::Continue(begun.then_some(Event::AnswerBegun)));
+                return Ok(Progress::Continue(begun.then_some(Event::AnswerStarted)));
             }
             Heard::Tick => return Ok(Progress::Continue(Some(Event::Tick))),
-            Heard::PrimaryLearnt => return Ok(Progress::Continue(Some(Event::PrimaryLearnt))),
+            Heard::PrimaryLearnt => return Ok(Progress::Continue(Some(Event::PrimaryFound))),
             Heard::Cancelled => return Ok(Progress::Continue(Some(Event::Cancelled))),
             Heard::CallerGone => return Err(SessionEnd::Client(ClientError::Closed)),
         };
@@ -263,7 +267,7 @@
                 if begun {
                     opening.output_before = 0;
                 }
-                return Ok(Progress::Continue(begun.then_some(Event::AnswerBegun)));
+                return Ok(Progress::Continue(begun.then_some(Event::AnswerStarted)));
             }
             OwnerMessage::OutcomeUnknown { code, hint } => {
                 self.active = None;
--- a/crates/stairward-routing/src/choice.rs
+++ b/crates/stairward-routing/src/choice.rs
@@ -51,7 +51,7 @@
         .primary()
         .is_some_and(|primary| primary.backend == *backend);
     let claims_primary = state
-        .last
+        .last_observation
         .is_some_and(|last| last.role == BackendRole::Primary);
     let is_only_primary_seen = claims_primary && view.primary().is_none();
     !is_known_primary && !is_only_primary_seen
@@ -64,7 +64,7 @@
 }
 
 fn waiting(state: &BackendView) -> u16 {
-    state.last.map_or(0, |last| last.waiting)
+    state.last_observation.map_or(0, |last| last.waiting)
 }
 
 fn nearest_and_least_loaded(candidates: &[(&BackendId, &BackendView)], random: u64) -> BackendId {
@@ -93,7 +93,7 @@
         .iter()
         .max_by_key(|(_, state)| {
             state
-                .last
+                .last_observation
                 .map(|last| (last.freshness.term, last.freshness.position))
         })
         .map(|(backend, _)| (*backend).clone())
--- a/crates/stairward-routing/src/event.rs
+++ b/crates/stairward-routing/src/event.rs
@@ -43,7 +43,7 @@
         observation: Option<Observation>,
     },
     /// The first bytes of the answer were passed to the caller.
-    AnswerBegun,
+    AnswerStarted,
     /// The batch ended and its answer was passed on whole. Carries the back end's state, if known.
     Done(Option<Observation>),
     /// The owner cannot tell the outcome.
@@ -58,10 +58,10 @@
     /// The connection to the owner was lost.
     StreamLost {
         /// Whether the request had been sent on it.
-        opened: bool,
+        request_sent: bool,
     },
     /// A primary was learnt, or the one known was found alive.
-    PrimaryLearnt,
+    PrimaryFound,
     /// The caller cancels.
     Cancelled,
     /// Time has passed; comes at the latest at each [`Effect::WakeAt`].
@@ -90,7 +90,7 @@
     Send(Attempt),
     /// Deliver [`Event::Tick`] at this moment. Replaces the moment named before.
     WakeAt(Time),
-    /// Ask the group's members for the newest primary, then deliver [`Event::PrimaryLearnt`].
+    /// Ask the group's members for the newest primary, then deliver [`Event::PrimaryFound`].
     FindPrimary,
     /// Pass the cancellation to the owner.
     Cancel,
--- a/crates/stairward-routing/src/request.rs
+++ b/crates/stairward-routing/src/request.rs
@@ -47,7 +47,7 @@
     /// Set once an attempt of a repeatable request ended with its outcome unknown.
     pub(crate) unknown: Option<ResultCode>,
     /// When the request began to wait for a primary, over all waits.
-    pub(crate) waits_until: Option<Time>,
+    pub(crate) wait_deadline: Option<Time>,
     pub(crate) cancelled: bool,
 }
 
@@ -60,7 +60,7 @@
             state: State::New,
             tried: BTreeSet::new(),
             unknown: None,
-            waits_until: None,
+            wait_deadline: None,
             cancelled: false,
         }
     }
--- a/crates/stairward-routing/src/step.rs
+++ b/crates/stairward-routing/src/step.rs
@@ -34,7 +34,7 @@
         match event {
             Event::Start => self.start(),
             Event::Tick => self.tick(),
-            Event::PrimaryLearnt => self.primary_learnt(),
+            Event::PrimaryFound => self.primary_found(),
             Event::Cancelled => self.cancelled(),
             other => self.take_from_owner(other),
         }
@@ -122,7 +122,7 @@
         let limits = &self.group.limits.hold;
         let until = *self
             .machine
-            .waits_until
+            .wait_deadline
             .get_or_insert(self.now + limits.time);
         if self.now >= until {
             return self.fail(Failure::retry_after(cause, limits.time));
@@ -143,7 +143,7 @@
         }));
     }
 
-    fn primary_learnt(&mut self) {
+    fn primary_found(&mut self) {
         let State::Waiting(waiting) = &mut self.machine.state else {
             return;
         };
@@ -202,7 +202,7 @@
         let backend = sent.backend.clone();
         match event {
             Event::Admitted(observation) => self.observe(&backend, observation),
-            Event::AnswerBegun => sent.answered = true,
+            Event::AnswerStarted => sent.answered = true,
             Event::Done(observation) => self.done(&backend, observation),
             Event::Refused {
                 code,
@@ -217,9 +217,11 @@
                 self.lost(code);
             }
             Event::TransactionLost => self.transaction_lost(),
-            Event::StreamLost { opened: false } => self.owner_refused(ResultCode::NotOwner),
-            Event::StreamLost { opened: true } => self.lost(ResultCode::OwnerLostAfterSend),
-            Event::Start | Event::PrimaryLearnt | Event::Cancelled | Event::Tick => {}
+            Event::StreamLost {
+                request_sent: false,
+            } => self.owner_refused(ResultCode::NotOwner),
+            Event::StreamLost { request_sent: true } => self.lost(ResultCode::OwnerLostAfterSend),
+            Event::Start | Event::PrimaryFound | Event::Cancelled | Event::Tick => {}
         }
     }
 
@@ -231,7 +233,7 @@
 
     fn done(&mut self, backend: &BackendId, observation: Option<Observation>) {
         self.observe(backend, observation);
-        self.group.view.succeeded(backend);
+        self.group.view.record_success(backend);
         self.group.budget.deposit();
         self.finish(Outcome::Answered);
     }
@@ -260,7 +262,7 @@
     fn not_fresh_enough(&mut self) {
         let Some(sent) = self.sent() else { return };
         let (backend, is_primary) = (sent.backend.clone(), self.sent_to_primary());
-        self.group.view.lagged(self.now, &backend);
+        self.group.view.record_lag(self.now, &backend);
         if is_primary {
             self.suspect_primary();
         }
@@ -376,7 +378,7 @@
     fn mark_failed(&mut self, at_least: Option<Duration>) {
         let Some(sent) = self.sent() else { return };
         let backend = sent.backend.clone();
-        self.group.view.failed(self.now, &backend, at_least);
+        self.group.view.record_failure(self.now, &backend, at_least);
         self.machine.tried.insert(backend);
     }
 
--- a/crates/stairward-routing/src/view.rs
+++ b/crates/stairward-routing/src/view.rs
@@ -52,7 +52,7 @@
     /// How far it is.
     pub distance: ZoneDistance,
     /// Its last observed state; `None` before the first.
-    pub last: Option<Observation>,
+    pub last_observation: Option<Observation>,
     /// When that was.
     observed_at: Time,
     /// Failures since it last answered.
@@ -70,7 +70,7 @@
         Self {
             admin_state,
             distance,
-            last: None,
+            last_observation: None,
             observed_at: Time::ZERO,
             failures: 0,
             avoid_until: Time::ZERO,
@@ -88,7 +88,7 @@
     /// Whether its last observed state covers the floor.
     #[must_use]
     pub fn covers(&self, floor: Option<Freshness>) -> bool {
-        match (floor, self.last) {
+        match (floor, self.last_observation) {
             (None, _) => true,
             (Some(floor), Some(last)) => last.freshness.covers(floor),
             (Some(_), None) => false,
@@ -201,7 +201,7 @@
         let Some(view) = self.backends.get_mut(backend) else {
             return;
         };
-        view.last = Some(observation);
+        view.last_observation = Some(observation);
         view.observed_at = now;
         self.newest = self.newest.join(observation.freshness);
         let due = self
@@ -236,7 +236,7 @@
     }
 
     /// Notes that a back end answered.
-    pub fn succeeded(&mut self, backend: &BackendId) {
+    pub fn record_success(&mut self, backend: &BackendId) {
         if let Some(view) = self.backends.get_mut(backend) {
             view.failures = 0;
             view.avoid_until = Time::ZERO;
@@ -245,7 +245,7 @@
     }
 
     /// Notes that a back end could not be used, and for how long to leave it alone at least.
-    pub fn failed(&mut self, now: Time, backend: &BackendId, at_least: Option<Duration>) {
+    pub fn record_failure(&mut self, now: Time, backend: &BackendId, at_least: Option<Duration>) {
         if let Some(view) = self.backends.get_mut(backend) {
             view.failures = view.failures.saturating_add(1);
             let pause = back_off(view.failures).max(at_least.unwrap_or_default());
@@ -254,7 +254,7 @@
     }
 
     /// Notes that a replica did not reach a floor in time.
-    pub fn lagged(&mut self, now: Time, backend: &BackendId) {
+    pub fn record_lag(&mut self, now: Time, backend: &BackendId) {
         if let Some(view) = self.backends.get_mut(backend) {
             view.lagging_refusals = view.lagging_refusals.saturating_add(1);
             view.lagging_until = now + back_off(view.lagging_refusals).min(MAXIMUM_LAG_PAUSE);
--- a/crates/stairward-routing/tests/request.rs
+++ b/crates/stairward-routing/tests/request.rs
@@ -160,9 +160,14 @@
         let mut read = RequestMachine::new(read_spec());
         read.handle(at(1), Event::Start, &mut group, 7);
         if begun {
-            read.handle(at(2), Event::AnswerBegun, &mut group, 7);
+            read.handle(at(2), Event::AnswerStarted, &mut group, 7);
         }
-        let effects = read.handle(at(3), Event::StreamLost { opened: true }, &mut group, 7);
+        let effects = read.handle(
+            at(3),
+            Event::StreamLost { request_sent: true },
+            &mut group,
+            7,
+        );
         if begun {
             let code = failure(&effects).unwrap().code;
             assert_eq!(code.class(), OutcomeClass::OutcomeUnknown);
@@ -174,7 +179,7 @@
 
 #[test]
 fn a_write_that_may_have_run_is_never_sent_again() {
-    for event in [unknown(), Event::StreamLost { opened: true }] {
+    for event in [unknown(), Event::StreamLost { request_sent: true }] {
         let mut group = group();
         let mut write = RequestMachine::new(write_spec());
         write.handle(at(1), Event::Start, &mut group, 7);
@@ -205,7 +210,7 @@
     let mut group = group();
     let mut read = RequestMachine::new(read_spec());
     read.handle(at(1), Event::Start, &mut group, 7);
-    let lost = Event::StreamLost { opened: true };
+    let lost = Event::StreamLost { request_sent: true };
     let effects = read.handle(at(2), lost, &mut group, 7);
     assert!(sent(&effects).is_some());
     let mut ended = None;
@@ -231,9 +236,14 @@
     };
     let mut begin = RequestMachine::new(spec);
     begin.handle(at(1), Event::Start, &mut group, 7);
-    let effects = begin.handle(at(2), Event::StreamLost { opened: true }, &mut group, 7);
+    let effects = begin.handle(
+        at(2),
+        Event::StreamLost { request_sent: true },
+        &mut group,
+        7,
+    );
     assert!(effects.contains(&Effect::FindPrimary), "{effects:?}");
-    let effects = begin.handle(at(3), Event::PrimaryLearnt, &mut group, 7);
+    let effects = begin.handle(at(3), Event::PrimaryFound, &mut group, 7);
     assert_eq!(failure(&effects), None);
 }
 
@@ -246,7 +256,7 @@
     assert!(effects.contains(&Effect::FindPrimary));
     assert_eq!(group.hold.len(), 1);
     group.view.confirm_primary(Term(2), backend("b"));
-    let effects = write.handle(at(30), Event::PrimaryLearnt, &mut group, 7);
+    let effects = write.handle(at(30), Event::PrimaryFound, &mut group, 7);
     assert_eq!(sent_to(&effects), Some("b"));
     assert_eq!(sent(&effects).unwrap().expected_term, Term(2));
     assert!(group.hold.is_empty());
@@ -265,7 +275,7 @@
     group.view.confirm_primary(Term(2), backend("b"));
     let mut sent_at = Vec::new();
     for write in &mut writes {
-        let effects = write.handle(at(50), Event::PrimaryLearnt, &mut group, 7);
+        let effects = write.handle(at(50), Event::PrimaryFound, &mut group, 7);
         match effects.as_slice() {
             [Effect::WakeAt(moment)] => sent_at.push(*moment),
             _ => sent_at.push(at(50)),
@@ -334,7 +344,14 @@
     let mut group = group();
     let mut write = RequestMachine::new(write_spec());
     write.handle(at(1), Event::Start, &mut group, 7);
-    let effects = write.handle(at(2), Event::StreamLost { opened: false }, &mut group, 7);
+    let effects = write.handle(
+        at(2),
+        Event::StreamLost {
+            request_sent: false,
+        },
+        &mut group,
+        7,
+    );
     assert!(sent(&effects).unwrap().use_standby);
     let effects = write.handle(at(3), refused(ResultCode::NotOwner), &mut group, 7);
     assert_eq!(sent(&effects), None);
@@ -415,10 +432,12 @@
         4 => refused(ResultCode::BackendUnavailable),
         5 => refused(ResultCode::NotOwner),
         6 => unknown(),
-        7 => Event::StreamLost { opened: true },
-        8 => Event::StreamLost { opened: false },
-        9 => Event::PrimaryLearnt,
-        10 => Event::AnswerBegun,
+        7 => Event::StreamLost { request_sent: true },
+        8 => Event::StreamLost {
+            request_sent: false,
+        },
+        9 => Event::PrimaryFound,
+        10 => Event::AnswerStarted,
         _ => Event::Tick,
     }
 }
@@ -446,7 +465,7 @@
                 let was_sent = request.is_sent();
                 let is_loss = matches!(
                     event,
-                    Event::OutcomeUnknown { .. } | Event::StreamLost { opened: true }
+                    Event::OutcomeUnknown { .. } | Event::StreamLost { request_sent: true }
                 );
                 effects = request.handle(now, event, &mut group, *random);
                 may_have_run |= was_sent && is_loss;
