--- a/crates/stairward-failover/src/attempt.rs
+++ b/crates/stairward-failover/src/attempt.rs
@@ -4,7 +4,7 @@
 
 use stairward_types::{BackendId, BackendRole, Freshness, MemberStatus, Term, Time};
 
-use crate::ending::Ending;
+use crate::demotion::Demotion;
 use crate::event::{FencingToken, GroupState};
 
 /// How far an attempt has come.
@@ -15,13 +15,13 @@
     /// The record is being written.
     Claiming,
     /// Members are asked.
-    Asking,
+    Querying,
     /// The old primary's lead is being ended.
-    Ending,
+    Demoting,
     /// The promotion is under way.
     Promoting,
     /// The promotion was accepted; the new primary is waited for.
-    Settling,
+    AwaitingNewPrimary,
 }
 
 /// One attempt.
@@ -33,18 +33,18 @@
     pub is_planned: bool,
     pub stage: Stage,
     /// Since when it is in its stage.
-    pub since: Time,
+    pub stage_since: Time,
     /// While it is queued: not claimed before this.
     pub not_before: Time,
     pub token: Option<FencingToken>,
     /// When the record was written, for the present token.
     pub claimed_at: Time,
     /// Whether the old primary answered that it follows, before it was asked to give way.
-    pub old_followed: bool,
+    pub old_was_replica: bool,
     /// The end of the old primary's lead, once that is under way.
-    pub ending: Option<Ending>,
+    pub demotion: Option<Demotion>,
     /// Members that were asked and have not answered.
-    pub asked: BTreeSet<BackendId>,
+    pub unanswered: BTreeSet<BackendId>,
     pub answers: BTreeMap<BackendId, MemberStatus>,
     /// The newest term that a node knew to have begun.
     pub known_term: Term,
@@ -52,19 +52,19 @@
     pub held: BTreeSet<BackendId>,
     pub target: Option<BackendId>,
     /// Whether the target led already when it was chosen, so that its lead shows nothing.
-    pub target_led: bool,
+    pub target_was_leader: bool,
     /// When the nodes were last told that a term may begin.
     pub announced_at: Time,
     /// Whether an earlier promotion had no answer, so that it may still be carried out. A decision with a
     /// higher token must be answered before this attempt may end.
     pub must_fence: bool,
     /// Members where less of the service's work is allowed are not chosen: the leader moves for more.
-    pub least_work: u64,
+    pub min_allowed_work: u64,
 }
 
 /// A replica chosen for promotion.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Chosen {
+pub(crate) struct PromotionTarget {
     pub target: BackendId,
     pub received: Option<Freshness>,
 }
@@ -75,27 +75,27 @@
             old,
             is_planned,
             stage: Stage::Queued,
-            since: now,
+            stage_since: now,
             not_before: now,
             token: None,
             claimed_at: now,
-            old_followed: false,
-            ending: None,
-            asked: BTreeSet::new(),
+            old_was_replica: false,
+            demotion: None,
+            unanswered: BTreeSet::new(),
             answers: BTreeMap::new(),
             known_term: Term::default(),
             held: BTreeSet::new(),
             target: None,
-            target_led: false,
+            target_was_leader: false,
             announced_at: now,
             must_fence: false,
-            least_work: 0,
+            min_allowed_work: 0,
         }
     }
 
     pub fn enter(&mut self, stage: Stage, now: Time) {
         self.stage = stage;
-        self.since = now;
+        self.stage_since = now;
     }
 
     /// Whether the old primary answered that it leads, in a term no other answer exceeds.
@@ -111,7 +111,7 @@
 
     /// Whether a replica holds more than the old primary says that it does. A primary's replicas never do, unless it has
     /// lost its log.
-    pub fn old_holds_less(&self) -> bool {
+    pub fn old_is_behind(&self) -> bool {
         let Some(old) = self.old.as_ref().and_then(|old| self.answers.get(old)) else {
             return false;
         };
@@ -137,7 +137,7 @@
     }
 
     /// The member that leads, by the answers.
-    pub fn present_leader(&self) -> Option<&BackendId> {
+    pub fn current_leader(&self) -> Option<&BackendId> {
         let old = self.old.as_ref().filter(|_| self.old_still_leads());
         self.other_leader().or(old)
     }
@@ -167,19 +167,22 @@
         let follows = |status: Option<&MemberStatus>| {
             status.is_some_and(|status| status.role == BackendRole::Replica)
         };
-        let old_may_lead = self.old.is_some() && !self.old_followed;
+        let old_may_lead = self.old.is_some() && !self.old_was_replica;
         old_may_lead && !self.must_fence && answers.all(follows)
     }
 
     /// Whether every replica that can be asked has answered.
-    pub fn is_asked_out(&self) -> bool {
-        let waits_for_replica = self.asked.iter().any(|id| Some(id) != self.old.as_ref());
+    pub fn has_all_replica_answers(&self) -> bool {
+        let waits_for_replica = self
+            .unanswered
+            .iter()
+            .any(|id| Some(id) != self.old.as_ref());
         !waits_for_replica
     }
 
     /// Whether the replica that would be chosen holds every commit that was acknowledged: so many replicas
     /// answered that one of them has each, and none of them has more than the chosen one.
-    pub fn covers_acknowledged(&self, group: &GroupState) -> bool {
+    pub fn covers_acknowledged_commits(&self, group: &GroupState) -> bool {
         let is_replica = |id: &&BackendId| Some(*id) != self.old.as_ref();
         let replicas = group.members.keys().filter(is_replica).count();
         let answered = self.answers.keys().filter(is_replica).count();
@@ -191,19 +194,19 @@
             .filter(|(id, _)| is_replica(id))
             .map(|(_, status)| (status.received.term, status.received.position))
             .max();
-        let chosen = self.choose(group).and_then(|chosen| chosen.received);
+        let chosen = self.choose_target(group).and_then(|chosen| chosen.received);
         let chosen = chosen.map(|received| (received.term, received.position));
         answered.saturating_add(synchronous) >= needed && chosen == most
     }
 
     /// The replica that has received most of those that answered and may lead; of several, a warm one, then one where
     /// more of the work is allowed.
-    pub fn choose(&self, group: &GroupState) -> Option<Chosen> {
+    pub fn choose_target(&self, group: &GroupState) -> Option<PromotionTarget> {
         let stays = |id: &BackendId| {
             let member = group.members.get(id);
             Some(id) != self.old.as_ref()
                 && member.is_some_and(|member| {
-                    member.may_lead() && member.placement.allowed_work >= self.least_work
+                    member.may_lead() && member.placement.allowed_work >= self.min_allowed_work
                 })
         };
         let placement = |id: &BackendId| {
@@ -220,7 +223,7 @@
                 std::cmp::Reverse(*id),
             )
         });
-        best.map(|(id, status)| Chosen {
+        best.map(|(id, status)| PromotionTarget {
             target: id.clone(),
             received: Some(status.received),
         })
--- a/crates/stairward-failover/src/duty/claim.rs
+++ b/crates/stairward-failover/src/controller/claim.rs
@@ -8,7 +8,7 @@
 use super::trigger::Trigger;
 use crate::attempt::{Attempt, Stage};
 use crate::event::{Effect, FailoverRecord, FailoverStep, FencingToken, RecordVersion};
-use crate::turn::turn;
+use crate::start_delay::start_delay;
 
 impl FailoverController {
     /// How many nodes most likely have the same reason. Who finds a leader silent by use tells a few others, so the
@@ -17,17 +17,21 @@
     fn contenders(&self, now: Time, trigger: Trigger, service: &ServiceName) -> u32 {
         let leader = self.groups.get(service).and_then(Self::announced_leader);
         let (Trigger::Silent, Some(leader)) = (trigger, leader) else {
-            return self.nodes;
+            return self.node_count;
         };
         let count = |length: usize| u32::try_from(length).unwrap_or(u32::MAX);
-        let reports = count(self.evidence.reports_of(now, leader));
-        let told_by_each = count(self.peers.len()).max(1);
-        let others = reports.saturating_mul(self.nodes) / told_by_each;
-        others.saturating_add(1).min(self.nodes)
+        let reports = count(self.evidence.report_count(now, leader));
+        let told_by_each = count(self.relay_peers.len()).max(1);
+        let others = reports.saturating_mul(self.node_count) / told_by_each;
+        others.saturating_add(1).min(self.node_count)
     }
 
-    pub(super) fn maybe_begin(&mut self, now: Time, service: &ServiceName) {
-        if self.pauses.get(service).is_some_and(|until| now < *until) {
+    pub(super) fn begin_if_due(&mut self, now: Time, service: &ServiceName) {
+        if self
+            .retry_after
+            .get(service)
+            .is_some_and(|until| now < *until)
+        {
             return;
         }
         let may_be_held = self.records.is_held_by_another(now, service)
@@ -43,7 +47,7 @@
         };
         let since = *self.triggered_since.entry(service.clone()).or_insert(now);
         let contenders = self.contenders(now, trigger, service);
-        if now < since + turn(&self.options.node, service, contenders) {
+        if now < since + start_delay(&self.options.node, service, contenders) {
             return;
         }
         if self.records.version(service).is_none() {
@@ -64,7 +68,7 @@
         if trigger == Trigger::Misplaced {
             let leader = old.as_ref().and_then(|old| group.members.get(old));
             let allowed = leader.map_or(0, |leader| leader.placement.allowed_work);
-            attempt.least_work = allowed.saturating_add(1);
+            attempt.min_allowed_work = allowed.saturating_add(1);
         }
         self.attempts.insert(service.clone(), attempt);
         let reason = trigger.reason();
@@ -135,7 +139,7 @@
         era: u64,
         records: BTreeMap<ServiceName, (RecordVersion, FailoverRecord)>,
     ) {
-        if self.records.listed(now, era) {
+        if self.records.record_listing(now, era) {
             self.abandon_claims(now);
         }
         for (service, (version, record)) in records {
@@ -144,7 +148,7 @@
                 .records
                 .learn(now, service.clone(), version, Some(record));
             if is_new && is_own {
-                self.claimed(now, &service, version, noted);
+                self.claim_confirmed(now, &service, version, noted);
             }
         }
     }
@@ -161,13 +165,19 @@
             .records
             .learn(now, service.clone(), version, Some(record));
         if is_new {
-            self.claimed(now, service, version, noted);
+            self.claim_confirmed(now, service, version, noted);
         }
     }
 
     /// This node's own write of a service's record is known to be done. Its version is the token of one decision:
     /// it is taken when it is first seen, and never again.
-    fn claimed(&mut self, now: Time, service: &ServiceName, version: RecordVersion, noted: Term) {
+    fn claim_confirmed(
+        &mut self,
+        now: Time,
+        service: &ServiceName,
+        version: RecordVersion,
+        noted: Term,
+    ) {
         let Some(attempt) = self.attempts.get_mut(service) else {
             return;
         };
@@ -175,15 +185,15 @@
             // A term was noted, or the claim was given up before its answer came.
             return;
         }
-        if now.since(attempt.since) > self.options.lease / 2 {
+        if now.since(attempt.stage_since) > self.options.lease / 2 {
             return self.give_up(now, service, "the claim took too long");
         }
         attempt.token = Some(FencingToken(version.0.number()));
         attempt.claimed_at = now;
-        attempt.ending = None;
+        attempt.demotion = None;
         attempt.known_term = attempt.known_term.max(noted);
-        attempt.enter(Stage::Asking, now);
-        self.ask_members(service);
+        attempt.enter(Stage::Querying, now);
+        self.query_members(service);
     }
 
     pub(super) fn record_failed(&mut self, now: Time, service: &ServiceName) {
@@ -210,7 +220,7 @@
         let is_late = self
             .attempts
             .get(service)
-            .is_some_and(|attempt| now.since(attempt.since) > self.options.call_timeout);
+            .is_some_and(|attempt| now.since(attempt.stage_since) > self.options.call_timeout);
         if is_late {
             self.give_up(now, service, "the store does not answer");
         }
@@ -218,7 +228,7 @@
 
     /// While a promotion without an answer may still be carried out, no leader of a lower term is to be
     /// believed, however long the store keeps this node from fencing it off.
-    pub(super) fn announce_pending(&mut self, now: Time, service: &ServiceName) {
+    pub(super) fn announce_pending_term(&mut self, now: Time, service: &ServiceName) {
         let Some(lease) = self.options.leadership_lease else {
             return;
         };
@@ -229,7 +239,7 @@
         let is_due = attempt.must_fence && now >= attempt.announced_at + lease;
         if is_due && term > Term::default() {
             attempt.announced_at = now;
-            let revoke = Effect::Revoke(service.clone(), term, self.users.clone());
+            let revoke = Effect::Revoke(service.clone(), term, self.leader_users.clone());
             self.effects.push(revoke);
         }
     }
--- a/crates/stairward-failover/src/duty/ending_steps.rs
+++ b/crates/stairward-failover/src/controller/demotion_steps.rs
@@ -4,12 +4,12 @@
 
 use super::FailoverController;
 use crate::attempt::Stage;
-use crate::ending::{DemotionProof, Ending};
+use crate::demotion::{Demotion, DemotionProof};
 use crate::event::{Effect, FailoverStep, MemberCallResult, Via};
 
 impl FailoverController {
     /// Has the old primary give way, before another is promoted.
-    pub(super) fn begin_ending(&mut self, now: Time, service: &ServiceName) {
+    pub(super) fn begin_demotion(&mut self, now: Time, service: &ServiceName) {
         let is_synchronous = self
             .groups
             .get(service)
@@ -19,22 +19,22 @@
         };
         let (old, token, term) = (attempt.old.clone(), attempt.token, attempt.next_term());
         let old_answer = old.as_ref().and_then(|old| attempt.answers.get(old));
-        attempt.old_followed = old_answer.is_some_and(|old| old.role == BackendRole::Replica);
+        attempt.old_was_replica = old_answer.is_some_and(|old| old.role == BackendRole::Replica);
         let is_old_silent = old
             .as_ref()
             .is_some_and(|old| !attempt.answers.contains_key(old));
-        let mut ending = Ending::new(old.clone(), term, now);
+        let mut demotion = Demotion::new(old.clone(), term, now);
         let mut ways = vec![Via::Direct];
         if is_old_silent {
             // This node has just asked it in vain.
-            ways.extend(self.peers.iter().copied().map(Via::Peer));
+            ways.extend(self.relay_peers.iter().copied().map(Via::Peer));
         }
         if old.is_some() {
-            ending.ask_old(&ways);
+            demotion.add_old_calls(&ways);
         }
-        attempt.ending = Some(ending);
-        attempt.asked.clear();
-        attempt.enter(Stage::Ending, now);
+        attempt.demotion = Some(demotion);
+        attempt.unanswered.clear();
+        attempt.enter(Stage::Demoting, now);
         let began = FailoverStep::Ending {
             old: old.clone(),
             token,
@@ -47,36 +47,36 @@
             self.effects.push(Effect::StepDown(old, term, ways));
         }
         if must_hold {
-            self.hold_for_ending(now, service);
+            self.hold_replicas_for_demotion(now, service);
         }
     }
 
     /// Puts the replicas on hold, so that no node can confirm the old primary any more.
-    pub(super) fn hold_for_ending(&mut self, now: Time, service: &ServiceName) {
+    pub(super) fn hold_replicas_for_demotion(&mut self, now: Time, service: &ServiceName) {
         let (Some(group), Some(attempt)) =
             (self.groups.get(service), self.attempts.get_mut(service))
         else {
             return;
         };
-        let Some(ending) = &mut attempt.ending else {
+        let Some(demotion) = &mut attempt.demotion else {
             return;
         };
-        ending.holding_since = Some(now);
+        demotion.holding_since = Some(now);
         let mut replicas = 0;
-        let term = ending.term;
+        let term = demotion.term;
         for (id, member) in &group.members {
             // The old primary too: it may follow another one by now.
             if !member.is_listed {
                 continue;
             }
             let ways = vec![Via::Direct];
-            ending.ask_replica(id.clone(), &ways);
+            demotion.add_hold_calls(id.clone(), &ways);
             attempt.held.insert(id.clone());
             replicas += 1;
             self.effects.push(Effect::HoldVia(id.clone(), term, ways));
         }
-        ending.ask_users(self.users.clone());
-        let revoke = Effect::Revoke(service.clone(), term, self.users.clone());
+        demotion.await_users(self.leader_users.clone());
+        let revoke = Effect::Revoke(service.clone(), term, self.leader_users.clone());
         self.effects.push(revoke);
         self.log(service, FailoverStep::Holding { replicas, term });
     }
@@ -92,18 +92,18 @@
         let Some(attempt) = self.attempts.get_mut(service) else {
             return;
         };
-        let Some(ending) = &mut attempt.ending else {
+        let Some(demotion) = &mut attempt.demotion else {
             return;
         };
-        if newest >= ending.term && attempt.stage == Stage::Ending {
+        if newest >= demotion.term && attempt.stage == Stage::Demoting {
             // The old primary's own term is newer than any that the members who answered knew.
             attempt.known_term = attempt.known_term.max(newest);
-            return self.begin_ending(now, service);
+            return self.begin_demotion(now, service);
         }
-        ending.user_revoked(term, user);
+        demotion.user_revoked(term, user);
     }
 
-    pub(super) fn take_reach(
+    pub(super) fn record_call_result(
         &mut self,
         now: Time,
         backend: &BackendId,
@@ -111,22 +111,22 @@
         reach: MemberCallResult,
     ) {
         for attempt in self.attempts.values_mut() {
-            let Some(ending) = &mut attempt.ending else {
+            let Some(demotion) = &mut attempt.demotion else {
                 continue;
             };
-            ending.take(now, backend, via.clone(), reach);
+            demotion.record_result(now, backend, via.clone(), reach);
             if let Some(status) = reach.answer() {
                 attempt.answers.insert(backend.clone(), status);
             }
         }
     }
 
-    pub(super) fn review_ending(&mut self, now: Time, service: &ServiceName) {
+    pub(super) fn review_demotion(&mut self, now: Time, service: &ServiceName) {
         let lease = self.options.leadership_lease.unwrap_or_default();
         let Some(attempt) = self.attempts.get(service) else {
             return;
         };
-        let Some(ending) = &attempt.ending else {
+        let Some(demotion) = &attempt.demotion else {
             return;
         };
         if now.since(attempt.claimed_at) > self.options.lease * 3 / 4 {
@@ -135,17 +135,17 @@
         }
         if let Some(leader) = attempt.other_leader().cloned() {
             return if attempt.must_fence {
-                self.fence_off(now, service, leader);
+                self.fence_earlier_promotion(now, service, leader);
             } else {
                 self.give_up(now, service, "another member leads already");
             };
         }
-        let is_sole = self
+        let old_is_sole_leader = self
             .groups
             .get(service)
             .is_some_and(|group| attempt.is_old_sole_leader(group));
-        let Some(proof) = ending.proof(now, lease, is_sole) else {
-            return self.press_ending(now, service);
+        let Some(proof) = demotion.proof(now, lease, old_is_sole_leader) else {
+            return self.escalate_demotion(now, service);
         };
         let is_certain = match proof {
             DemotionProof::SteppedDown(status) => self.has_caught_up(now, service, status.received),
@@ -153,39 +153,39 @@
             DemotionProof::Lapsed | DemotionProof::Unknown => self.are_holds_verified(now, service),
         };
         if is_certain {
-            self.ended(now, service, proof);
+            self.promote_after_demotion(now, service, proof);
         }
     }
 
     /// The old primary's lead is not over yet: others are asked to help, or replicas put on hold.
-    pub(super) fn press_ending(&mut self, now: Time, service: &ServiceName) {
+    pub(super) fn escalate_demotion(&mut self, now: Time, service: &ServiceName) {
         let patience = self.options.step_down_timeout;
         let Some(attempt) = self.attempts.get_mut(service) else {
             return;
         };
-        let Some(ending) = &mut attempt.ending else {
+        let Some(demotion) = &mut attempt.demotion else {
             return;
         };
-        let peers: Vec<Via> = self.peers.iter().copied().map(Via::Peer).collect();
-        let term = ending.term;
+        let peers: Vec<Via> = self.relay_peers.iter().copied().map(Via::Peer).collect();
+        let term = demotion.term;
         if let Some(old) = &attempt.old
             && !peers.is_empty()
-            && ending.old_needs_peers(now, patience / 2)
+            && demotion.old_needs_peers(now, patience / 2)
         {
-            ending.ask_old(&peers);
+            demotion.add_old_calls(&peers);
             self.effects
                 .push(Effect::StepDown(old.clone(), term, peers.clone()));
         }
-        for replica in ending.replicas_that_need_peers(now, patience) {
-            ending.ask_replica(replica.clone(), &peers);
+        for replica in demotion.replicas_needing_peers(now, patience) {
+            demotion.add_hold_calls(replica.clone(), &peers);
             if !peers.is_empty() {
                 self.effects
                     .push(Effect::HoldVia(replica, term, peers.clone()));
             }
         }
-        let has_waited = now >= ending.began() + patience || ending.is_old_unreachable();
-        if ending.holding_since.is_none() && has_waited {
-            self.hold_for_ending(now, service);
+        let has_waited = now >= demotion.started_at() + patience || demotion.is_old_unreachable();
+        if demotion.holding_since.is_none() && has_waited {
+            self.hold_replicas_for_demotion(now, service);
         }
     }
 
@@ -195,20 +195,20 @@
         let Some(attempt) = self.attempts.get_mut(service) else {
             return false;
         };
-        let Some(ending) = &mut attempt.ending else {
+        let Some(demotion) = &mut attempt.demotion else {
             return false;
         };
-        let held = ending.held().clone();
-        let Some(since) = ending.verifying_since else {
-            ending.verifying_since = Some(now);
-            attempt.asked = held.clone();
+        let held = demotion.held().clone();
+        let Some(since) = demotion.verifying_since else {
+            demotion.verifying_since = Some(now);
+            attempt.unanswered = held.clone();
             for member in held {
                 self.effects.push(Effect::QueryStatus(member));
             }
             return false;
         };
-        if attempt.asked.is_empty() {
-            let term = ending.term;
+        if attempt.unanswered.is_empty() {
+            let term = demotion.term;
             let is_held = |id| {
                 attempt
                     .answers
@@ -221,7 +221,7 @@
         } else if now < since + self.options.status_timeout {
             return false;
         }
-        self.begin_ending(now, service);
+        self.begin_demotion(now, service);
         false
     }
 
@@ -239,19 +239,21 @@
         else {
             return false;
         };
-        let chosen = attempt.choose(group).and_then(|chosen| chosen.received);
+        let chosen = attempt
+            .choose_target(group)
+            .and_then(|chosen| chosen.received);
         let has_all = chosen.is_some_and(|received| received.covers(all));
-        let Some(ending) = &mut attempt.ending else {
+        let Some(demotion) = &mut attempt.demotion else {
             return false;
         };
-        let since = ending.stepped_down().map_or(now, |(_, at)| at);
+        let since = demotion.stepped_down().map_or(now, |(_, at)| at);
         if has_all || now >= since + patience {
             return true;
         }
-        if !std::mem::replace(&mut ending.is_catching_up, true) {
+        if !std::mem::replace(&mut demotion.is_catching_up, true) {
             for (id, member) in &group.members {
                 if Some(id) != attempt.old.as_ref() && member.is_listed {
-                    attempt.asked.insert(id.clone());
+                    attempt.unanswered.insert(id.clone());
                     self.effects
                         .push(Effect::QueryUntilReceived(id.clone(), all));
                 }
@@ -261,15 +263,20 @@
     }
 
     /// The old primary's lead is over: the best replica is promoted.
-    pub(super) fn ended(&mut self, now: Time, service: &ServiceName, proof: DemotionProof) {
+    pub(super) fn promote_after_demotion(
+        &mut self,
+        now: Time,
+        service: &ServiceName,
+        proof: DemotionProof,
+    ) {
         let (Some(group), Some(attempt)) = (self.groups.get(service), self.attempts.get(service))
         else {
             return;
         };
-        if group.synchronous_replicas > 0 && !attempt.covers_acknowledged(group) {
+        if group.synchronous_replicas > 0 && !attempt.covers_acknowledged_commits(group) {
             return self.give_up(now, service, "an acknowledged commit might be missed");
         }
-        let Some(chosen) = attempt.choose(group) else {
+        let Some(chosen) = attempt.choose_target(group) else {
             return self.give_up(now, service, "no replica answered");
         };
         let old_had = match proof {
@@ -277,15 +284,15 @@
             DemotionProof::Revoked | DemotionProof::Lapsed | DemotionProof::Unknown => None,
         };
         let received = chosen.received.map(|received| received.position.0);
-        let began = attempt.ending.as_ref().map_or(now, Ending::began);
-        let ended = FailoverStep::Ended {
+        let began = attempt.demotion.as_ref().map_or(now, Demotion::started_at);
+        let promote_after_demotion = FailoverStep::Ended {
             proof,
             after: now.since(began),
             behind: old_had
                 .zip(received)
                 .map(|(old, new)| old.saturating_sub(new)),
         };
-        self.log(service, ended);
+        self.log(service, promote_after_demotion);
         self.promote(now, service, chosen.target, chosen.received);
     }
 }
--- a/crates/stairward-failover/src/duty/asking.rs
+++ b/crates/stairward-failover/src/controller/member_status.rs
@@ -8,7 +8,7 @@
 
 impl FailoverController {
     /// A replica that comes while the others are on hold would let the old primary acknowledge again.
-    pub(super) fn hold_late_members(&mut self, service: &ServiceName) {
+    pub(super) fn hold_new_replicas(&mut self, service: &ServiceName) {
         let (Some(group), Some(attempt)) =
             (self.groups.get(service), self.attempts.get_mut(service))
         else {
@@ -24,21 +24,21 @@
                 continue;
             }
             attempt.held.insert(id.clone());
-            if attempt.stage == Stage::Asking {
-                attempt.asked.insert(id.clone());
+            if attempt.stage == Stage::Querying {
+                attempt.unanswered.insert(id.clone());
             }
-            if let Some(ending) = &mut attempt.ending {
-                ending.ask_replica(id.clone(), &[Via::Direct]);
+            if let Some(demotion) = &mut attempt.demotion {
+                demotion.add_hold_calls(id.clone(), &[Via::Direct]);
                 let ways = vec![Via::Direct];
                 self.effects
-                    .push(Effect::HoldVia(id.clone(), ending.term, ways));
+                    .push(Effect::HoldVia(id.clone(), demotion.term, ways));
                 continue;
             }
             self.effects.push(Effect::Hold(id.clone(), term));
         }
     }
 
-    pub(super) fn ask_members(&mut self, service: &ServiceName) {
+    pub(super) fn query_members(&mut self, service: &ServiceName) {
         let (Some(group), Some(attempt)) =
             (self.groups.get(service), self.attempts.get_mut(service))
         else {
@@ -48,7 +48,7 @@
             if !member.is_listed && Some(id) != attempt.old.as_ref() {
                 continue;
             }
-            attempt.asked.insert(id.clone());
+            attempt.unanswered.insert(id.clone());
             self.effects.push(Effect::QueryStatus(id.clone()));
         }
     }
@@ -61,23 +61,23 @@
             return;
         };
         let term = Term(attempt.newest_term().0 + 1);
-        attempt.enter(Stage::Asking, now);
-        attempt.asked.clear();
+        attempt.enter(Stage::Querying, now);
+        attempt.unanswered.clear();
         for id in group.members.keys() {
             if Some(id) == attempt.old.as_ref() {
                 continue;
             }
             attempt.answers.remove(id);
-            attempt.asked.insert(id.clone());
+            attempt.unanswered.insert(id.clone());
             attempt.held.insert(id.clone());
             self.effects.push(Effect::Hold(id.clone(), term));
         }
     }
 
-    pub(super) fn take_status(&mut self, backend: &BackendId, status: Option<MemberStatus>) {
+    pub(super) fn record_status(&mut self, backend: &BackendId, status: Option<MemberStatus>) {
         for attempt in self.attempts.values_mut() {
-            let is_asked = matches!(attempt.stage, Stage::Asking | Stage::Ending);
-            if !is_asked || !attempt.asked.remove(backend) {
+            let is_asked = matches!(attempt.stage, Stage::Querying | Stage::Demoting);
+            if !is_asked || !attempt.unanswered.remove(backend) {
                 continue;
             }
             if let Some(status) = status {
@@ -86,13 +86,13 @@
         }
     }
 
-    pub(super) fn review_asking(&mut self, now: Time, service: &ServiceName) {
-        self.take_holds_over(service);
+    pub(super) fn review_answers(&mut self, now: Time, service: &ServiceName) {
+        self.adopt_holds(service);
         let (Some(attempt), Some(group)) = (self.attempts.get(service), self.groups.get(service))
         else {
             return;
         };
-        let is_late = now.since(attempt.since) >= self.options.status_timeout;
+        let is_late = now.since(attempt.stage_since) >= self.options.status_timeout;
         // Where an old primary is ended before another leads, there is time for its answer later.
         let old_patience = match self.options.leadership_lease {
             Some(_) => self.options.step_down_timeout,
@@ -101,51 +101,51 @@
         let old_may_live = attempt.old.as_ref().is_some_and(|old| {
             !attempt.is_planned
                 && !self.evidence.is_refused(old)
-                && attempt.asked.contains(old)
-                && now.since(attempt.since) < old_patience
+                && attempt.unanswered.contains(old)
+                && now.since(attempt.stage_since) < old_patience
         });
-        let is_complete = attempt.is_asked_out() && !old_may_live;
+        let is_complete = attempt.has_all_replica_answers() && !old_may_live;
         if !is_complete && !is_late {
             return;
         }
-        if now.since(attempt.since) > self.options.lease / 2 {
+        if now.since(attempt.stage_since) > self.options.lease / 2 {
             // The node may have been paused: another may hold the duty by now.
             return self.give_up(now, service, "the answers are too old");
         }
-        let has_old_lost_log = attempt.old_holds_less()
+        let old_has_lost_log = attempt.old_is_behind()
             && attempt
                 .old
                 .as_ref()
                 .is_some_and(|old| self.evidence.has_lost_log(old));
-        let present_leader = attempt.present_leader().cloned();
+        let current_leader = attempt.current_leader().cloned();
         if attempt.must_fence
-            && let Some(leader) = present_leader
-            && !(has_old_lost_log && Some(&leader) == attempt.old.as_ref())
+            && let Some(leader) = current_leader
+            && !(old_has_lost_log && Some(&leader) == attempt.old.as_ref())
         {
-            return self.fence_off(now, service, leader);
+            return self.fence_earlier_promotion(now, service, leader);
         }
         if let Some(leader) = attempt.other_leader().cloned() {
             self.evidence.forget(&leader);
             return self.give_up(now, service, "another member leads already");
         }
-        if !attempt.is_planned && attempt.old_still_leads() && !has_old_lost_log {
+        if !attempt.is_planned && attempt.old_still_leads() && !old_has_lost_log {
             if let Some(old) = attempt.old.clone() {
                 self.evidence.forget(&old);
             }
             return self.give_up(now, service, "the primary answers that it leads");
         }
         if self.options.leadership_lease.is_some() {
-            return self.begin_ending(now, service);
+            return self.begin_demotion(now, service);
         }
         if group.synchronous_replicas > 0 {
             if attempt.held.is_empty() {
                 return self.hold_replicas(now, service);
             }
-            if !attempt.covers_acknowledged(group) {
+            if !attempt.covers_acknowledged_commits(group) {
                 return self.give_up(now, service, "an acknowledged commit might be missed");
             }
         }
-        let Some(chosen) = attempt.choose(group) else {
+        let Some(chosen) = attempt.choose_target(group) else {
             return self.give_up(now, service, "no replica answered");
         };
         self.promote(now, service, chosen.target, chosen.received);
@@ -153,7 +153,7 @@
 
     /// Replicas that an earlier attempt left on hold are this one's to let go, once its own decision is answered:
     /// a promotion of that attempt may still be carried out.
-    pub(super) fn take_holds_over(&mut self, service: &ServiceName) {
+    pub(super) fn adopt_holds(&mut self, service: &ServiceName) {
         let Some(attempt) = self.attempts.get_mut(service) else {
             return;
         };
--- a/crates/stairward-failover/src/duty/promotion.rs
+++ b/crates/stairward-failover/src/controller/promotion.rs
@@ -35,9 +35,14 @@
     }
 
     /// Promotes the one that leads, which changes nothing, but keeps older calls from taking effect.
-    pub(super) fn fence_off(&mut self, now: Time, service: &ServiceName, leader: BackendId) {
+    pub(super) fn fence_earlier_promotion(
+        &mut self,
+        now: Time,
+        service: &ServiceName,
+        leader: BackendId,
+    ) {
         if let Some(attempt) = self.attempts.get_mut(service) {
-            attempt.target_led = true;
+            attempt.target_was_leader = true;
         }
         self.promote(now, service, leader, None);
     }
@@ -46,8 +51,8 @@
         let Some(attempt) = self.attempts.get(service) else {
             return;
         };
-        let is_late = now.since(attempt.since) > self.options.call_timeout;
-        let has_taken_effect = !attempt.target_led && self.target_leads(service);
+        let is_late = now.since(attempt.stage_since) > self.options.call_timeout;
+        let has_taken_effect = !attempt.target_was_leader && self.target_leads(service);
         if is_late || has_taken_effect {
             self.promotion_unknown(now, service);
         }
@@ -60,7 +65,7 @@
             let old = attempt.old.clone();
             let held = std::mem::take(&mut attempt.held);
             let is_planned = attempt.is_planned;
-            let pending = attempt.ending.as_ref().map(|ending| ending.term);
+            let pending = attempt.demotion.as_ref().map(|demotion| demotion.term);
             let known_term = attempt.known_term.max(pending.unwrap_or_default());
             *attempt = Attempt::new(old, is_planned, now);
             attempt.held = held;
@@ -89,8 +94,8 @@
             PromotionOutcome::Accepted => {
                 // Replicas stay on hold until the new primary leads: the old one could acknowledge
                 // through any of them until then.
-                attempt.enter(Stage::Settling, now);
-                self.note_term(service);
+                attempt.enter(Stage::AwaitingNewPrimary, now);
+                self.record_term(service);
             }
             PromotionOutcome::Refused | PromotionOutcome::Throttled => {
                 self.give_up(now, service, "the promotion was refused");
@@ -100,15 +105,15 @@
     }
 
     /// Notes the term that begins now in the service's record, for holders to come.
-    fn note_term(&mut self, service: &ServiceName) {
+    fn record_term(&mut self, service: &ServiceName) {
         let Some(attempt) = self.attempts.get(service) else {
             return;
         };
-        if attempt.target_led {
+        if attempt.target_was_leader {
             // Promoting the one that leads begins no term.
             return;
         }
-        let announced = attempt.ending.as_ref().map(|ending| ending.term);
+        let announced = attempt.demotion.as_ref().map(|demotion| demotion.term);
         let term = announced.unwrap_or_else(|| attempt.next_term());
         if term > self.records.term(service) {
             self.write_record(service, term);
@@ -123,36 +128,37 @@
         attempt.target.is_some() && Self::announced_leader(group) == attempt.target.as_ref()
     }
 
-    pub(super) fn review_settling(&mut self, now: Time, service: &ServiceName) {
+    pub(super) fn review_new_primary(&mut self, now: Time, service: &ServiceName) {
         let Some(attempt) = self.attempts.get(service) else {
             return;
         };
-        let is_over = now.since(attempt.since) > self.options.promotion_timeout;
+        let is_over = now.since(attempt.stage_since) > self.options.promotion_timeout;
         // An earlier promotion that was accepted just before this one still takes its time to take effect.
         let may_end_early = !attempt.must_fence;
         if is_over || (may_end_early && self.target_leads(service)) {
-            if self.records.is_held_here(now, service) {
+            if self.records.is_last_holder(now, service) {
                 self.resume_held(service);
-                self.settle(service);
+                self.announce_attempt_ended(service);
             }
             let attempt = self.attempts.remove(service);
             if let Some(old) = attempt.and_then(|attempt| attempt.old) {
                 self.evidence.forget(&old);
             }
-            self.pauses
+            self.retry_after
                 .insert(service.clone(), now + self.options.retry_delay);
         }
     }
 
     /// The nodes that were told of a promotion learn that the attempt is over.
-    pub(super) fn settle(&mut self, service: &ServiceName) {
+    pub(super) fn announce_attempt_ended(&mut self, service: &ServiceName) {
         let attempt = self.attempts.get(service);
         let was_announced = attempt
-            .and_then(|attempt| attempt.ending.as_ref())
-            .is_some_and(|ending| ending.holding_since.is_some());
+            .and_then(|attempt| attempt.demotion.as_ref())
+            .is_some_and(|demotion| demotion.holding_since.is_some());
         if was_announced {
-            let settle = Effect::AnnounceAttemptEnded(service.clone(), self.users.clone());
-            self.effects.push(settle);
+            let announce_attempt_ended =
+                Effect::AnnounceAttemptEnded(service.clone(), self.leader_users.clone());
+            self.effects.push(announce_attempt_ended);
         }
     }
 
@@ -181,12 +187,12 @@
         let may_resume = self.attempts.get(service).is_some_and(|attempt| {
             !attempt.must_fence && now.since(attempt.claimed_at) <= self.options.lease * 3 / 4
         });
-        if may_resume && !is_held_by_another && self.records.is_held_here(now, service) {
+        if may_resume && !is_held_by_another && self.records.is_last_holder(now, service) {
             self.resume_held(service);
-            self.settle(service);
+            self.announce_attempt_ended(service);
         }
         self.attempts.remove(service);
-        self.pauses
+        self.retry_after
             .insert(service.clone(), now + self.options.retry_delay);
         self.log(service, FailoverStep::GaveUp { reason });
     }
--- a/crates/stairward-failover/src/duty/trigger.rs
+++ b/crates/stairward-failover/src/controller/trigger.rs
@@ -43,26 +43,26 @@
 }
 
 /// Whether a group's leader, which may be well, is to give way to another.
-pub(super) fn must_move(group: &GroupState, leader: &BackendId) -> bool {
+pub(super) fn must_move_leader(group: &GroupState, leader: &BackendId) -> bool {
     let member = group.members.get(leader);
     let is_leaving = member.is_some_and(|member| member.is_leaving && member.is_listed);
     is_leaving || group.must_leave_zone(leader) || group.is_misplaced(leader)
 }
 
 /// Nodes that must find a primary silent at most, however many there are.
-const MOST_NEEDED: u32 = 3;
+const MAX_SUSPICION_QUORUM: u32 = 3;
 /// So many entries at the least must be listed for the loss of half of them to count as a lapse: a group's.
-const FEWEST_THAT_LAPSE: usize = 3;
+const MIN_MASS_EXPIRY: usize = 3;
 
 impl FailoverController {
     /// Entries that go together have lapsed: the store was away, and their members most likely are not.
-    pub(super) fn note_lapse(&mut self, now: Time, listed_before: usize) {
-        if listed_before >= FEWEST_THAT_LAPSE && self.listed_members * 2 <= listed_before {
-            self.lapsed_at = Some(now);
+    pub(super) fn detect_mass_expiry(&mut self, now: Time, listed_before: usize) {
+        if listed_before >= MIN_MASS_EXPIRY && self.listed_members * 2 <= listed_before {
+            self.mass_expiry_at = Some(now);
         }
     }
 
-    pub(super) fn note_lead(&mut self, now: Time, service: ServiceName, is_revoked: bool) {
+    pub(super) fn record_revocation(&mut self, now: Time, service: ServiceName, is_revoked: bool) {
         if is_revoked {
             self.revoked_since.entry(service).or_insert(now);
         } else {
@@ -74,7 +74,7 @@
         let group = self.groups.get(service)?;
         let missing_since = self.missing_since.get(service);
         let has_returned = self
-            .lapsed_at
+            .mass_expiry_at
             .is_none_or(|at| now >= at + self.options.mass_expiry_grace);
         let is_missing_long = has_returned
             && missing_since
@@ -86,7 +86,7 @@
         if self.evidence.is_refused(leader) {
             return Some(Trigger::Refused);
         }
-        if self.evidence.suspecting(now, leader) >= self.suspicion_quorum() {
+        if self.evidence.suspect_count(now, leader) >= self.suspicion_quorum() {
             return Some(Trigger::Silent);
         }
         if self.evidence.has_lost_log(leader) {
@@ -111,14 +111,14 @@
     }
 
     pub(super) fn suspicion_quorum(&self) -> usize {
-        if self.nodes == 1 {
+        if self.node_count == 1 {
             return 1;
         }
-        let share = (self.nodes * self.options.suspicion_percent).div_ceil(100);
-        usize::try_from(share.clamp(2, MOST_NEEDED)).unwrap_or(2)
+        let share = (self.node_count * self.options.suspicion_percent).div_ceil(100);
+        usize::try_from(share.clamp(2, MAX_SUSPICION_QUORUM)).unwrap_or(2)
     }
 
-    pub(super) fn note_missing(&mut self, now: Time, service: &ServiceName) {
+    pub(super) fn track_missing_primary(&mut self, now: Time, service: &ServiceName) {
         let Some(group) = self.groups.get(service) else {
             return;
         };
--- a/crates/stairward-failover/src/ending.rs
+++ b/crates/stairward-failover/src/demotion.rs
@@ -32,40 +32,40 @@
 
 /// What was asked of a member, and what came of it.
 #[derive(Debug, Default)]
-struct Asked {
+struct MemberCalls {
     /// Whether peers were asked to pass the question on.
-    has_peers: bool,
+    asked_peers: bool,
     /// Ways on which an answer is still due.
-    due: BTreeSet<Via>,
+    pending: BTreeSet<Via>,
 }
 
-impl Asked {
+impl MemberCalls {
     fn ask(&mut self, ways: &[Via]) {
-        self.due.extend(ways.iter().cloned());
-        self.has_peers |= ways.iter().any(|via| *via != Via::Direct);
+        self.pending.extend(ways.iter().cloned());
+        self.asked_peers |= ways.iter().any(|via| *via != Via::Direct);
     }
 
     /// Whether peers have not been asked yet, and this node's own question came to nothing or is late.
     fn needs_peers(&self, now: Time, since: Time, patience: Duration) -> bool {
-        let is_due = self.due.contains(&Via::Direct) && now < since + patience;
-        !self.has_peers && !is_due
+        let is_due = self.pending.contains(&Via::Direct) && now < since + patience;
+        !self.asked_peers && !is_due
     }
 }
 
 /// The end of one old leader's lead, under way.
 #[derive(Debug)]
-pub(crate) struct Ending {
+pub(crate) struct Demotion {
     /// The term that it must give way to.
     pub term: Term,
-    began: Time,
+    started_at: Time,
     old: Option<BackendId>,
-    asked_old: Asked,
+    old_calls: MemberCalls,
     stepped_down: Option<(MemberStatus, Time)>,
     /// Whether replicas were asked what they received after the old leader had stepped down.
     pub is_catching_up: bool,
     /// Nodes that are yet to say that they believe the old leader no more; none before they were asked.
-    users_due: Option<BTreeSet<NodeId>>,
-    holds: BTreeMap<BackendId, Asked>,
+    pending_users: Option<BTreeSet<NodeId>>,
+    hold_calls: BTreeMap<BackendId, MemberCalls>,
     held: BTreeSet<BackendId>,
     /// Since when members have been asked whether they are still on hold.
     pub verifying_since: Option<Time>,
@@ -75,17 +75,17 @@
     last_hold_at: Option<Time>,
 }
 
-impl Ending {
+impl Demotion {
     pub fn new(old: Option<BackendId>, term: Term, now: Time) -> Self {
         Self {
             term,
-            began: now,
+            started_at: now,
             old,
-            asked_old: Asked::default(),
+            old_calls: MemberCalls::default(),
             stepped_down: None,
             is_catching_up: false,
-            users_due: None,
-            holds: BTreeMap::new(),
+            pending_users: None,
+            hold_calls: BTreeMap::new(),
             held: BTreeSet::new(),
             verifying_since: None,
             holding_since: None,
@@ -94,29 +94,29 @@
     }
 
     /// Since when it has been under way.
-    pub fn began(&self) -> Time {
-        self.began
+    pub fn started_at(&self) -> Time {
+        self.started_at
     }
 
     /// The old leader is asked to step down, by these ways.
-    pub fn ask_old(&mut self, ways: &[Via]) {
-        self.asked_old.ask(ways);
+    pub fn add_old_calls(&mut self, ways: &[Via]) {
+        self.old_calls.ask(ways);
     }
 
     /// A replica is put on hold, by these ways.
-    pub fn ask_replica(&mut self, replica: BackendId, ways: &[Via]) {
-        self.holds.entry(replica).or_default().ask(ways);
+    pub fn add_hold_calls(&mut self, replica: BackendId, ways: &[Via]) {
+        self.hold_calls.entry(replica).or_default().ask(ways);
     }
 
     /// The nodes that may use a leader are asked to believe the old one no more.
-    pub fn ask_users(&mut self, users: BTreeSet<NodeId>) {
-        self.users_due = Some(users);
+    pub fn await_users(&mut self, users: BTreeSet<NodeId>) {
+        self.pending_users = Some(users);
     }
 
     /// A node believes no leader below a term any more.
     pub fn user_revoked(&mut self, term: Term, user: NodeId) {
         if term == self.term
-            && let Some(due) = &mut self.users_due
+            && let Some(due) = &mut self.pending_users
         {
             due.remove(&user);
         }
@@ -124,29 +124,29 @@
 
     /// Whether every other member is on hold, and every node that may use a leader believes the old one no
     /// more.
-    fn is_revoked_everywhere(&self) -> bool {
+    fn is_revoked_by_all(&self) -> bool {
         let others = self
-            .holds
+            .hold_calls
             .keys()
             .filter(|id| Some(*id) != self.old.as_ref());
-        let is_each_held = others.clone().all(|id| self.held.contains(id));
-        let is_any = others.clone().next().is_some();
-        let is_none_due = self.users_due.as_ref().is_some_and(BTreeSet::is_empty);
-        is_any && is_each_held && is_none_due
+        let all_held = others.clone().all(|id| self.held.contains(id));
+        let any_replica = others.clone().next().is_some();
+        let all_users_revoked = self.pending_users.as_ref().is_some_and(BTreeSet::is_empty);
+        any_replica && all_held && all_users_revoked
     }
 
     /// Whether others should ask the old leader too, since this node has had no answer.
     pub fn old_needs_peers(&self, now: Time, patience: Duration) -> bool {
         let is_unanswered = self.stepped_down.is_none();
-        is_unanswered && self.asked_old.needs_peers(now, self.began, patience)
+        is_unanswered && self.old_calls.needs_peers(now, self.started_at, patience)
     }
 
     /// The replicas that others should put on hold too, since this node has had no answer.
-    pub fn replicas_that_need_peers(&self, now: Time, patience: Duration) -> Vec<BackendId> {
+    pub fn replicas_needing_peers(&self, now: Time, patience: Duration) -> Vec<BackendId> {
         let Some(since) = self.holding_since else {
             return Vec::new();
         };
-        let needing = self.holds.iter().filter(|(replica, asked)| {
+        let needing = self.hold_calls.iter().filter(|(replica, asked)| {
             !self.held.contains(*replica) && asked.needs_peers(now, since, patience)
         });
         needing.map(|(replica, _)| replica.clone()).collect()
@@ -158,15 +158,21 @@
     }
 
     /// Takes in what came of a question to a member.
-    pub fn take(&mut self, now: Time, member: &BackendId, via: Via, reach: MemberCallResult) {
+    pub fn record_result(
+        &mut self,
+        now: Time,
+        member: &BackendId,
+        via: Via,
+        reach: MemberCallResult,
+    ) {
         if self.old.as_ref() == Some(member) {
-            self.asked_old.due.remove(&via);
+            self.old_calls.pending.remove(&via);
             if let MemberCallResult::GaveWay(status) = reach {
                 self.stepped_down.get_or_insert((status, now));
             }
         }
-        if let Some(asked) = self.holds.get_mut(member) {
-            asked.due.remove(&via);
+        if let Some(asked) = self.hold_calls.get_mut(member) {
+            asked.pending.remove(&via);
             if let Some(status) = reach.answer()
                 && status.held >= self.term
             {
@@ -184,30 +190,35 @@
     /// Whether nobody who was asked may still reach the old leader, so that there is no use in waiting for it.
     /// It may come back before another leads, so this alone does not end its lead.
     pub fn is_old_unreachable(&self) -> bool {
-        self.asked_old.has_peers && self.asked_old.due.is_empty()
+        self.old_calls.asked_peers && self.old_calls.pending.is_empty()
     }
 
     /// The proof that the old lead is over, if there is one. `lease` is how long a node goes on after it was
     /// last told that no hold stands. `is_sole` says that no other member can lead, so that the end of the old leader is all that is needed.
-    pub fn proof(&self, now: Time, lease: Duration, is_sole: bool) -> Option<DemotionProof> {
+    pub fn proof(
+        &self,
+        now: Time,
+        lease: Duration,
+        old_is_sole_leader: bool,
+    ) -> Option<DemotionProof> {
         if let Some((status, _)) = self.stepped_down
-            && is_sole
+            && old_is_sole_leader
         {
             return Some(DemotionProof::SteppedDown(status));
         }
-        if is_sole && self.is_revoked_everywhere() {
+        if old_is_sole_leader && self.is_revoked_by_all() {
             return Some(DemotionProof::Revoked);
         }
         let lease = lease + lease / CLOCK_MARGIN_DIVISOR;
-        let is_each_settled = self
-            .holds
+        let all_held_or_unreachable = self
+            .hold_calls
             .iter()
-            .all(|(replica, asked)| self.held.contains(replica) || asked.due.is_empty());
+            .all(|(replica, asked)| self.held.contains(replica) || asked.pending.is_empty());
         // A replica that nobody could put on hold, since nobody reaches it, can confirm nothing either. One
         // at the least must be held: it is the one to be promoted.
-        let is_any_held = !self.held.is_empty();
+        let any_held = !self.held.is_empty();
         let has_lapsed = self.last_hold_at.is_some_and(|at| now >= at + lease);
-        (is_each_settled && is_any_held && has_lapsed).then_some(if self.old.is_some() {
+        (all_held_or_unreachable && any_held && has_lapsed).then_some(if self.old.is_some() {
             DemotionProof::Lapsed
         } else {
             DemotionProof::Unknown
--- a/crates/stairward-failover/src/event.rs
+++ b/crates/stairward-failover/src/event.rs
@@ -8,7 +8,7 @@
     BackendId, BackendRole, Freshness, MemberStatus, NodeId, ServiceName, StoreRevision, Term,
 };
 
-use crate::ending::DemotionProof;
+use crate::demotion::DemotionProof;
 use crate::placement::Placement;
 
 /// The version of a service's record: the revision of the store at which it was written. Where there is none yet, the
--- a/crates/stairward-failover/src/evidence.rs
+++ b/crates/stairward-failover/src/evidence.rs
@@ -9,28 +9,28 @@
 
 /// Evidence of this node and of others.
 #[derive(Debug, Default)]
-pub(crate) struct EvidenceLedger {
+pub(crate) struct BackendEvidence {
     refused: BTreeSet<BackendId>,
     silent: BTreeSet<BackendId>,
     lost_log: BTreeSet<BackendId>,
-    others: BTreeMap<NodeId, OtherReport>,
+    peer_reports: BTreeMap<NodeId, PeerReport>,
     /// Nodes that have looked at a back end for this one and found it silent, and when they said so.
     verified: BTreeMap<(BackendId, NodeId), Time>,
 }
 
 /// What another node last said.
 #[derive(Debug)]
-struct OtherReport {
+struct PeerReport {
     silent: BTreeSet<BackendId>,
     heard_at: Time,
 }
 
 /// A report counts for this long; one that still holds is told again before.
-const REPORT_COUNTS_FOR: Duration = Duration::from_secs(3);
+const REPORT_LIFETIME: Duration = Duration::from_secs(3);
 
-impl EvidenceLedger {
+impl BackendEvidence {
     /// Takes this node's evidence in. Returns whether what others should be told has changed.
-    pub fn note(&mut self, backend: BackendId, evidence: LeaderEvidence) -> bool {
+    pub fn record(&mut self, backend: BackendId, evidence: LeaderEvidence) -> bool {
         match evidence {
             LeaderEvidence::Answered => {
                 self.refused.remove(&backend);
@@ -49,20 +49,20 @@
     }
 
     /// Takes another node's report in.
-    pub fn note_other(&mut self, now: Time, node: NodeId, silent: BTreeSet<BackendId>) {
-        self.others
-            .retain(|_, other| now < other.heard_at + REPORT_COUNTS_FOR);
-        let report = OtherReport {
+    pub fn record_report(&mut self, now: Time, node: NodeId, silent: BTreeSet<BackendId>) {
+        self.peer_reports
+            .retain(|_, other| now < other.heard_at + REPORT_LIFETIME);
+        let report = PeerReport {
             silent,
             heard_at: now,
         };
-        self.others.insert(node, report);
+        self.peer_reports.insert(node, report);
     }
 
     /// Another node has looked at a back end for this one and found it silent.
-    pub fn note_verified(&mut self, now: Time, node: NodeId, backend: BackendId) {
+    pub fn record_verified(&mut self, now: Time, node: NodeId, backend: BackendId) {
         self.verified
-            .retain(|_, heard_at| now < *heard_at + REPORT_COUNTS_FOR);
+            .retain(|_, heard_at| now < *heard_at + REPORT_LIFETIME);
         self.verified.insert((backend, node), now);
     }
 
@@ -73,7 +73,7 @@
     }
 
     /// Keeps in mind that a log was lost only of these members, which call themselves primary.
-    pub fn keep_lost_logs_of(&mut self, is_primary: impl Fn(&BackendId) -> bool) {
+    pub fn retain_lost_logs(&mut self, is_primary: impl Fn(&BackendId) -> bool) {
         self.lost_log.retain(is_primary);
     }
 
@@ -101,29 +101,29 @@
     }
 
     /// The nodes that lately said that they find a back end silent.
-    fn reporting(&self, now: Time, backend: &BackendId) -> impl Iterator<Item = NodeId> {
-        self.others
+    fn reporters(&self, now: Time, backend: &BackendId) -> impl Iterator<Item = NodeId> {
+        self.peer_reports
             .iter()
-            .filter(move |(_, other)| now < other.heard_at + REPORT_COUNTS_FOR)
+            .filter(move |(_, other)| now < other.heard_at + REPORT_LIFETIME)
             .filter(move |(_, other)| other.silent.contains(backend))
             .map(|(node, _)| *node)
     }
 
     /// How many nodes lately said that they find a back end silent by using it.
-    pub fn reports_of(&self, now: Time, backend: &BackendId) -> usize {
-        self.reporting(now, backend).count()
+    pub fn report_count(&self, now: Time, backend: &BackendId) -> usize {
+        self.reporters(now, backend).count()
     }
 
     /// How many nodes find a back end silent, when this one does; none otherwise.
-    pub fn suspecting(&self, now: Time, backend: &BackendId) -> usize {
+    pub fn suspect_count(&self, now: Time, backend: &BackendId) -> usize {
         if !self.silent.contains(backend) {
             return 0;
         }
-        let reported = self.reporting(now, backend);
+        let reported = self.reporters(now, backend);
         let verified = self
             .verified
             .iter()
-            .filter(|((id, _), heard_at)| id == backend && now < **heard_at + REPORT_COUNTS_FOR)
+            .filter(|((id, _), heard_at)| id == backend && now < **heard_at + REPORT_LIFETIME)
             .map(|((_, node), _)| *node);
         let others: BTreeSet<NodeId> = reported.chain(verified).collect();
         1 + others.len()
--- a/crates/stairward-failover/src/lib.rs
+++ b/crates/stairward-failover/src/lib.rs
@@ -9,23 +9,23 @@
 #![forbid(unsafe_code)]
 
 mod attempt;
-mod duty;
-mod ending;
+mod controller;
+mod demotion;
 mod event;
 mod evidence;
-mod leader_memory;
+mod last_known_primaries;
 mod options;
 mod placement;
 mod records;
-mod turn;
+mod start_delay;
 
-pub use duty::FailoverController;
-pub use ending::DemotionProof;
+pub use controller::FailoverController;
+pub use demotion::DemotionProof;
 pub use event::{
     Effect, Event, FailoverRecord, FailoverStep, FencingToken, GroupState, LeaderEvidence,
     MemberCallResult, MemberState, PromotionOutcome, RecordVersion, Via,
 };
-pub use leader_memory::LastKnownPrimaries;
+pub use last_known_primaries::LastKnownPrimaries;
 pub use options::{FailoverOptions, LEADERSHIP_LEASE};
 pub use placement::Placement;
 pub use stairward_types::MemberStatus;
--- a/crates/stairward-failover/src/placement.rs
+++ b/crates/stairward-failover/src/placement.rs
@@ -6,7 +6,7 @@
 
 /// A leader moves only where this much more of the service's work is allowed, in percent: a change of a tenant's
 /// limit that hardly matters moves nothing.
-const WORTH_MOVING_PERCENT: u64 = 125;
+const MIN_MOVE_GAIN_PERCENT: u64 = 125;
 
 /// A member's place.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
@@ -63,6 +63,6 @@
             .map(|member| member.placement.allowed_work)
             .max()
             .unwrap_or_default();
-        best > allowed && best.saturating_mul(100) >= allowed.saturating_mul(WORTH_MOVING_PERCENT)
+        best > allowed && best.saturating_mul(100) >= allowed.saturating_mul(MIN_MOVE_GAIN_PERCENT)
     }
 }
--- a/crates/stairward-failover/src/records.rs
+++ b/crates/stairward-failover/src/records.rs
@@ -8,10 +8,10 @@
 
 /// A service's record, and when this node learnt of it.
 #[derive(Debug)]
-struct Known {
+struct KnownRecord {
     version: RecordVersion,
     record: Option<FailoverRecord>,
-    learnt_at: Time,
+    learned_at: Time,
 }
 
 /// The records of all services.
@@ -24,9 +24,9 @@
     /// Which copy of the store has shown the records; none before the first listing. A service without a record has none
     /// then.
     era: Option<u64>,
-    known: BTreeMap<ServiceName, Known>,
+    known: BTreeMap<ServiceName, KnownRecord>,
     /// What was known when the store last came back from an older copy.
-    lost: BTreeMap<ServiceName, Known>,
+    lost_records: BTreeMap<ServiceName, KnownRecord>,
     /// When this node learnt that records may have been lost.
     lost_at: Option<Time>,
     /// The newest term that holders ever noted, whatever the store has lost since.
@@ -41,7 +41,7 @@
             lease,
             era: None,
             known: BTreeMap::new(),
-            lost: BTreeMap::new(),
+            lost_records: BTreeMap::new(),
             lost_at: None,
             terms: BTreeMap::new(),
         }
@@ -49,7 +49,7 @@
 
     /// A copy of the store has shown the records of all services that have one. Returns whether it is a later copy than
     /// before: what is known of the records of the earlier one says nothing any more.
-    pub fn listed(&mut self, now: Time, era: u64) -> bool {
+    pub fn record_listing(&mut self, now: Time, era: u64) -> bool {
         let before = self.era.unwrap_or_default();
         if era <= before {
             self.era = Some(before);
@@ -57,7 +57,7 @@
         }
         // Also a node that has just started: the copy before may have had a record of which it never heard.
         self.lost_at = Some(now);
-        self.lost = std::mem::take(&mut self.known);
+        self.lost_records = std::mem::take(&mut self.known);
         self.era.replace(era).is_some()
     }
 
@@ -81,10 +81,10 @@
             let noted = self.terms.entry(service.clone()).or_default();
             *noted = record.term.max(*noted);
         }
-        let known = Known {
+        let known = KnownRecord {
             version,
             record,
-            learnt_at: now,
+            learned_at: now,
         };
         self.known.insert(service, known);
         true
@@ -103,9 +103,12 @@
 
     /// Whether this node was the last to write a service's record. Another one since may have put replicas on
     /// hold. A record that the store has lost counts too while whoever wrote it may act.
-    pub fn is_held_here(&self, now: Time, service: &ServiceName) -> bool {
-        let may_lost_count = self.lost_lease_ends_at(now).is_some();
-        let lost = self.lost.get(service).filter(|_| may_lost_count);
+    pub fn is_last_holder(&self, now: Time, service: &ServiceName) -> bool {
+        let lost_lease_may_hold = self.lost_lease_ends_at(now).is_some();
+        let lost = self
+            .lost_records
+            .get(service)
+            .filter(|_| lost_lease_may_hold);
         let known = self.known.get(service);
         let mut records = known
             .into_iter()
@@ -120,7 +123,7 @@
     pub fn is_held_by_another(&self, now: Time, service: &ServiceName) -> bool {
         self.known.get(service).is_some_and(|known| {
             let holder = known.record.as_ref().map(|record| &record.holder);
-            holder.is_some_and(|holder| *holder != self.node) && now < known.learnt_at + self.lease
+            holder.is_some_and(|holder| *holder != self.node) && now < known.learned_at + self.lease
         })
     }
 
