--- a/crates/stairward-failover/src/attempt.rs
+++ b/crates/stairward-failover/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt to replace a service's primary: from the claim to the new primary.
+//! State of one attempt to replace a service's primary, from the claim to the new primary.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,62 +7,64 @@
 use crate::demotion::Demotion;
 use crate::event::{FencingToken, GroupState};
 
-/// How far an attempt has come.
+/// The stage of an attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Stage {
-    /// It waits for its turn to write the record.
+    /// Waiting until `not_before` to write the record.
     Queued,
-    /// The record is being written.
+    /// The record write is in progress.
     Claiming,
-    /// Members are asked.
+    /// Status queries to members are in progress.
     Querying,
-    /// The old primary's lead is being ended.
+    /// The old primary is being demoted.
     Demoting,
-    /// The promotion is under way.
+    /// The promotion call is in progress.
     Promoting,
-    /// The promotion was accepted; the new primary is waited for.
+    /// The promotion was accepted; waiting for the new primary to lead.
     AwaitingNewPrimary,
 }
 
-/// One attempt.
+/// One attempt to replace a primary.
 #[derive(Debug)]
 pub(crate) struct Attempt {
-    /// The primary to be replaced; none where no member calls itself primary.
+    /// The primary to be replaced; `None` if no member reports the primary role.
     pub old: Option<BackendId>,
-    /// Whether the old primary still works and is only about to end.
+    /// Whether the replacement is planned: the old primary may still be working.
     pub is_planned: bool,
     pub stage: Stage,
-    /// Since when it is in its stage.
+    /// When the current stage was entered.
     pub stage_since: Time,
-    /// While it is queued: not claimed before this.
+    /// In [`Stage::Queued`], the earliest time to claim the record.
     pub not_before: Time,
     pub token: Option<FencingToken>,
-    /// When the record was written, for the present token.
+    /// When the record was written under the current token.
     pub claimed_at: Time,
-    /// Whether the old primary answered that it follows, before it was asked to give way.
+    /// Whether the old primary reported the replica role before it was asked to step down.
     pub old_was_replica: bool,
-    /// The end of the old primary's lead, once that is under way.
+    /// State of the demotion of the old primary, once that has started.
     pub demotion: Option<Demotion>,
-    /// Members that were asked and have not answered.
+    /// Members that were queried and have not answered.
     pub unanswered: BTreeSet<BackendId>,
     pub answers: BTreeMap<BackendId, MemberStatus>,
-    /// The newest term that a node knew to have begun.
+    /// The newest term that any node knew to have started.
     pub known_term: Term,
     /// Replicas that may be on hold.
     pub held: BTreeSet<BackendId>,
     pub target: Option<BackendId>,
-    /// Whether the target led already when it was chosen, so that its lead shows nothing.
+    /// Whether the target was already primary when it was chosen, so that its role does not show
+    /// that the promotion took effect.
     pub target_was_leader: bool,
-    /// When the nodes were last told that a term may begin.
+    /// When the nodes were last told that a term may start.
     pub announced_at: Time,
-    /// Whether an earlier promotion had no answer, so that it may still be carried out. A decision with a
+    /// Whether an earlier promotion got no answer and may still be carried out. A decision with a
     /// higher token must be answered before this attempt may end.
     pub must_fence: bool,
-    /// Members where less of the service's work is allowed are not chosen: the leader moves for more.
+    /// Lower bound on [`crate::Placement::allowed_work`] of the target, used when the leader moves
+    /// to a region where more work is allowed.
     pub min_allowed_work: u64,
 }
 
-/// A replica chosen for promotion.
+/// The replica chosen for promotion.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct PromotionTarget {
     pub target: BackendId,
@@ -93,12 +95,12 @@
         }
     }
 
-    pub fn enter(&mut self, stage: Stage, now: Time) {
+    pub fn enter_stage(&mut self, stage: Stage, now: Time) {
         self.stage = stage;
         self.stage_since = now;
     }
 
-    /// Whether the old primary answered that it leads, in a term no other answer exceeds.
+    /// Whether the old primary reported the primary role in a term that no other answer exceeds.
     pub fn old_still_leads(&self) -> bool {
         let Some(old) = &self.old else {
             return false;
@@ -109,8 +111,8 @@
         status.role == BackendRole::Primary && status.term >= self.newest_term()
     }
 
-    /// Whether a replica holds more than the old primary says that it does. A primary's replicas never do, unless it has
-    /// lost its log.
+    /// Whether a replica has received more than the old primary reports to have. This only happens
+    /// if the old primary has lost its log.
     pub fn old_is_behind(&self) -> bool {
         let Some(old) = self.old.as_ref().and_then(|old| self.answers.get(old)) else {
             return false;
@@ -124,7 +126,7 @@
         most > Some(order(old))
     }
 
-    /// A member other than the old one that already leads.
+    /// A member other than the old primary that already leads.
     pub fn other_leader(&self) -> Option<&BackendId> {
         let mut others = self
             .answers
@@ -136,28 +138,29 @@
             .map(|(id, _)| id)
     }
 
-    /// The member that leads, by the answers.
+    /// The member that leads according to the answers.
     pub fn current_leader(&self) -> Option<&BackendId> {
         let old = self.old.as_ref().filter(|_| self.old_still_leads());
         self.other_leader().or(old)
     }
 
-    /// The newest term that any member follows.
+    /// The newest term that any member reported.
     pub fn newest_term(&self) -> Term {
         let terms = self.answers.values().map(|status| status.term);
         terms.max().unwrap_or_default()
     }
 
-    /// A term above any that members follow or wait for.
+    /// A term above any that members have reported or are on hold for.
     pub fn next_term(&self) -> Term {
         let terms = self.answers.values().map(MemberStatus::awaited_term);
         let newest = terms.max().unwrap_or_default().max(self.known_term);
         Term(newest.0.saturating_add(1))
     }
 
-    /// Whether the old primary, and no other member, can lead: each other one that is listed says that it
-    /// follows, the old one has not said so before it was asked to give way, and no earlier promotion is without
-    /// an answer. Where nobody leads, an earlier promotion may be about to take effect.
+    /// Whether the old primary is the only member that can be leading: every other listed member
+    /// reports the replica role, the old primary did not do so before it was asked to step down,
+    /// and no earlier promotion is unanswered. If no member leads, an earlier promotion may be
+    /// about to take effect.
     pub fn is_old_sole_leader(&self, group: &GroupState) -> bool {
         let others = group
             .members
@@ -171,17 +174,18 @@
         old_may_lead && !self.must_fence && answers.all(follows)
     }
 
-    /// Whether every replica that can be asked has answered.
+    /// Whether every replica that was queried has answered.
     pub fn has_all_replica_answers(&self) -> bool {
-        let waits_for_replica = self
+        let awaits_replica = self
             .unanswered
             .iter()
             .any(|id| Some(id) != self.old.as_ref());
-        !waits_for_replica
+        !awaits_replica
     }
 
-    /// Whether the replica that would be chosen holds every commit that was acknowledged: so many replicas
-    /// answered that one of them has each, and none of them has more than the chosen one.
+    /// Whether the replica that would be chosen holds every acknowledged commit: enough replicas
+    /// answered that each acknowledged commit is on one of them, and none of them is ahead of the
+    /// chosen one.
     pub fn covers_acknowledged_commits(&self, group: &GroupState) -> bool {
         let is_replica = |id: &&BackendId| Some(*id) != self.old.as_ref();
         let replicas = group.members.keys().filter(is_replica).count();
@@ -199,10 +203,10 @@
         answered.saturating_add(synchronous) >= needed && chosen == most
     }
 
-    /// The replica that has received most of those that answered and may lead; of several, a warm one, then one where
-    /// more of the work is allowed.
+    /// Chooses among the replicas that answered and may lead the one that has received most of the
+    /// log. Ties are broken in favour of a warm replica, then of one where more work is allowed.
     pub fn choose_target(&self, group: &GroupState) -> Option<PromotionTarget> {
-        let stays = |id: &BackendId| {
+        let may_be_chosen = |id: &BackendId| {
             let member = group.members.get(id);
             Some(id) != self.old.as_ref()
                 && member.is_some_and(|member| {
@@ -213,7 +217,7 @@
             let member = group.members.get(id);
             member.map(|member| member.placement).unwrap_or_default()
         };
-        let answered = self.answers.iter().filter(|(id, _)| stays(id));
+        let answered = self.answers.iter().filter(|(id, _)| may_be_chosen(id));
         let best = answered.max_by_key(|(id, status)| {
             (
                 status.received.term,
--- a/crates/stairward-failover/src/controller.rs
+++ b/crates/stairward-failover/src/controller.rs
@@ -1,4 +1,5 @@
-//! The duty's state, what it hears, and which step is looked at; the steps are in the modules below.
+//! State of the failover controller, event handling, and dispatch of each service to the step it is
+//! due for. The steps are implemented in the submodules.
 
 mod claim;
 mod demotion_steps;
@@ -16,61 +17,62 @@
 use crate::options::FailoverOptions;
 use crate::records::Records;
 
-/// How often the duty looks again while something is under way.
+/// Interval of [`Event::Tick`] while something is in progress.
 const POLL_INTERVAL: std::time::Duration = std::time::Duration::from_millis(50);
-/// The shortest pause between two reports: a node that is cut off finds many back ends silent within a moment, and each
-/// report costs a connection to each of its peers.
+/// Minimum interval between two reports. A node that loses its network finds many back ends silent
+/// within a moment, and each report costs a connection to each of its peers.
 const MIN_REPORT_INTERVAL: std::time::Duration = std::time::Duration::from_millis(100);
-/// How often a report that still holds is told again.
+/// Interval at which an unchanged report is repeated.
 const REPORT_REPEAT_INTERVAL: std::time::Duration = std::time::Duration::from_secs(1);
 
-/// A back end that accepted a connection when it was looked at for another node is not looked at again for this long:
-/// one that only answers slowly must not be opened connections to by the whole fleet (14 a second of 12 ms each with
-/// 72 nodes).
+/// How long a back end that accepted a probe connection is not probed again. Without this, the
+/// whole fleet keeps opening connections to a back end that is merely slow: 14 a second of 12 ms
+/// each with 72 nodes.
 const VERIFICATION_INTERVAL: std::time::Duration = std::time::Duration::from_secs(5);
 
-/// The failover duty of one node.
+/// The failover controller of one node.
 #[derive(Debug)]
 pub struct FailoverController {
     options: FailoverOptions,
     groups: BTreeMap<ServiceName, GroupState>,
     /// The service of each member.
     service_of: BTreeMap<BackendId, ServiceName>,
-    /// How many members of all services are listed.
+    /// The number of listed members over all services.
     listed_members: usize,
-    /// Services whose leader is to give way as planned.
+    /// Services with a planned change of leader.
     planned_moves: BTreeSet<ServiceName>,
-    /// Services whose members have changed since they were looked at.
+    /// Services whose members have changed since their last review.
     changed_services: BTreeSet<ServiceName>,
     node_count: u32,
-    /// Nodes that may pass questions on to members.
+    /// Nodes that may relay calls to members.
     relay_peers: Vec<NodeId>,
-    /// All other nodes that may use a leader.
+    /// All other nodes that may send requests to a leader.
     leader_users: BTreeSet<NodeId>,
     evidence: BackendEvidence,
-    /// Back ends that were looked at for other nodes lately, and until when they are not looked at again.
+    /// Back ends recently probed for other nodes, and until when they are not probed again.
     verification_paused_until: BTreeMap<BackendId, Time>,
-    /// When others were last told which back ends this node finds silent.
+    /// When this node last reported its silent back ends.
     reported_at: Time,
-    /// Whether that has changed since.
+    /// Whether the set of silent back ends has changed since the last report.
     has_unreported_change: bool,
     records: Records,
     attempts: BTreeMap<ServiceName, Attempt>,
-    /// Since when there has been a reason to replace a primary.
+    /// Since when there has been a reason to replace the primary.
     triggered_since: BTreeMap<ServiceName, Time>,
-    /// No new attempt begins before this.
+    /// The earliest time of the next attempt.
     retry_after: BTreeMap<ServiceName, Time>,
-    /// Since when a primary has been missing or leading nobody.
+    /// Since when no listed member of the service reports the primary role.
     missing_since: BTreeMap<ServiceName, Time>,
-    /// When entries last lapsed together.
+    /// When many entries last expired together.
     mass_expiry_at: Option<Time>,
-    /// Since when replicas have waited for a later term than their leader's.
+    /// Since when replicas have been on hold for a later term than that of their leader.
     revoked_since: BTreeMap<ServiceName, Time>,
     effects: Vec<Effect>,
 }
 
 impl FailoverController {
-    /// A duty that knows nothing yet. It acts only once it has learnt the record.
+    /// Creates a controller that knows nothing yet. It acts only after it has received the failover
+    /// records.
     #[must_use]
     pub fn new(options: FailoverOptions) -> Self {
         Self {
@@ -98,8 +100,8 @@
         }
     }
 
-    /// Takes an event in and says what must be done. Only services about which something is known that may lead to
-    /// a step are looked at.
+    /// Handles an event and returns the effects to carry out. Reviews only the services for which a
+    /// step may be due.
     pub fn handle(&mut self, now: Time, event: Event) -> Vec<Effect> {
         self.apply(now, event);
         for service in self.unsettled_services() {
@@ -108,7 +110,8 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// As [`Self::handle`], looking at all services: slower, and the same in what it decides, as a test shows.
+    /// Like [`Self::handle`], but reviews all services. Slower, with the same decisions: a test
+    /// compares the two.
     #[doc(hidden)]
     pub fn handle_reviewing_all(&mut self, now: Time, event: Event) -> Vec<Effect> {
         self.apply(now, event);
@@ -120,8 +123,8 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// The services that have changed, are being worked on, or have a reason for a step, or may come to have one as
-    /// time passes; in their order. For all others a review does nothing.
+    /// The services that have changed, have an attempt in progress, or have a reason for a step now
+    /// or as time passes, in order. A review of any other service does nothing.
     fn unsettled_services(&mut self) -> BTreeSet<ServiceName> {
         let mut unsettled = std::mem::take(&mut self.changed_services);
         unsettled.extend(self.attempts.keys().cloned());
@@ -137,7 +140,7 @@
         unsettled
     }
 
-    /// When the duty wants a [`Event::Tick`] at the latest; none while nothing is under way.
+    /// The latest time for the next [`Event::Tick`]; `None` while nothing is in progress.
     #[must_use]
     pub fn next_wake(&self, now: Time) -> Option<Time> {
         let is_refused = |id: &BackendId| {
@@ -155,19 +158,19 @@
         (!is_idle).then(|| now + POLL_INTERVAL)
     }
 
-    /// Takes the services and their members in, whole.
+    /// Replaces the set of services and their members.
     fn replace_groups(&mut self, now: Time, groups: BTreeMap<ServiceName, GroupState>) {
-        let is_over = |service: &&ServiceName| !groups.contains_key(*service);
-        let over: Vec<_> = self.groups.keys().filter(is_over).cloned().collect();
+        let is_gone = |service: &&ServiceName| !groups.contains_key(*service);
+        let gone: Vec<_> = self.groups.keys().filter(is_gone).cloned().collect();
         let listed_before = self.listed_members;
-        for service in over {
+        for service in gone {
             self.forget_group(&service);
         }
         self.apply_groups(groups);
         self.detect_mass_expiry(now, listed_before);
     }
 
-    /// Takes in services of which something has changed.
+    /// Updates the services that have changed.
     fn update_groups(&mut self, now: Time, groups: BTreeMap<ServiceName, GroupState>) {
         let listed_before = self.listed_members;
         self.apply_groups(groups);
@@ -234,7 +237,7 @@
                 term,
                 user,
                 newest,
-            } => self.user_revoked(now, &service, term, user, newest),
+            } => self.handle_user_revoked(now, &service, term, user, newest),
             Event::Evidence(backend, evidence) => self.record_evidence(now, backend, evidence),
             Event::LeadershipRevoked(service, is_revoked) => {
                 self.record_revocation(now, service, is_revoked)
@@ -245,28 +248,29 @@
             }
             Event::FoundSilent(backend) => _ = self.verification_paused_until.remove(&backend),
             Event::Verified(node, backend) => self.evidence.record_verified(now, node, backend),
-            Event::Records { era, records } => self.learn_records(now, era, records),
+            Event::Records { era, records } => self.apply_records(now, era, records),
             Event::Record(service, version, record) => {
-                self.records.learn(now, service, version, record);
+                self.records.update(now, service, version, record);
             }
             Event::RecordWritten(service, version, record) => {
-                self.record_written(now, &service, version, record);
+                self.handle_record_written(now, &service, version, record);
             }
-            Event::RecordFailed(service) => self.record_failed(now, &service),
+            Event::RecordFailed(service) => self.handle_record_failed(now, &service),
             Event::StatusReply(backend, status) => self.record_status(&backend, status),
-            Event::MemberCallEnded(backend, via, reach) => {
-                self.record_call_result(now, &backend, &via, reach)
+            Event::MemberCallEnded(backend, via, result) => {
+                self.record_call_result(now, &backend, &via, result)
             }
             Event::Promotion(service, token, outcome) => {
-                self.promotion_ended(now, &service, token, outcome);
+                self.handle_promotion_outcome(now, &service, token, outcome);
             }
             Event::Tick => self.report_again(now),
         }
     }
 
-    /// Looks at leaders that another node finds silent. Where a service has little work, few nodes use its leader, and
-    /// without this the others would learn only from its entry that it is gone: 4 to 5 s after a zone was lost, with
-    /// 100 services and two statements a second each.
+    /// Requests probes of the leaders that another node finds silent. The leader of a service with
+    /// little traffic is used by few nodes; without probes, the others would learn of its loss only
+    /// from its expired entry: 4 to 5 s after a zone was lost, with 100 services and two statements
+    /// a second each.
     fn verify(&mut self, now: Time, asker: NodeId, silent: &BTreeSet<BackendId>) {
         self.verification_paused_until.retain(|_, at| now < *at);
         for backend in silent {
@@ -304,20 +308,21 @@
         self.effects.push(Effect::ReportSilent(silent));
     }
 
-    /// Others count a report for a while only.
+    /// Repeats the report, since other nodes let it expire.
     fn report_again(&mut self, now: Time) {
         let has_report = !self.evidence.silent().is_empty();
-        let pause = if self.has_unreported_change {
+        let interval = if self.has_unreported_change {
             MIN_REPORT_INTERVAL
         } else {
             REPORT_REPEAT_INTERVAL
         };
-        if (has_report || self.has_unreported_change) && now >= self.reported_at + pause {
+        if (has_report || self.has_unreported_change) && now >= self.reported_at + interval {
             self.report(now);
         }
     }
 
-    /// The member that calls itself primary, the one announced last if there are several.
+    /// The member that reports the primary role; among several, a listed one, then the one whose
+    /// entry changed last.
     fn announced_leader(group: &GroupState) -> Option<&BackendId> {
         let primaries = group
             .members
--- a/crates/stairward-failover/src/controller/claim.rs
+++ b/crates/stairward-failover/src/controller/claim.rs
@@ -1,4 +1,4 @@
-//! Taking the duty for a service: from the reason to the written record.
+//! Claims the right to act on a service: from the trigger to the written record.
 
 use std::collections::BTreeMap;
 
@@ -11,9 +11,11 @@
 use crate::start_delay::start_delay;
 
 impl FailoverController {
-    /// How many nodes most likely have the same reason. Who finds a leader silent by use tells a few others, so the
-    /// reports that reach this node tell how many there are; what others found when they looked makes them no
-    /// contenders. With all nodes for contenders, a leader that one node uses waited 1.2 s longer among 100.
+    /// Estimates how many nodes have the same reason to act. A node that finds a leader silent
+    /// reports this to a few peers, so the reports that reach this node indicate how many nodes
+    /// there are; nodes that only probed the leader do not compete. Counting every node as a
+    /// contender delayed the replacement of a leader that only one node uses by 1.2 s in a fleet of
+    /// 100.
     fn contenders(&self, now: Time, trigger: Trigger, service: &ServiceName) -> u32 {
         let leader = self.groups.get(service).and_then(Self::announced_leader);
         let (Trigger::Silent, Some(leader)) = (trigger, leader) else {
@@ -21,8 +23,8 @@
         };
         let count = |length: usize| u32::try_from(length).unwrap_or(u32::MAX);
         let reports = count(self.evidence.report_count(now, leader));
-        let told_by_each = count(self.relay_peers.len()).max(1);
-        let others = reports.saturating_mul(self.node_count) / told_by_each;
+        let reported_to = count(self.relay_peers.len()).max(1);
+        let others = reports.saturating_mul(self.node_count) / reported_to;
         others.saturating_add(1).min(self.node_count)
     }
 
@@ -37,7 +39,7 @@
         let may_be_held = self.records.is_held_by_another(now, service)
             || self.records.lost_lease_ends_at(now).is_some();
         if may_be_held {
-            // All who wait for the lease to lapse take turns from then on.
+            // Nodes waiting for the lease to expire spread their claims from that moment on.
             self.triggered_since.remove(service);
             return;
         }
@@ -76,10 +78,10 @@
         self.claim(now, service);
     }
 
-    /// Writes the service's record.
+    /// Claims the service by writing its record.
     pub(super) fn claim(&mut self, now: Time, service: &ServiceName) {
         if self.records.is_held_by_another(now, service) {
-            return self.give_up(now, service, "another node holds the duty");
+            return self.give_up(now, service, "another node holds the failover lease");
         }
         if let Some(ends_at) = self.records.lost_lease_ends_at(now) {
             return self.wait_for_lost_lease(now, service, ends_at);
@@ -90,22 +92,23 @@
         let Some(attempt) = self.attempts.get_mut(service) else {
             return;
         };
-        attempt.enter(Stage::Claiming, now);
+        attempt.enter_stage(Stage::Claiming, now);
         attempt.token = None;
         self.write_record(service, self.records.term(service));
     }
 
-    /// An attempt that has promoted goes on once that is over, any other one begins anew.
+    /// Queues an attempt with an unanswered promotion until the lost lease has expired; gives up
+    /// any other attempt.
     fn wait_for_lost_lease(&mut self, now: Time, service: &ServiceName, ends_at: Time) {
         let attempt = self.attempts.get_mut(service);
         let Some(attempt) = attempt.filter(|attempt| attempt.must_fence) else {
-            return self.give_up(now, service, "the store has come back from an older copy");
+            return self.give_up(now, service, "the store was restored to an older state");
         };
-        attempt.enter(Stage::Queued, now);
+        attempt.enter_stage(Stage::Queued, now);
         attempt.not_before = ends_at;
     }
 
-    /// Claims that were sent to a copy of the store that is gone are waited for no longer: what comes of them is no answer.
+    /// Abandons claims that were sent before the store was restored: their answers no longer count.
     fn abandon_claims(&mut self, now: Time) {
         let is_claiming = |attempt: &Attempt| attempt.stage == Stage::Claiming;
         let claiming = self
@@ -118,7 +121,7 @@
         }
     }
 
-    /// Writes a service's record over the version that is known.
+    /// Writes a service's record, conditional on the known version.
     pub(super) fn write_record(&mut self, service: &ServiceName, term: Term) {
         let Some(version) = self.records.version(service) else {
             return;
@@ -131,9 +134,9 @@
             .push(Effect::WriteRecord(service.clone(), version, record));
     }
 
-    /// Takes in all records, as a watch shows them. One of this node's own that it has not seen yet is the answer
-    /// to its claim: the store's own was lost, or is late.
-    pub(super) fn learn_records(
+    /// Applies all records from a watch of the store. A new record written by this node counts as
+    /// the answer to its claim, since the store's own answer may be late or lost.
+    pub(super) fn apply_records(
         &mut self,
         now: Time,
         era: u64,
@@ -146,14 +149,14 @@
             let (is_own, noted) = (record.holder == self.options.node, record.term);
             let is_new = self
                 .records
-                .learn(now, service.clone(), version, Some(record));
+                .update(now, service.clone(), version, Some(record));
             if is_new && is_own {
                 self.claim_confirmed(now, &service, version, noted);
             }
         }
     }
 
-    pub(super) fn record_written(
+    pub(super) fn handle_record_written(
         &mut self,
         now: Time,
         service: &ServiceName,
@@ -163,14 +166,14 @@
         let noted = record.term;
         let is_new = self
             .records
-            .learn(now, service.clone(), version, Some(record));
+            .update(now, service.clone(), version, Some(record));
         if is_new {
             self.claim_confirmed(now, service, version, noted);
         }
     }
 
-    /// This node's own write of a service's record is known to be done. Its version is the token of one decision:
-    /// it is taken when it is first seen, and never again.
+    /// Handles confirmation that this node wrote the service's record. The record's version is the
+    /// fencing token of one decision, so it is used when first seen and never again.
     fn claim_confirmed(
         &mut self,
         now: Time,
@@ -182,7 +185,7 @@
             return;
         };
         if attempt.stage != Stage::Claiming {
-            // A term was noted, or the claim was given up before its answer came.
+            // The write recorded a term, or the claim was given up before its answer arrived.
             return;
         }
         if now.since(attempt.stage_since) > self.options.lease / 2 {
@@ -192,11 +195,11 @@
         attempt.claimed_at = now;
         attempt.demotion = None;
         attempt.known_term = attempt.known_term.max(noted);
-        attempt.enter(Stage::Querying, now);
+        attempt.enter_stage(Stage::Querying, now);
         self.query_members(service);
     }
 
-    pub(super) fn record_failed(&mut self, now: Time, service: &ServiceName) {
+    pub(super) fn handle_record_failed(&mut self, now: Time, service: &ServiceName) {
         let is_claiming = self
             .attempts
             .get(service)
@@ -226,8 +229,8 @@
         }
     }
 
-    /// While a promotion without an answer may still be carried out, no leader of a lower term is to be
-    /// believed, however long the store keeps this node from fencing it off.
+    /// Repeats the revocation of older leaders while an unanswered promotion may still be carried
+    /// out, however long the store prevents this node from fencing it.
     pub(super) fn announce_pending_term(&mut self, now: Time, service: &ServiceName) {
         let Some(lease) = self.options.leadership_lease else {
             return;
--- a/crates/stairward-failover/src/controller/demotion_steps.rs
+++ b/crates/stairward-failover/src/controller/demotion_steps.rs
@@ -1,4 +1,5 @@
-//! Ending the old primary's lead before another leads; see [`crate::ending`] for what proves it.
+//! Demotes the old primary before another member leads; see [`crate::demotion`] for the proofs
+//! required.
 
 use stairward_types::{BackendId, BackendRole, Freshness, NodeId, ServiceName, Term, Time};
 
@@ -8,7 +9,7 @@
 use crate::event::{Effect, FailoverStep, MemberCallResult, Via};
 
 impl FailoverController {
-    /// Has the old primary give way, before another is promoted.
+    /// Asks the old primary to step down before another member is promoted.
     pub(super) fn begin_demotion(&mut self, now: Time, service: &ServiceName) {
         let is_synchronous = self
             .groups
@@ -26,7 +27,7 @@
         let mut demotion = Demotion::new(old.clone(), term, now);
         let mut ways = vec![Via::Direct];
         if is_old_silent {
-            // This node has just asked it in vain.
+            // It did not answer the status query of this node.
             ways.extend(self.relay_peers.iter().copied().map(Via::Peer));
         }
         if old.is_some() {
@@ -34,7 +35,7 @@
         }
         attempt.demotion = Some(demotion);
         attempt.unanswered.clear();
-        attempt.enter(Stage::Demoting, now);
+        attempt.enter_stage(Stage::Demoting, now);
         let began = FailoverStep::Ending {
             old: old.clone(),
             token,
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Puts the replicas on hold, so that no node can confirm the old primary any more.
+    /// Puts the replicas on hold, so that no node can confirm the old primary any longer.
     pub(super) fn hold_replicas_for_demotion(&mut self, now: Time, service: &ServiceName) {
         let (Some(group), Some(attempt)) =
             (self.groups.get(service), self.attempts.get_mut(service))
@@ -65,7 +66,7 @@
         let mut replicas = 0;
         let term = demotion.term;
         for (id, member) in &group.members {
-            // The old primary too: it may follow another one by now.
+            // Including the old primary, which may be a replica of another member by now.
             if !member.is_listed {
                 continue;
             }
@@ -81,7 +82,7 @@
         self.log(service, FailoverStep::Holding { replicas, term });
     }
 
-    pub(super) fn user_revoked(
+    pub(super) fn handle_user_revoked(
         &mut self,
         now: Time,
         service: &ServiceName,
@@ -96,7 +97,7 @@
             return;
         };
         if newest >= demotion.term && attempt.stage == Stage::Demoting {
-            // The old primary's own term is newer than any that the members who answered knew.
+            // The old primary's own term is newer than any that the members reported.
             attempt.known_term = attempt.known_term.max(newest);
             return self.begin_demotion(now, service);
         }
@@ -108,14 +109,14 @@
         now: Time,
         backend: &BackendId,
         via: &Via,
-        reach: MemberCallResult,
+        result: MemberCallResult,
     ) {
         for attempt in self.attempts.values_mut() {
             let Some(demotion) = &mut attempt.demotion else {
                 continue;
             };
-            demotion.record_result(now, backend, via.clone(), reach);
-            if let Some(status) = reach.answer() {
+            demotion.record_result(now, backend, via.clone(), result);
+            if let Some(status) = result.answer() {
                 attempt.answers.insert(backend.clone(), status);
             }
         }
@@ -130,8 +131,8 @@
             return;
         };
         if now.since(attempt.claimed_at) > self.options.lease * 3 / 4 {
-            // The node may have been paused: another may hold the duty by now.
-            return self.give_up(now, service, "the old primary's lead was not ended in time");
+            // The node may have been paused, and another one may act on this service by now.
+            return self.give_up(now, service, "the old primary was not demoted in time");
         }
         if let Some(leader) = attempt.other_leader().cloned() {
             return if attempt.must_fence {
@@ -147,19 +148,20 @@
         let Some(proof) = demotion.proof(now, lease, old_is_sole_leader) else {
             return self.escalate_demotion(now, service);
         };
-        let is_certain = match proof {
+        let may_promote = match proof {
             DemotionProof::SteppedDown(status) => self.has_caught_up(now, service, status.received),
             DemotionProof::Revoked => true,
             DemotionProof::Lapsed | DemotionProof::Unknown => self.are_holds_verified(now, service),
         };
-        if is_certain {
+        if may_promote {
             self.promote_after_demotion(now, service, proof);
         }
     }
 
-    /// The old primary's lead is not over yet: others are asked to help, or replicas put on hold.
+    /// Advances a demotion without proof so far: has peers repeat calls that got no answer, and
+    /// puts replicas on hold once the old primary had its time to step down.
     pub(super) fn escalate_demotion(&mut self, now: Time, service: &ServiceName) {
-        let patience = self.options.step_down_timeout;
+        let timeout = self.options.step_down_timeout;
         let Some(attempt) = self.attempts.get_mut(service) else {
             return;
         };
@@ -170,27 +172,28 @@
         let term = demotion.term;
         if let Some(old) = &attempt.old
             && !peers.is_empty()
-            && demotion.old_needs_peers(now, patience / 2)
+            && demotion.old_needs_peers(now, timeout / 2)
         {
             demotion.add_old_calls(&peers);
             self.effects
                 .push(Effect::StepDown(old.clone(), term, peers.clone()));
         }
-        for replica in demotion.replicas_needing_peers(now, patience) {
+        for replica in demotion.replicas_needing_peers(now, timeout) {
             demotion.add_hold_calls(replica.clone(), &peers);
             if !peers.is_empty() {
                 self.effects
                     .push(Effect::HoldVia(replica, term, peers.clone()));
             }
         }
-        let has_waited = now >= demotion.started_at() + patience || demotion.is_old_unreachable();
-        if demotion.holding_since.is_none() && has_waited {
+        let has_timed_out = now >= demotion.started_at() + timeout || demotion.is_old_unreachable();
+        if demotion.holding_since.is_none() && has_timed_out {
             self.hold_replicas_for_demotion(now, service);
         }
     }
 
-    /// Whether all members that were put on hold still are: a promotion of an earlier attempt, carried out
-    /// late, would have let them go. Asks them; where one is not, the ending begins anew.
+    /// Whether all members that were put on hold still are: a promotion of an earlier attempt that
+    /// was carried out late would have released them. Queries them, and restarts the demotion if
+    /// one is no longer on hold.
     pub(super) fn are_holds_verified(&mut self, now: Time, service: &ServiceName) -> bool {
         let Some(attempt) = self.attempts.get_mut(service) else {
             return false;
@@ -225,15 +228,16 @@
         false
     }
 
-    /// Whether a replica has received all that an old primary's log had when it stepped down, or there is no
-    /// use in waiting for that any longer. Asks them where that is not known.
+    /// Whether the chosen replica has received the whole log of the old primary as of its
+    /// step-down, or the time to wait for that is over. Otherwise queries the replicas until they
+    /// have.
     pub(super) fn has_caught_up(
         &mut self,
         now: Time,
         service: &ServiceName,
         all: Freshness,
     ) -> bool {
-        let patience = self.options.catch_up_timeout;
+        let timeout = self.options.catch_up_timeout;
         let (Some(group), Some(attempt)) =
             (self.groups.get(service), self.attempts.get_mut(service))
         else {
@@ -247,7 +251,7 @@
             return false;
         };
         let since = demotion.stepped_down().map_or(now, |(_, at)| at);
-        if has_all || now >= since + patience {
+        if has_all || now >= since + timeout {
             return true;
         }
         if !std::mem::replace(&mut demotion.is_catching_up, true) {
@@ -262,7 +266,7 @@
         false
     }
 
-    /// The old primary's lead is over: the best replica is promoted.
+    /// Promotes the best replica, now that the old primary is demoted.
     pub(super) fn promote_after_demotion(
         &mut self,
         now: Time,
@@ -274,7 +278,7 @@
             return;
         };
         if group.synchronous_replicas > 0 && !attempt.covers_acknowledged_commits(group) {
-            return self.give_up(now, service, "an acknowledged commit might be missed");
+            return self.give_up(now, service, "an acknowledged commit might be lost");
         }
         let Some(chosen) = attempt.choose_target(group) else {
             return self.give_up(now, service, "no replica answered");
@@ -285,14 +289,14 @@
         };
         let received = chosen.received.map(|received| received.position.0);
         let began = attempt.demotion.as_ref().map_or(now, Demotion::started_at);
-        let promote_after_demotion = FailoverStep::Ended {
+        let step = FailoverStep::Ended {
             proof,
             after: now.since(began),
             behind: old_had
                 .zip(received)
                 .map(|(old, new)| old.saturating_sub(new)),
         };
-        self.log(service, promote_after_demotion);
+        self.log(service, step);
         self.promote(now, service, chosen.target, chosen.received);
     }
 }
--- a/crates/stairward-failover/src/controller/member_status.rs
+++ b/crates/stairward-failover/src/controller/member_status.rs
@@ -1,4 +1,4 @@
-//! Asking the members of a group, before anything is done to them.
+//! Queries members for their status and evaluates the answers, before any of them is changed.
 
 use stairward_types::{BackendId, BackendRole, MemberStatus, ServiceName, Term, Time};
 
@@ -7,7 +7,8 @@
 use crate::event::{Effect, Via};
 
 impl FailoverController {
-    /// A replica that comes while the others are on hold would let the old primary acknowledge again.
+    /// Puts replicas on hold that joined after the others were: through them the old primary could
+    /// acknowledge commits again.
     pub(super) fn hold_new_replicas(&mut self, service: &ServiceName) {
         let (Some(group), Some(attempt)) =
             (self.groups.get(service), self.attempts.get_mut(service))
@@ -53,7 +54,8 @@
         }
     }
 
-    /// Keeps the replicas from receiving, so that nothing more is acknowledged, and asks them again.
+    /// Puts the replicas on hold, so that no further commit is acknowledged, and queries them
+    /// again.
     pub(super) fn hold_replicas(&mut self, now: Time, service: &ServiceName) {
         let (Some(group), Some(attempt)) =
             (self.groups.get(service), self.attempts.get_mut(service))
@@ -61,7 +63,7 @@
             return;
         };
         let term = Term(attempt.newest_term().0 + 1);
-        attempt.enter(Stage::Querying, now);
+        attempt.enter_stage(Stage::Querying, now);
         attempt.unanswered.clear();
         for id in group.members.keys() {
             if Some(id) == attempt.old.as_ref() {
@@ -93,23 +95,24 @@
             return;
         };
         let is_late = now.since(attempt.stage_since) >= self.options.status_timeout;
-        // Where an old primary is ended before another leads, there is time for its answer later.
-        let old_patience = match self.options.leadership_lease {
+        // If the old primary is demoted before another leads, the demotion gives it more time to
+        // answer.
+        let old_timeout = match self.options.leadership_lease {
             Some(_) => self.options.step_down_timeout,
             None => self.options.status_timeout,
         };
-        let old_may_live = attempt.old.as_ref().is_some_and(|old| {
+        let await_old = attempt.old.as_ref().is_some_and(|old| {
             !attempt.is_planned
                 && !self.evidence.is_refused(old)
                 && attempt.unanswered.contains(old)
-                && now.since(attempt.stage_since) < old_patience
+                && now.since(attempt.stage_since) < old_timeout
         });
-        let is_complete = attempt.has_all_replica_answers() && !old_may_live;
+        let is_complete = attempt.has_all_replica_answers() && !await_old;
         if !is_complete && !is_late {
             return;
         }
         if now.since(attempt.stage_since) > self.options.lease / 2 {
-            // The node may have been paused: another may hold the duty by now.
+            // The node may have been paused, and another one may act on this service by now.
             return self.give_up(now, service, "the answers are too old");
         }
         let old_has_lost_log = attempt.old_is_behind()
@@ -132,7 +135,7 @@
             if let Some(old) = attempt.old.clone() {
                 self.evidence.forget(&old);
             }
-            return self.give_up(now, service, "the primary answers that it leads");
+            return self.give_up(now, service, "the primary reports that it still leads");
         }
         if self.options.leadership_lease.is_some() {
             return self.begin_demotion(now, service);
@@ -142,7 +145,7 @@
                 return self.hold_replicas(now, service);
             }
             if !attempt.covers_acknowledged_commits(group) {
-                return self.give_up(now, service, "an acknowledged commit might be missed");
+                return self.give_up(now, service, "an acknowledged commit might be lost");
             }
         }
         let Some(chosen) = attempt.choose_target(group) else {
@@ -151,8 +154,9 @@
         self.promote(now, service, chosen.target, chosen.received);
     }
 
-    /// Replicas that an earlier attempt left on hold are this one's to let go, once its own decision is answered:
-    /// a promotion of that attempt may still be carried out.
+    /// Adopts the holds that an earlier attempt left behind. They are released only once this
+    /// attempt's own decision is answered, since a promotion of the earlier attempt may still be
+    /// carried out.
     pub(super) fn adopt_holds(&mut self, service: &ServiceName) {
         let Some(attempt) = self.attempts.get_mut(service) else {
             return;
--- a/crates/stairward-failover/src/controller/promotion.rs
+++ b/crates/stairward-failover/src/controller/promotion.rs
@@ -1,4 +1,4 @@
-//! The promotion itself, its answer or the lack of one, and the end of the attempt.
+//! Promotes the target, handles the outcome, and ends the attempt.
 
 use stairward_types::{BackendId, Freshness, ServiceName, Time};
 
@@ -22,7 +22,7 @@
         };
         let answers = attempt.answers.len();
         attempt.target = Some(target.clone());
-        attempt.enter(Stage::Promoting, now);
+        attempt.enter_stage(Stage::Promoting, now);
         let chose = FailoverStep::Chose {
             target: target.clone(),
             token,
@@ -34,7 +34,8 @@
             .push(Effect::Promote(service.clone(), target, token));
     }
 
-    /// Promotes the one that leads, which changes nothing, but keeps older calls from taking effect.
+    /// Promotes the member that already leads. This changes no role, but its higher token prevents
+    /// earlier promotion calls from taking effect.
     pub(super) fn fence_earlier_promotion(
         &mut self,
         now: Time,
@@ -54,13 +55,14 @@
         let is_late = now.since(attempt.stage_since) > self.options.call_timeout;
         let has_taken_effect = !attempt.target_was_leader && self.target_leads(service);
         if is_late || has_taken_effect {
-            self.promotion_unknown(now, service);
+            self.restart_after_unknown_promotion(now, service);
         }
     }
 
-    /// The call may be carried out at any later time. Only a decision with a higher token that was
-    /// answered keeps it from that, so the attempt goes on until one is.
-    pub(super) fn promotion_unknown(&mut self, now: Time, service: &ServiceName) {
+    /// Starts over after a promotion without an answer, which may still be carried out at any later
+    /// time. Only an answered decision with a higher token prevents that, so the attempt continues
+    /// until there is one.
+    pub(super) fn restart_after_unknown_promotion(&mut self, now: Time, service: &ServiceName) {
         if let Some(attempt) = self.attempts.get_mut(service) {
             let old = attempt.old.clone();
             let held = std::mem::take(&mut attempt.held);
@@ -70,13 +72,13 @@
             *attempt = Attempt::new(old, is_planned, now);
             attempt.held = held;
             attempt.must_fence = true;
-            // Its promotion may begin that term yet, so that the next one is above it.
+            // The unanswered promotion may still start that term, so the next one must be higher.
             attempt.known_term = known_term;
         }
         self.claim(now, service);
     }
 
-    pub(super) fn promotion_ended(
+    pub(super) fn handle_promotion_outcome(
         &mut self,
         now: Time,
         service: &ServiceName,
@@ -92,25 +94,25 @@
         }
         match outcome {
             PromotionOutcome::Accepted => {
-                // Replicas stay on hold until the new primary leads: the old one could acknowledge
-                // through any of them until then.
-                attempt.enter(Stage::AwaitingNewPrimary, now);
+                // Replicas stay on hold until the new primary leads; until then the old one could
+                // acknowledge commits through any of them.
+                attempt.enter_stage(Stage::AwaitingNewPrimary, now);
                 self.record_term(service);
             }
             PromotionOutcome::Refused | PromotionOutcome::Throttled => {
                 self.give_up(now, service, "the promotion was refused");
             }
-            PromotionOutcome::Unknown => self.promotion_unknown(now, service),
+            PromotionOutcome::Unknown => self.restart_after_unknown_promotion(now, service),
         }
     }
 
-    /// Notes the term that begins now in the service's record, for holders to come.
+    /// Writes the term that starts now to the service's record, for later holders.
     fn record_term(&mut self, service: &ServiceName) {
         let Some(attempt) = self.attempts.get(service) else {
             return;
         };
         if attempt.target_was_leader {
-            // Promoting the one that leads begins no term.
+            // Promoting the member that already leads starts no new term.
             return;
         }
         let announced = attempt.demotion.as_ref().map(|demotion| demotion.term);
@@ -133,7 +135,8 @@
             return;
         };
         let is_over = now.since(attempt.stage_since) > self.options.promotion_timeout;
-        // An earlier promotion that was accepted just before this one still takes its time to take effect.
+        // An earlier promotion that was accepted just before this one may not have taken effect
+        // yet.
         let may_end_early = !attempt.must_fence;
         if is_over || (may_end_early && self.target_leads(service)) {
             if self.records.is_last_holder(now, service) {
@@ -149,16 +152,16 @@
         }
     }
 
-    /// The nodes that were told of a promotion learn that the attempt is over.
+    /// Tells the nodes that were told of a promotion that the attempt is over.
     pub(super) fn announce_attempt_ended(&mut self, service: &ServiceName) {
         let attempt = self.attempts.get(service);
         let was_announced = attempt
             .and_then(|attempt| attempt.demotion.as_ref())
             .is_some_and(|demotion| demotion.holding_since.is_some());
         if was_announced {
-            let announce_attempt_ended =
+            let announcement =
                 Effect::AnnounceAttemptEnded(service.clone(), self.leader_users.clone());
-            self.effects.push(announce_attempt_ended);
+            self.effects.push(announcement);
         }
     }
 
@@ -177,13 +180,15 @@
             && attempt.must_fence
             && !is_held_by_another
         {
-            // An earlier promotion may still be carried out: go on until a later one is answered.
-            attempt.enter(Stage::Queued, now);
+            // An earlier promotion may still be carried out: continue until a later one is
+            // answered.
+            attempt.enter_stage(Stage::Queued, now);
             attempt.not_before = now + self.options.retry_delay;
             return self.log(service, FailoverStep::GaveUp { reason });
         }
-        // Only whoever has the duty lets replicas go: another one may have put them on hold since. And they stay
-        // on hold where a promotion may still be carried out: that tells the next holder.
+        // Only the holder of the record releases replicas, because another node may have put them
+        // on hold since. They also stay on hold while a promotion may still be carried out, which
+        // tells the next holder about it.
         let may_resume = self.attempts.get(service).is_some_and(|attempt| {
             !attempt.must_fence && now.since(attempt.claimed_at) <= self.options.lease * 3 / 4
         });
--- a/crates/stairward-failover/src/controller/trigger.rs
+++ b/crates/stairward-failover/src/controller/trigger.rs
@@ -1,11 +1,11 @@
-//! When a primary is to be replaced, and why.
+//! Reasons to replace a primary, and when they apply.
 
 use stairward_types::{BackendId, ServiceName, Time};
 
 use super::FailoverController;
 use crate::event::GroupState;
 
-/// Why a primary is to be replaced.
+/// Reason to replace a primary.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Trigger {
     Refused,
@@ -23,13 +23,13 @@
     pub(super) const fn reason(self) -> &'static str {
         match self {
             Self::Refused => "nothing listens at the primary's address",
-            Self::Silent => "enough nodes find the primary silent",
-            Self::LostLog => "the primary lacks commits that it had answered with",
+            Self::Silent => "enough nodes get no response from the primary",
+            Self::LostLog => "the primary lacks commits that it had acknowledged",
             Self::Leaving => "the primary is leaving",
-            Self::Evacuated => "the primary's zone is evacuated",
+            Self::Evacuated => "the primary's zone is being evacuated",
             Self::Missing => "discovery no longer lists the primary",
-            Self::Leaderless => "no member calls itself primary",
-            Self::Held => "replicas wait for a later term that does not begin",
+            Self::Leaderless => "no member reports the primary role",
+            Self::Held => "replicas are on hold for a later term that does not start",
             Self::Misplaced => "more of the work is allowed in another region",
         }
     }
@@ -42,20 +42,22 @@
     }
 }
 
-/// Whether a group's leader, which may be well, is to give way to another.
+/// Whether the leader of a group, which may be healthy, must be replaced as planned.
 pub(super) fn must_move_leader(group: &GroupState, leader: &BackendId) -> bool {
     let member = group.members.get(leader);
     let is_leaving = member.is_some_and(|member| member.is_leaving && member.is_listed);
     is_leaving || group.must_leave_zone(leader) || group.is_misplaced(leader)
 }
 
-/// Nodes that must find a primary silent at most, however many there are.
+/// Maximum number of nodes that must find a primary silent, however large the fleet is.
 const MAX_SUSPICION_QUORUM: u32 = 3;
-/// So many entries at the least must be listed for the loss of half of them to count as a lapse: a group's.
+/// Minimum number of listed entries for the loss of half of them to count as a mass expiry: the
+/// size of one database group.
 const MIN_MASS_EXPIRY: usize = 3;
 
 impl FailoverController {
-    /// Entries that go together have lapsed: the store was away, and their members most likely are not.
+    /// Detects that many entries expired together: then the store was unavailable, and their
+    /// members most likely are not.
     pub(super) fn detect_mass_expiry(&mut self, now: Time, listed_before: usize) {
         if listed_before >= MIN_MASS_EXPIRY && self.listed_members * 2 <= listed_before {
             self.mass_expiry_at = Some(now);
@@ -73,14 +75,14 @@
     pub(super) fn trigger(&self, now: Time, service: &ServiceName) -> Option<Trigger> {
         let group = self.groups.get(service)?;
         let missing_since = self.missing_since.get(service);
-        let has_returned = self
+        let grace_is_over = self
             .mass_expiry_at
             .is_none_or(|at| now >= at + self.options.mass_expiry_grace);
-        let is_missing_long = has_returned
+        let is_missing_too_long = grace_is_over
             && missing_since
                 .is_some_and(|since| now >= *since + self.options.missing_primary_delay);
         let Some(leader) = Self::announced_leader(group) else {
-            return is_missing_long.then_some(Trigger::Leaderless);
+            return is_missing_too_long.then_some(Trigger::Leaderless);
         };
         let member = group.members.get(leader)?;
         if self.evidence.is_refused(leader) {
@@ -98,13 +100,13 @@
         if group.must_leave_zone(leader) {
             return Some(Trigger::Evacuated);
         }
-        if is_missing_long {
+        if is_missing_too_long {
             return Some(Trigger::Missing);
         }
         let revoked_since = self.revoked_since.get(service);
-        let is_revoked_long =
+        let is_held_too_long =
             revoked_since.is_some_and(|since| now >= *since + self.options.missing_primary_delay);
-        if is_revoked_long {
+        if is_held_too_long {
             return Some(Trigger::Held);
         }
         group.is_misplaced(leader).then_some(Trigger::Misplaced)
--- a/crates/stairward-failover/src/demotion.rs
+++ b/crates/stairward-failover/src/demotion.rs
@@ -1,11 +1,14 @@
-//! Ending an old leader's lead before another leads: so that nothing is acknowledged from it, and no read
-//! answered from it, once the other does.
+//! Demotion of an old leader before another member leads, so that once the new one does, the old
+//! one acknowledges no commit and answers no read.
 //!
-//! Two ways prove the end, and either will do: the old leader answers that it has stepped down, and all other
-//! members say that they follow; or every member that anybody reaches is on hold, so that no node can confirm
-//! the old leader any more, and either every node has said that it believes the old one no more, or the nodes'
-//! last confirmations have lapsed since (see `stairward_engine`'s `lead` module). That nothing listens at the old leader's address proves nothing: its process may be back
-//! before the promotion takes effect.
+//! Either of two proofs is sufficient. The first: the old leader answers that it has stepped down,
+//! and all other members report the replica role. The second: every member that any node can reach
+//! is on hold, so that no node can confirm the old leader any longer, and either every node has
+//! confirmed that it no longer accepts the old leader, or the last confirmations of the nodes have
+//! expired since (see the `lead` module of `stairward_engine`).
+//!
+//! A refused connection at the old leader's address proves nothing: its process may be back before
+//! the promotion takes effect.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -14,64 +17,69 @@
 
 use crate::event::{MemberCallResult, Via};
 
-/// Clocks of two machines run alike to this part, with much to spare.
+/// Safety margin for clocks of different speed, as a divisor of the lease. Real clocks differ by
+/// far less.
 const CLOCK_MARGIN_DIVISOR: u32 = 20;
 
-/// How an old leader's lead was proved to be over.
+/// Proof that an old leader leads no longer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DemotionProof {
-    /// It led until it was asked, and answered as a replica, with what its log had come to.
+    /// It was primary until it was asked to step down, and answered as a replica, with the final
+    /// status of its log.
     SteppedDown(MemberStatus),
-    /// The replicas are on hold, and every node that may use a leader believes the old one no more.
+    /// The replicas are on hold, and every node that may use a leader has stopped accepting the old
+    /// one.
     Revoked,
-    /// The replicas are on hold, and every node's confirmation has lapsed.
+    /// The replicas are on hold, and every node's confirmation of the old leader has expired.
     Lapsed,
-    /// No member is known to have led.
+    /// No member is known to have been the leader.
     Unknown,
 }
 
-/// What was asked of a member, and what came of it.
+/// Calls to a member and their state.
 #[derive(Debug, Default)]
 struct MemberCalls {
-    /// Whether peers were asked to pass the question on.
+    /// Whether peers were asked to relay the call.
     asked_peers: bool,
-    /// Ways on which an answer is still due.
+    /// Paths on which an answer is pending.
     pending: BTreeSet<Via>,
 }
 
 impl MemberCalls {
-    fn ask(&mut self, ways: &[Via]) {
+    fn add(&mut self, ways: &[Via]) {
         self.pending.extend(ways.iter().cloned());
         self.asked_peers |= ways.iter().any(|via| *via != Via::Direct);
     }
 
-    /// Whether peers have not been asked yet, and this node's own question came to nothing or is late.
-    fn needs_peers(&self, now: Time, since: Time, patience: Duration) -> bool {
-        let is_due = self.pending.contains(&Via::Direct) && now < since + patience;
-        !self.asked_peers && !is_due
+    /// Whether peers should be asked: they have not been yet, and the call of this node failed or
+    /// timed out.
+    fn needs_peers(&self, now: Time, since: Time, timeout: Duration) -> bool {
+        let is_pending = self.pending.contains(&Via::Direct) && now < since + timeout;
+        !self.asked_peers && !is_pending
     }
 }
 
-/// The end of one old leader's lead, under way.
+/// State of the demotion of one old leader.
 #[derive(Debug)]
 pub(crate) struct Demotion {
-    /// The term that it must give way to.
+    /// The term in whose favour it must step down.
     pub term: Term,
     started_at: Time,
     old: Option<BackendId>,
     old_calls: MemberCalls,
     stepped_down: Option<(MemberStatus, Time)>,
-    /// Whether replicas were asked what they received after the old leader had stepped down.
+    /// Whether replicas were asked to report when they have received the rest of the log.
     pub is_catching_up: bool,
-    /// Nodes that are yet to say that they believe the old leader no more; none before they were asked.
+    /// Nodes that have not yet confirmed that they stopped accepting the old leader; `None` before
+    /// they are asked.
     pending_users: Option<BTreeSet<NodeId>>,
     hold_calls: BTreeMap<BackendId, MemberCalls>,
     held: BTreeSet<BackendId>,
-    /// Since when members have been asked whether they are still on hold.
+    /// Since when members have been queried whether they are still on hold.
     pub verifying_since: Option<Time>,
-    /// Since when replicas are put on hold.
+    /// Since when replicas are being put on hold.
     pub holding_since: Option<Time>,
-    /// When the last hold was answered.
+    /// When a hold was last confirmed.
     last_hold_at: Option<Time>,
 }
 
@@ -93,37 +101,37 @@
         }
     }
 
-    /// Since when it has been under way.
+    /// When the demotion started.
     pub fn started_at(&self) -> Time {
         self.started_at
     }
 
-    /// The old leader is asked to step down, by these ways.
+    /// Records that the old leader is asked to step down by these paths.
     pub fn add_old_calls(&mut self, ways: &[Via]) {
-        self.old_calls.ask(ways);
+        self.old_calls.add(ways);
     }
 
-    /// A replica is put on hold, by these ways.
+    /// Records that a replica is put on hold by these paths.
     pub fn add_hold_calls(&mut self, replica: BackendId, ways: &[Via]) {
-        self.hold_calls.entry(replica).or_default().ask(ways);
+        self.hold_calls.entry(replica).or_default().add(ways);
     }
 
-    /// The nodes that may use a leader are asked to believe the old one no more.
+    /// Records that these nodes are asked to stop accepting the old leader.
     pub fn await_users(&mut self, users: BTreeSet<NodeId>) {
         self.pending_users = Some(users);
     }
 
-    /// A node believes no leader below a term any more.
+    /// Records that a node no longer accepts any leader below a term.
     pub fn user_revoked(&mut self, term: Term, user: NodeId) {
         if term == self.term
-            && let Some(due) = &mut self.pending_users
+            && let Some(pending) = &mut self.pending_users
         {
-            due.remove(&user);
+            pending.remove(&user);
         }
     }
 
-    /// Whether every other member is on hold, and every node that may use a leader believes the old one no
-    /// more.
+    /// Whether every other member is on hold, and every node that may use a leader has stopped
+    /// accepting the old one.
     fn is_revoked_by_all(&self) -> bool {
         let others = self
             .hold_calls
@@ -135,45 +143,45 @@
         any_replica && all_held && all_users_revoked
     }
 
-    /// Whether others should ask the old leader too, since this node has had no answer.
-    pub fn old_needs_peers(&self, now: Time, patience: Duration) -> bool {
+    /// Whether peers should ask the old leader as well, since this node got no answer.
+    pub fn old_needs_peers(&self, now: Time, timeout: Duration) -> bool {
         let is_unanswered = self.stepped_down.is_none();
-        is_unanswered && self.old_calls.needs_peers(now, self.started_at, patience)
+        is_unanswered && self.old_calls.needs_peers(now, self.started_at, timeout)
     }
 
-    /// The replicas that others should put on hold too, since this node has had no answer.
-    pub fn replicas_needing_peers(&self, now: Time, patience: Duration) -> Vec<BackendId> {
+    /// The replicas that peers should put on hold as well, since this node got no answer.
+    pub fn replicas_needing_peers(&self, now: Time, timeout: Duration) -> Vec<BackendId> {
         let Some(since) = self.holding_since else {
             return Vec::new();
         };
-        let needing = self.hold_calls.iter().filter(|(replica, asked)| {
-            !self.held.contains(*replica) && asked.needs_peers(now, since, patience)
+        let needing = self.hold_calls.iter().filter(|(replica, calls)| {
+            !self.held.contains(*replica) && calls.needs_peers(now, since, timeout)
         });
         needing.map(|(replica, _)| replica.clone()).collect()
     }
 
-    /// Members that said that they are on hold.
+    /// Members that confirmed that they are on hold.
     pub fn held(&self) -> &BTreeSet<BackendId> {
         &self.held
     }
 
-    /// Takes in what came of a question to a member.
+    /// Records the result of a call to a member.
     pub fn record_result(
         &mut self,
         now: Time,
         member: &BackendId,
         via: Via,
-        reach: MemberCallResult,
+        result: MemberCallResult,
     ) {
         if self.old.as_ref() == Some(member) {
             self.old_calls.pending.remove(&via);
-            if let MemberCallResult::GaveWay(status) = reach {
+            if let MemberCallResult::GaveWay(status) = result {
                 self.stepped_down.get_or_insert((status, now));
             }
         }
-        if let Some(asked) = self.hold_calls.get_mut(member) {
-            asked.pending.remove(&via);
-            if let Some(status) = reach.answer()
+        if let Some(calls) = self.hold_calls.get_mut(member) {
+            calls.pending.remove(&via);
+            if let Some(status) = result.answer()
                 && status.held >= self.term
             {
                 self.held.insert(member.clone());
@@ -182,19 +190,22 @@
         }
     }
 
-    /// When the old leader was first known to have stepped down, and its status then.
+    /// The status of the old leader at its step-down, and when this node learned of it.
     pub fn stepped_down(&self) -> Option<(MemberStatus, Time)> {
         self.stepped_down
     }
 
-    /// Whether nobody who was asked may still reach the old leader, so that there is no use in waiting for it.
-    /// It may come back before another leads, so this alone does not end its lead.
+    /// Whether all calls to the old leader, including those relayed by peers, have ended. Waiting
+    /// longer for it is pointless then, but this does not prove the demotion: the leader may come
+    /// back before another leads.
     pub fn is_old_unreachable(&self) -> bool {
         self.old_calls.asked_peers && self.old_calls.pending.is_empty()
     }
 
-    /// The proof that the old lead is over, if there is one. `lease` is how long a node goes on after it was
-    /// last told that no hold stands. `is_sole` says that no other member can lead, so that the end of the old leader is all that is needed.
+    /// The proof that the old leader leads no longer, if there is one. `lease` is how long a node
+    /// keeps using a leader after it was last told that no replica is on hold. `old_is_sole_leader`
+    /// says that no other member can be leading, so that the demotion of the old leader alone is
+    /// sufficient.
     pub fn proof(
         &self,
         now: Time,
@@ -213,9 +224,9 @@
         let all_held_or_unreachable = self
             .hold_calls
             .iter()
-            .all(|(replica, asked)| self.held.contains(replica) || asked.pending.is_empty());
-        // A replica that nobody could put on hold, since nobody reaches it, can confirm nothing either. One
-        // at the least must be held: it is the one to be promoted.
+            .all(|(replica, calls)| self.held.contains(replica) || calls.pending.is_empty());
+        // A replica that no node can reach to put it on hold can't confirm the old leader either.
+        // At least one must be on hold: the one to be promoted.
         let any_held = !self.held.is_empty();
         let has_lapsed = self.last_hold_at.is_some_and(|at| now >= at + lease);
         (all_held_or_unreachable && any_held && has_lapsed).then_some(if self.old.is_some() {
--- a/crates/stairward-failover/src/event.rs
+++ b/crates/stairward-failover/src/event.rs
@@ -1,4 +1,4 @@
-//! What goes into the duty and what comes out.
+//! Events that the controller receives, and effects that it returns.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,63 +11,65 @@
 use crate::demotion::DemotionProof;
 use crate::placement::Placement;
 
-/// The version of a service's record: the revision of the store at which it was written. Where there is none yet, the
-/// revision 0 of the copy of the store that shows none.
+/// The version of a service's failover record: the store revision at which it was written. A
+/// service without a record has revision 0 of the store era that shows none.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct RecordVersion(pub StoreRevision);
 
 impl RecordVersion {
-    /// That a copy of the store shows no record.
+    /// The version of a record that does not exist in this store era.
     #[must_use]
     pub const fn absent_in_era(era: u64) -> Self {
         Self(StoreRevision::new(era, 0))
     }
 }
 
-/// A number that rises with every decision. A promotion with a lower one than was seen is refused.
+/// A number that increases with every promotion decision. A database refuses a promotion whose
+/// token is lower than one that it has already seen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FencingToken(pub u64);
 
-/// A service's record in the store: who acts on its failover.
+/// A service's failover record in the metadata store: which node acts on its failover.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FailoverRecord {
-    /// The node that wrote it.
+    /// The node that wrote the record.
     pub holder: String,
-    /// The newest term that a promotion was accepted for, as far as its holders noted it. Its leader may be out of
-    /// reach, and members that never heard of it would let the next holder announce it again.
+    /// The newest term for which a promotion was accepted, as recorded by the holders so far. The
+    /// leader of that term may be unreachable, and members that never heard of the term would let
+    /// the next holder announce it a second time.
     pub term: Term,
 }
 
-/// What use of a back end showed a node.
+/// What a node observed while using a back end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeaderEvidence {
-    /// It answers.
+    /// It responds.
     Answered,
     /// Nothing listens at its address.
     Refused,
-    /// It leaves questions without an answer.
+    /// Requests to it get no response.
     Silent,
-    /// It calls itself primary and lacks commits that it had answered with.
+    /// It reports the primary role but lacks commits that it had acknowledged before.
     LostLog,
 }
 
-/// A member as discovery shows it.
+/// A member of a database group as service discovery lists it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MemberState {
-    /// Its role as it sees itself.
+    /// The role that it reports.
     pub role: BackendRole,
-    /// Whether it is about to end.
+    /// Whether it is shutting down as planned.
     pub is_leaving: bool,
-    /// Whether discovery lists it at the moment.
+    /// Whether service discovery lists it now.
     pub is_listed: bool,
-    /// Grows with every change of its description.
+    /// Store revision of its entry; increases with every change.
     pub revision: StoreRevision,
-    /// What else speaks for or against it as leader.
+    /// Criteria besides its log that decide whether it may lead.
     pub placement: Placement,
 }
 
 impl MemberState {
-    /// A member that discovery lists.
+    /// A member that service discovery lists now.
     #[must_use]
     pub const fn listed(
         role: BackendRole,
@@ -85,7 +87,7 @@
     }
 }
 
-/// A service's members.
+/// The database group of a service.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct GroupState {
     /// Members by id.
@@ -95,7 +97,7 @@
 }
 
 impl GroupState {
-    /// How many of the members discovery lists at the moment.
+    /// The number of members that service discovery lists now.
     pub(crate) fn listed_members(&self) -> usize {
         let listed = self.members.values().filter(|member| member.is_listed);
         listed.count()
@@ -105,40 +107,40 @@
 /// How a promotion ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PromotionOutcome {
-    /// It will be carried out, or was.
+    /// The promotion was or will be carried out.
     Accepted,
-    /// A higher token was seen, or the back end does not run.
+    /// A higher token has been seen, or the back end is not running.
     Refused,
-    /// It was not carried out and may be asked for again.
+    /// Rate-limited: it was not carried out and may be requested again.
     Throttled,
-    /// No answer: it may be carried out at any later time.
+    /// No response: it may still be carried out at any later time.
     Unknown,
 }
 
-/// The way by which a member was asked.
+/// The path by which a call reaches a member.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Via {
-    /// By this node.
+    /// This node calls the member itself.
     Direct,
-    /// By another node, which passes the question on.
+    /// Another node relays the call.
     Peer(NodeId),
 }
 
-/// What came of a question to a member.
+/// Result of a call to a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MemberCallResult {
-    /// It answered.
+    /// The member answered.
     Answered(MemberStatus),
-    /// It led until it was asked to give way, and no longer does.
+    /// The member was primary until this call and has stepped down.
     GaveWay(MemberStatus),
     /// Nothing listens at its address.
     Refused,
-    /// It gave no answer in time, or whoever was to ask it did not.
+    /// No answer in time, from the member or from the relaying node.
     Silent,
 }
 
 impl MemberCallResult {
-    /// The answer, if there is one.
+    /// The status that the member returned, if it answered.
     #[must_use]
     pub const fn answer(self) -> Option<MemberStatus> {
         match self {
@@ -148,161 +150,167 @@
     }
 }
 
-/// What the duty hears.
+/// Input of the controller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
-    /// The services and their members, whole.
+    /// The complete set of services and their members.
     Groups(BTreeMap<ServiceName, GroupState>),
-    /// Services of which some members or their state have changed; all others are as they were.
+    /// Only the services whose members have changed; all others are unchanged.
     GroupsChanged(BTreeMap<ServiceName, GroupState>),
-    /// How many nodes there are.
+    /// The number of nodes.
     NodeCount(u32),
-    /// Nodes that may pass questions on to members, whole.
+    /// The complete list of nodes that may relay calls to members.
     RelayPeers(Vec<NodeId>),
-    /// All other nodes that may use a leader: those that live, and those that were seen to live a while ago.
+    /// All other nodes that may send requests to a leader: those that are alive, and those that
+    /// were alive recently.
     LeaderUsers(BTreeSet<NodeId>),
-    /// A node believes no leader of a service any more whose term is below this one.
+    /// A node no longer accepts a leader of the service whose term is below `term`.
     Revoked {
         /// The service.
         service: ServiceName,
         /// The term.
         term: Term,
-        /// The node; this one answers too.
+        /// The node that replied; this node replies as well.
         user: NodeId,
-        /// The newest term that the node knows to have begun.
+        /// The newest term that the node knows to have started.
         newest: Term,
     },
-    /// Use of a back end showed something.
+    /// This node observed something while using a back end.
     Evidence(BackendId, LeaderEvidence),
-    /// Whether replicas of a service wait for a later term than its leader's.
+    /// Whether replicas of a service are on hold for a later term than that of its leader.
     LeadershipRevoked(ServiceName, bool),
-    /// Which back ends another node finds silent, whole.
+    /// The complete set of back ends that another node reports as silent.
     Suspicion(NodeId, BTreeSet<BackendId>),
-    /// This node has looked at a back end for another, as [`Effect::Verify`] asked, and found it silent.
+    /// This node probed a back end on behalf of another one, as [`Effect::Verify`] requested, and
+    /// found it silent.
     FoundSilent(BackendId),
-    /// Another node has looked at a back end that this one finds silent, and finds it silent too.
+    /// Another node probed a back end that this node finds silent, and found it silent too.
     Verified(NodeId, BackendId),
-    /// The records of all services, as a watch shows them; a service that is left out has none.
+    /// The failover records of all services, from a watch of the store. A service that is missing
+    /// has no record.
     Records {
-        /// Which copy of the store shows them.
+        /// The store era that the records belong to.
         era: u64,
         /// The records.
         records: BTreeMap<ServiceName, (RecordVersion, FailoverRecord)>,
     },
-    /// A service's record, as the answer to a write shows it.
+    /// The current record of a service, as returned by a write that did not match its version.
     Record(ServiceName, RecordVersion, Option<FailoverRecord>),
-    /// A service's record was written: its version now, and what it says.
+    /// A service's record was written: its new version and content.
     RecordWritten(ServiceName, RecordVersion, FailoverRecord),
-    /// A service's record was not written, or that is not known.
+    /// A service's record was not written, or the result of the write is unknown.
     RecordFailed(ServiceName),
-    /// A member that was asked for its status, or put on hold, answered, or did not.
+    /// Reply of a member to a status query or a hold; `None` if it did not answer.
     StatusReply(BackendId, Option<MemberStatus>),
-    /// What came of asking a member to step down or to hold, by one way.
+    /// Result of asking a member to step down or to hold, for one path.
     MemberCallEnded(BackendId, Via, MemberCallResult),
-    /// A promotion was answered, or was not.
+    /// A promotion call ended, with or without an answer.
     Promotion(ServiceName, FencingToken, PromotionOutcome),
     /// Time has passed; see [`crate::FailoverController::next_wake`].
     Tick,
 }
 
-/// A step of the duty, for the log.
+/// A step of a failover, for the log. Log lines contain its `Debug` output.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FailoverStep {
-    /// A primary is to be replaced.
+    /// An attempt to replace a primary has started.
     Began {
-        /// Why.
+        /// The reason, in words.
         reason: &'static str,
     },
-    /// The attempt came to nothing.
+    /// The attempt was abandoned.
     GaveUp {
-        /// Why.
+        /// The reason, in words.
         reason: &'static str,
     },
-    /// A replica was chosen.
+    /// A replica was chosen for promotion.
     Chose {
-        /// The replica.
+        /// The chosen replica.
         target: BackendId,
-        /// The decision's token.
+        /// The fencing token of the decision.
         token: FencingToken,
-        /// How much of the log it has received, where it said so.
+        /// How much of the log it has received, if it reported that.
         received: Option<Freshness>,
-        /// Members that answered.
+        /// The number of members that answered.
         answers: usize,
     },
-    /// The old primary is to give way.
+    /// The old primary is asked to step down.
     Ending {
-        /// The old primary; none where none is known.
+        /// The old primary, if one is known.
         old: Option<BackendId>,
-        /// The claim's token.
+        /// The fencing token of this claim.
         token: Option<FencingToken>,
-        /// The term that it must give way to.
+        /// The term in whose favour it must step down.
         term: Term,
-        /// Ways by which it is asked.
+        /// The number of paths by which it is asked.
         ways: usize,
     },
-    /// Replicas are put on hold, since the old primary did not step down.
+    /// Replicas are put on hold because the old primary has not stepped down.
     Holding {
-        /// The replicas.
+        /// The number of replicas.
         replicas: usize,
         /// The term.
         term: Term,
     },
-    /// The old primary's lead is over.
+    /// The old primary is proved to lead no longer.
     Ended {
-        /// What proves it.
+        /// The proof.
         proof: DemotionProof,
-        /// How long that took.
+        /// Time since the demotion started.
         after: Duration,
-        /// Commits that its log has and the chosen replica's lacks, where both are known.
+        /// Commits of its log that the chosen replica lacks, if both positions are known.
         behind: Option<u64>,
     },
-    /// A promotion was answered, or was not.
+    /// A promotion call ended, with or without an answer.
     Answered {
-        /// The decision's token.
+        /// The fencing token of the decision.
         token: FencingToken,
-        /// How.
+        /// The outcome.
         outcome: PromotionOutcome,
     },
 }
 
-/// What the duty wants done.
+/// Output of the controller, to be carried out by the caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Effect {
-    /// Write a service's record if its version is still this one, and answer with [`Event::RecordWritten`],
-    /// [`Event::Record`] and [`Event::RecordFailed`] or the latter alone.
+    /// Write a service's record if its version still matches. A successful write is answered with
+    /// [`Event::RecordWritten`], a conflict with [`Event::Record`] followed by
+    /// [`Event::RecordFailed`], and a failure with [`Event::RecordFailed`] alone.
     WriteRecord(ServiceName, RecordVersion, FailoverRecord),
-    /// Tell some other nodes which back ends this node finds silent, whole.
+    /// Send some other nodes the complete set of back ends that this node finds silent.
     ReportSilent(BTreeSet<BackendId>),
-    /// Look whether a back end that another node finds silent accepts connections. If it gives no sign of life either,
-    /// tell that node, which hears [`Event::Verified`], and answer with [`Event::FoundSilent`].
+    /// Probe whether a back end that another node finds silent accepts connections. If it does not
+    /// respond, notify that node, which receives [`Event::Verified`], and answer with
+    /// [`Event::FoundSilent`].
     Verify {
         /// The back end.
         backend: BackendId,
-        /// The node that finds it silent.
+        /// The node that reported it as silent.
         asker: NodeId,
     },
-    /// Ask a member for its status.
+    /// Query the status of a member.
     QueryStatus(BackendId),
-    /// Ask a member for its status until it has received this, or for as long as it makes sense; answered with
-    /// [`Event::StatusReply`] once.
+    /// Query the status of a member until it has received this position, or until waiting longer is
+    /// pointless; answered with [`Event::StatusReply`] once.
     QueryUntilReceived(BackendId, Freshness),
-    /// Keep a replica from receiving in any term below this one, and ask it for its status.
+    /// Stop a replica from receiving log entries of any term below this one, and query its status.
     Hold(BackendId, Term),
-    /// Let a replica receive again.
+    /// Release the hold on a replica.
     Resume(BackendId),
-    /// Ask a primary to give way to this term, by each of these ways; each is answered with
-    /// [`Event::MemberCallEnded`].
+    /// Ask a primary to step down in favour of this term, by each of these paths; each call is
+    /// answered with [`Event::MemberCallEnded`].
     StepDown(BackendId, Term, Vec<Via>),
-    /// Have these nodes believe no leader of a service whose term is below this one; each is answered with
-    /// [`Event::Revoked`].
+    /// Tell these nodes to stop accepting any leader of the service whose term is below this one;
+    /// each answers with [`Event::Revoked`].
     Revoke(ServiceName, Term, BTreeSet<NodeId>),
-    /// Tell these nodes that no promotion of a service that they were told of is under way any more.
+    /// Tell these nodes that the promotion of a service announced to them with [`Effect::Revoke`]
+    /// is no longer in progress.
     AnnounceAttemptEnded(ServiceName, BTreeSet<NodeId>),
-    /// Keep a replica from receiving in any term below this one, by each of these ways; each is answered with
-    /// [`Event::MemberCallEnded`].
+    /// Stop a replica from receiving log entries of any term below this one, by each of these
+    /// paths; each call is answered with [`Event::MemberCallEnded`].
     HoldVia(BackendId, Term, Vec<Via>),
     /// Promote a back end.
     Promote(ServiceName, BackendId, FencingToken),
-    /// A step for the log.
+    /// Log a step of a failover.
     Log(ServiceName, FailoverStep),
 }
--- a/crates/stairward-failover/src/evidence.rs
+++ b/crates/stairward-failover/src/evidence.rs
@@ -1,4 +1,4 @@
-//! What this node and others have found out about back ends by using them.
+//! Observations of back ends by this node and by its peers.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -7,29 +7,31 @@
 
 use crate::event::LeaderEvidence;
 
-/// Evidence of this node and of others.
+/// Observations of this node and reports of other nodes.
 #[derive(Debug, Default)]
 pub(crate) struct BackendEvidence {
     refused: BTreeSet<BackendId>,
     silent: BTreeSet<BackendId>,
     lost_log: BTreeSet<BackendId>,
     peer_reports: BTreeMap<NodeId, PeerReport>,
-    /// Nodes that have looked at a back end for this one and found it silent, and when they said so.
+    /// Nodes that probed a back end on behalf of this one and found it silent, with the time of
+    /// their message.
     verified: BTreeMap<(BackendId, NodeId), Time>,
 }
 
-/// What another node last said.
+/// The last report of another node.
 #[derive(Debug)]
 struct PeerReport {
     silent: BTreeSet<BackendId>,
-    heard_at: Time,
+    received_at: Time,
 }
 
-/// A report counts for this long; one that still holds is told again before.
+/// How long a report counts. The reporting node repeats it before it expires.
 const REPORT_LIFETIME: Duration = Duration::from_secs(3);
 
 impl BackendEvidence {
-    /// Takes this node's evidence in. Returns whether what others should be told has changed.
+    /// Records an observation of this node. Returns whether the set of silent back ends, which is
+    /// reported to other nodes, has changed.
     pub fn record(&mut self, backend: BackendId, evidence: LeaderEvidence) -> bool {
         match evidence {
             LeaderEvidence::Answered => {
@@ -48,36 +50,37 @@
         }
     }
 
-    /// Takes another node's report in.
+    /// Records the report of another node.
     pub fn record_report(&mut self, now: Time, node: NodeId, silent: BTreeSet<BackendId>) {
         self.peer_reports
-            .retain(|_, other| now < other.heard_at + REPORT_LIFETIME);
+            .retain(|_, report| now < report.received_at + REPORT_LIFETIME);
         let report = PeerReport {
             silent,
-            heard_at: now,
+            received_at: now,
         };
         self.peer_reports.insert(node, report);
     }
 
-    /// Another node has looked at a back end for this one and found it silent.
+    /// Records that another node probed a back end on behalf of this one and found it silent.
     pub fn record_verified(&mut self, now: Time, node: NodeId, backend: BackendId) {
         self.verified
-            .retain(|_, heard_at| now < *heard_at + REPORT_LIFETIME);
+            .retain(|_, received_at| now < *received_at + REPORT_LIFETIME);
         self.verified.insert((backend, node), now);
     }
 
-    /// Forgets what was found out about a back end.
+    /// Discards observations that a back end refused connections or lost its log.
     pub fn forget(&mut self, backend: &BackendId) {
         self.refused.remove(backend);
         self.lost_log.remove(backend);
     }
 
-    /// Keeps in mind that a log was lost only of these members, which call themselves primary.
+    /// Keeps log-loss observations only of members that report the primary role, and drops all
+    /// others.
     pub fn retain_lost_logs(&mut self, is_primary: impl Fn(&BackendId) -> bool) {
         self.lost_log.retain(is_primary);
     }
 
-    /// The members that call themselves primary and have lost their log.
+    /// The members that report the primary role and have lost their log.
     pub fn lost_log(&self) -> &BTreeSet<BackendId> {
         &self.lost_log
     }
@@ -91,7 +94,7 @@
         &self.silent
     }
 
-    /// The back ends at whose address nothing listens.
+    /// The back ends that refuse connections.
     pub fn refused(&self) -> &BTreeSet<BackendId> {
         &self.refused
     }
@@ -100,21 +103,22 @@
         self.refused.contains(backend)
     }
 
-    /// The nodes that lately said that they find a back end silent.
+    /// The nodes whose current report says that a back end is silent.
     fn reporters(&self, now: Time, backend: &BackendId) -> impl Iterator<Item = NodeId> {
         self.peer_reports
             .iter()
-            .filter(move |(_, other)| now < other.heard_at + REPORT_LIFETIME)
-            .filter(move |(_, other)| other.silent.contains(backend))
+            .filter(move |(_, report)| now < report.received_at + REPORT_LIFETIME)
+            .filter(move |(_, report)| report.silent.contains(backend))
             .map(|(node, _)| *node)
     }
 
-    /// How many nodes lately said that they find a back end silent by using it.
+    /// The number of nodes that currently report a back end as silent from their own use of it.
     pub fn report_count(&self, now: Time, backend: &BackendId) -> usize {
         self.reporters(now, backend).count()
     }
 
-    /// How many nodes find a back end silent, when this one does; none otherwise.
+    /// The number of nodes that find a back end silent, including this one; 0 unless this node
+    /// does.
     pub fn suspect_count(&self, now: Time, backend: &BackendId) -> usize {
         if !self.silent.contains(backend) {
             return 0;
@@ -123,7 +127,7 @@
         let verified = self
             .verified
             .iter()
-            .filter(|((id, _), heard_at)| id == backend && now < **heard_at + REPORT_LIFETIME)
+            .filter(|((id, _), received_at)| id == backend && now < **received_at + REPORT_LIFETIME)
             .map(|((_, node), _)| *node);
         let others: BTreeSet<NodeId> = reported.chain(verified).collect();
         1 + others.len()
--- a/crates/stairward-failover/src/last_known_primaries.rs
+++ b/crates/stairward-failover/src/last_known_primaries.rs
@@ -1,4 +1,4 @@
-//! Which member of each service last called itself primary.
+//! The member of each service that last reported the primary role.
 
 use std::collections::BTreeMap;
 
@@ -6,15 +6,16 @@
 
 use crate::event::{GroupState, MemberState};
 
-/// Remembers primaries, so that one that discovery no longer lists stays known as missing until another
-/// member leads.
+/// Remembers primaries. One that service discovery no longer lists stays known as missing until
+/// another member leads.
 #[derive(Debug, Default)]
 pub struct LastKnownPrimaries {
     last: BTreeMap<ServiceName, (BackendId, MemberState)>,
 }
 
 impl LastKnownPrimaries {
-    /// Remembers the primaries of the listed members, and adds those that are missing.
+    /// Remembers the primaries among the listed members, and adds those that are missing to their
+    /// group.
     pub fn add_missing_primaries(&mut self, groups: &mut BTreeMap<ServiceName, GroupState>) {
         for (service, group) in groups {
             let primaries = group
--- a/crates/stairward-failover/src/lib.rs
+++ b/crates/stairward-failover/src/lib.rs
@@ -1,10 +1,14 @@
-//! The failover duty, for databases that don't elect a primary themselves.
+//! Failover of database groups that don't elect a primary themselves.
 //!
-//! Every node runs a [`FailoverController`]; at any time at most one acts on a service. The right to act is the
-//! service's record in the metadata store, changed by conditional writes. Each decision to promote is one such
-//! write, and the record's version after it is the decision's fencing token: it only rises, and never serves two
-//! nodes or two decisions. Services don't wait for each other. Everything is pure: time and events go in,
-//! effects come out.
+//! Every node runs a [`FailoverController`]; at any time at most one node acts on a service. The
+//! right to act is the service's [`FailoverRecord`] in the metadata store, which is changed by
+//! conditional writes and is valid for a lease. Each promotion is decided under one such write. The
+//! version of the record after that write is the fencing token of the decision: versions only
+//! increase, and no two nodes or decisions share one. Services are handled independently of each
+//! other.
+//!
+//! The controller does no I/O: the caller passes in the time and events and carries out the effects
+//! that it returns.
 
 #![forbid(unsafe_code)]
 
--- a/crates/stairward-failover/src/options.rs
+++ b/crates/stairward-failover/src/options.rs
@@ -1,44 +1,49 @@
-//! Times and limits of the duty.
+//! Timeouts and limits of the failover controller.
 
 use std::time::Duration;
 
-/// The usual lease of a confirmed leader. A shorter one costs more questions to replicas, a longer one
-/// a longer gap where an old leader can't be reached.
+/// Default leadership lease. A shorter lease costs more status queries to replicas; a longer one
+/// prolongs the outage when an old leader can't be reached.
 pub const LEADERSHIP_LEASE: Duration = Duration::from_millis(1_000);
 
-/// Times and limits of the duty.
+/// Timeouts and limits of the failover controller.
 #[derive(Debug, Clone)]
 pub struct FailoverOptions {
-    /// A name of this node that neither another node nor another life of its process has: a record under this
-    /// name was written by this duty.
+    /// Name of this node and process, unique across nodes and restarts: a record with this holder
+    /// was written by this controller.
     pub node: String,
-    /// How long a holder's last record keeps others from acting.
+    /// How long a record, counted from when a node learned of it, keeps all nodes but its holder
+    /// from acting.
     pub lease: Duration,
-    /// How long members are given to answer.
+    /// How long to wait for answers to status queries.
     pub status_timeout: Duration,
-    /// How long a record or a promotion is given to be answered.
+    /// How long to wait for the answer to a record write or a promotion.
     pub call_timeout: Duration,
-    /// How long a promoted back end is given to lead.
+    /// How long to wait for a promoted back end to become primary.
     pub promotion_timeout: Duration,
-    /// How long a primary's entry may be missing, or no member call itself primary, before it is replaced.
+    /// How long a primary's entry may be missing, or no member may report the primary role, before
+    /// the primary is replaced.
     pub missing_primary_delay: Duration,
-    /// How long entries that lapsed together, as they do while the store is away, are given to come back.
+    /// How long to wait for entries that expired together to come back, as they do when the store
+    /// was unavailable.
     pub mass_expiry_grace: Duration,
-    /// Pause after an attempt that came to nothing.
+    /// Delay before the next attempt after one has ended.
     pub retry_delay: Duration,
-    /// How long nodes go on with a leader after a replica last told them that no hold stands. None where an
-    /// old leader's databases end its lead in the moment of the promotion: it then needs no ending.
+    /// How long nodes keep using a leader after a replica last confirmed that it is not on hold.
+    /// `None` if a promotion makes the databases end the old leader's role by itself, so that no
+    /// demotion is needed.
     pub leadership_lease: Option<Duration>,
-    /// How long the old leader is given to step down before replicas are put on hold.
+    /// How long to wait for the old leader to step down before replicas are put on hold.
     pub step_down_timeout: Duration,
-    /// How long a replica is given to receive the last of a log whose leader has stepped down.
+    /// How long to wait for a replica to receive the end of the log of a leader that has stepped
+    /// down.
     pub catch_up_timeout: Duration,
-    /// The share of the nodes, in percent, that must find a primary silent before it is replaced.
+    /// Percentage of the nodes that must find a primary silent before it is replaced.
     pub suspicion_percent: u32,
 }
 
 impl FailoverOptions {
-    /// The usual times and limits.
+    /// The default timeouts and limits.
     #[must_use]
     pub fn new(node: impl Into<String>) -> Self {
         Self {
--- a/crates/stairward-failover/src/placement.rs
+++ b/crates/stairward-failover/src/placement.rs
@@ -1,27 +1,28 @@
-//! Where a member stands: what speaks for or against it as leader, besides its log.
+//! Where a member runs: criteria besides its log for choosing a leader.
 
 use stairward_types::BackendId;
 
 use crate::event::{GroupState, MemberState};
 
-/// A leader moves only where this much more of the service's work is allowed, in percent: a change of a tenant's
-/// limit that hardly matters moves nothing.
+/// A leader moves only if the new region is allowed at least this percentage of the work allowed in
+/// the present one, so that a minor change of a tenant's limit moves nothing.
 const MIN_MOVE_GAIN_PERCENT: u64 = 125;
 
-/// A member's place.
+/// Criteria for a member that follow from where it runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Placement {
-    /// Whether its zone is evacuated: it must not lead.
+    /// Whether its zone is being evacuated; if so, it must not lead.
     pub is_evacuated: bool,
-    /// Whether it has just started and is slow: it leads only where no other is as fresh.
+    /// Whether it has recently started and is still slow; if so, it leads only if no other member
+    /// is as fresh.
     pub is_cold: bool,
-    /// The weight of the service's work that may be done in its region; the same for all members where regions
+    /// Weight of the service's work that is allowed in its region; equal for all members if regions
     /// don't matter.
     pub allowed_work: u64,
 }
 
 impl MemberState {
-    /// Whether it may be made leader.
+    /// Whether it may be promoted.
     #[must_use]
     pub const fn may_lead(&self) -> bool {
         self.is_listed && !self.is_leaving && !self.placement.is_evacuated
@@ -36,12 +37,12 @@
             .filter(|member| member.may_lead())
     }
 
-    /// Whether a member other than the leader may be made leader.
+    /// Whether a member other than the leader may be promoted.
     pub(crate) fn has_successor(&self, leader: &BackendId) -> bool {
         self.successors(leader).next().is_some()
     }
 
-    /// Whether the leader's zone is evacuated while another member may lead.
+    /// Whether the leader's zone is being evacuated and another member may be promoted.
     pub(crate) fn must_leave_zone(&self, leader: &BackendId) -> bool {
         let is_evacuated = self
             .members
@@ -50,7 +51,8 @@
         is_evacuated && self.has_successor(leader)
     }
 
-    /// Whether much more of the service's work is allowed where another, warm member stands.
+    /// Whether much more of the service's work is allowed in the region of another member that is
+    /// warm and may be promoted.
     pub(crate) fn is_misplaced(&self, leader: &BackendId) -> bool {
         let Some(member) = self.members.get(leader).filter(|member| member.is_listed) else {
             return false;
--- a/crates/stairward-failover/src/records.rs
+++ b/crates/stairward-failover/src/records.rs
@@ -1,4 +1,4 @@
-//! What a node knows of the services' records in the store.
+//! A node's view of the failover records in the store.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 
 use crate::event::{FailoverRecord, RecordVersion};
 
-/// A service's record, and when this node learnt of it.
+/// A service's record, and when this node learned of it.
 #[derive(Debug)]
 struct KnownRecord {
     version: RecordVersion,
@@ -14,27 +14,27 @@
     learned_at: Time,
 }
 
-/// The records of all services.
+/// The failover records of all services.
 #[derive(Debug)]
 pub(crate) struct Records {
-    /// The name under which this node writes records.
+    /// The holder name that this node writes to records.
     node: String,
-    /// How long a holder's last record keeps others from acting.
+    /// How long a record keeps nodes other than its holder from acting.
     lease: Duration,
-    /// Which copy of the store has shown the records; none before the first listing. A service without a record has none
-    /// then.
+    /// The store era of the known records; `None` before the first listing. After that, a service
+    /// without a known record has none.
     era: Option<u64>,
     known: BTreeMap<ServiceName, KnownRecord>,
-    /// What was known when the store last came back from an older copy.
+    /// The records known when the store was last restored to an older state.
     lost_records: BTreeMap<ServiceName, KnownRecord>,
-    /// When this node learnt that records may have been lost.
+    /// When this node learned that records may have been lost.
     lost_at: Option<Time>,
-    /// The newest term that holders ever noted, whatever the store has lost since.
+    /// The newest term that any holder recorded, even if the store has lost the record since.
     terms: BTreeMap<ServiceName, Term>,
 }
 
 impl Records {
-    /// Nothing is known yet to the node of this name.
+    /// Creates an empty view for the node of this name.
     pub fn new(node: String, lease: Duration) -> Self {
         Self {
             node,
@@ -47,23 +47,24 @@
         }
     }
 
-    /// A copy of the store has shown the records of all services that have one. Returns whether it is a later copy than
-    /// before: what is known of the records of the earlier one says nothing any more.
+    /// Records that all records of a store era were listed. Returns whether the era replaces an
+    /// earlier one, whose records no longer apply.
     pub fn record_listing(&mut self, now: Time, era: u64) -> bool {
         let before = self.era.unwrap_or_default();
         if era <= before {
             self.era = Some(before);
             return false;
         }
-        // Also a node that has just started: the copy before may have had a record of which it never heard.
+        // Also on a node that has just started: the earlier era may have had a record that it never
+        // saw.
         self.lost_at = Some(now);
         self.lost_records = std::mem::take(&mut self.known);
         self.era.replace(era).is_some()
     }
 
-    /// Takes a service's record in, unless this version or a later one is known, or it is one of a copy of the store that
-    /// is gone, or not listed yet. Returns whether it was taken.
-    pub fn learn(
+    /// Records the state of a service's record, unless this version or a later one is known, or its
+    /// store era is outdated or not listed yet. Returns whether it was new.
+    pub fn update(
         &mut self,
         now: Time,
         service: ServiceName,
@@ -90,19 +91,20 @@
         true
     }
 
-    /// The version of a service's record; none before the store has shown the records.
+    /// The version of a service's record; `None` before the first listing.
     pub fn version(&self, service: &ServiceName) -> Option<RecordVersion> {
         let none = self.era.map(RecordVersion::absent_in_era);
         self.known.get(service).map(|known| known.version).or(none)
     }
 
-    /// The newest term that a service's holders noted.
+    /// The newest term that the holders of a service recorded.
     pub fn term(&self, service: &ServiceName) -> Term {
         self.terms.get(service).copied().unwrap_or_default()
     }
 
-    /// Whether this node was the last to write a service's record. Another one since may have put replicas on
-    /// hold. A record that the store has lost counts too while whoever wrote it may act.
+    /// Whether this node was the last to write a service's record; if another has since, it may
+    /// have put replicas on hold. A record that the store has lost counts as well while its holder
+    /// may still act.
     pub fn is_last_holder(&self, now: Time, service: &ServiceName) -> bool {
         let lost_lease_may_hold = self.lost_lease_ends_at(now).is_some();
         let lost = self
@@ -115,11 +117,11 @@
             .chain(lost)
             .filter_map(|known| known.record.as_ref())
             .peekable();
-        // The record that is shown may be the older one of the two, or the newer.
+        // The current record may be older or newer than the lost one.
         records.peek().is_some() && records.all(|record| record.holder == self.node)
     }
 
-    /// Whether a node other than this one acts on a service at the moment.
+    /// Whether a node other than this one currently holds the lease of a service.
     pub fn is_held_by_another(&self, now: Time, service: &ServiceName) -> bool {
         self.known.get(service).is_some_and(|known| {
             let holder = known.record.as_ref().map(|record| &record.holder);
@@ -127,7 +129,7 @@
         })
     }
 
-    /// Until when a node may act by a record that the store has lost; none where none can.
+    /// Until when a holder may act under a record that the store has lost; `None` if none can.
     pub fn lost_lease_ends_at(&self, now: Time) -> Option<Time> {
         let ends_at = self.lost_at? + self.lease;
         (now < ends_at).then_some(ends_at)
--- a/crates/stairward-failover/src/start_delay.rs
+++ b/crates/stairward-failover/src/start_delay.rs
@@ -1,18 +1,20 @@
-//! When each node tries to take the duty: a few at once, more the longer none of them has.
+//! Spreads the claims of the nodes over time: a few claim at once, and more the longer no claim
+//! succeeds.
 
 use std::time::Duration;
 
 use stairward_types::ServiceName;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Nodes that try at once, on average: the rest would only be refused, and each try is a call to the store.
+/// Average number of nodes that claim at once. Only one claim succeeds, and each costs a call to
+/// the store.
 const INITIAL_ATTEMPTS: u64 = 3;
-/// With each pause of this length twice as many have tried.
+/// With each interval of this length, the number of nodes that have claimed doubles.
 const DOUBLING_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How long a node waits before it tries to take the duty for a service, among so many nodes.
+/// How long a node waits before it claims a service, among this number of nodes.
 ///
-/// Every node knows only its own place: by hash, spread evenly over the nodes.
+/// Each node computes its own place from a hash; the places are spread evenly over the nodes.
 pub(crate) fn start_delay(node: &str, service: &ServiceName, nodes: u32) -> Duration {
     let seed = xxh3_64_with_seed(service.as_str().as_bytes(), 0);
     let hash = xxh3_64_with_seed(node.as_bytes(), seed);
