--- a/crates/stairward-failover/tests/controller.rs
+++ b/crates/stairward-failover/tests/controller.rs
@@ -1,5 +1,5 @@
-//! The duty's decisions: one holder, rising tokens, evidence before a promotion, the replica that received
-//! most, and what happens when a step gets no answer.
+//! Decisions of the controller: a single holder, increasing tokens, evidence before a promotion,
+//! choice of the most advanced replica, and recovery from steps without an answer.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -17,34 +17,34 @@
 };
 
 #[test]
-fn a_refusing_primary_is_replaced_by_the_replica_that_received_most() {
+fn a_primary_that_refuses_connections_is_replaced_by_the_most_advanced_replica() {
     let mut node = Node::new("a");
     node.claim_after_refusal(7);
-    node.answer_both();
+    node.answer_from_both_replicas();
     assert_eq!(node.promotions(), [(backend(AHEAD), FencingToken(7))]);
 }
 
 #[test]
-fn one_silent_node_promotes_nobody_and_several_do() {
+fn one_report_of_a_silent_primary_is_not_enough_but_a_quorum_is() {
     let mut node = Node::new("a");
-    node.see(LeaderEvidence::Silent);
-    node.pass(500);
-    assert_eq!(node.claim(), None);
+    node.observe(LeaderEvidence::Silent);
+    node.advance(500);
+    assert_eq!(node.claimed_version(), None);
     let silent = BTreeSet::from([backend(OLD)]);
     assert!(node.effects.contains(&Effect::ReportSilent(silent.clone())));
-    node.tell(Event::Suspicion(NodeId(2), silent));
-    assert!(node.claim().is_some());
+    node.handle(Event::Suspicion(NodeId(2), silent));
+    assert!(node.claimed_version().is_some());
 }
 
-/// Whoever told it may have come to another conclusion since, or be gone.
+/// The reporting node may have changed its mind since, or be gone.
 #[test]
 fn a_report_that_is_not_repeated_no_longer_counts() {
     let mut node = Node::new("a");
     let silent = BTreeSet::from([backend(OLD)]);
-    node.tell(Event::Suspicion(NodeId(2), silent.clone()));
-    node.pass(3_100);
-    node.see(LeaderEvidence::Silent);
-    assert_eq!(node.claim(), None);
+    node.handle(Event::Suspicion(NodeId(2), silent.clone()));
+    node.advance(3_100);
+    node.observe(LeaderEvidence::Silent);
+    assert_eq!(node.claimed_version(), None);
     let reports = |node: &Node| {
         let report = Effect::ReportSilent(silent.clone());
         node.effects
@@ -53,39 +53,39 @@
             .count()
     };
     assert_eq!(reports(&node), 1);
-    node.pass(1_100);
-    assert_eq!(reports(&node), 2, "its own is repeated while it holds");
+    node.advance(1_100);
+    assert_eq!(reports(&node), 2, "a report is repeated while it is true");
 }
 
 #[test]
-fn a_silent_primary_that_answers_after_all_stays() {
+fn a_silent_primary_that_answers_the_status_query_is_not_replaced() {
     let mut node = Node::new("a");
-    node.see(LeaderEvidence::Silent);
+    node.observe(LeaderEvidence::Silent);
     let silent = BTreeSet::from([backend(OLD)]);
-    node.tell(Event::Suspicion(NodeId(2), silent));
-    node.tell(written(3));
-    node.answer_both();
-    node.tell(Event::StatusReply(
+    node.handle(Event::Suspicion(NodeId(2), silent));
+    node.handle(written(3));
+    node.answer_from_both_replicas();
+    node.handle(Event::StatusReply(
         backend(OLD),
         status(BackendRole::Primary, 1, 60),
     ));
-    node.pass(500);
+    node.advance(500);
     assert!(node.promotions().is_empty());
 }
 
 #[test]
-fn a_promotion_without_an_answer_is_decided_anew_under_a_higher_token() {
+fn an_unanswered_promotion_is_retried_under_a_higher_token() {
     let mut node = Node::new("a");
     node.claim_after_refusal(7);
-    node.answer_both();
-    node.tell(Event::Promotion(
+    node.answer_from_both_replicas();
+    node.handle(Event::Promotion(
         service(),
         FencingToken(7),
         PromotionOutcome::Unknown,
     ));
-    assert_eq!(node.claim(), Some(record_version(7)));
-    node.tell(written(9));
-    node.answer_both();
+    assert_eq!(node.claimed_version(), Some(record_version(7)));
+    node.handle(written(9));
+    node.answer_from_both_replicas();
     let tokens: Vec<_> = node
         .promotions()
         .into_iter()
@@ -95,21 +95,21 @@
 }
 
 #[test]
-fn a_late_promotion_is_fenced_off_by_promoting_the_one_that_leads() {
+fn an_unanswered_promotion_is_fenced_by_promoting_the_current_leader() {
     let mut node = Node::new("a");
     node.claim_after_refusal(7);
-    node.answer_both();
-    node.tell(Event::Promotion(
+    node.answer_from_both_replicas();
+    node.handle(Event::Promotion(
         service(),
         FencingToken(7),
         PromotionOutcome::Unknown,
     ));
-    node.tell(written(9));
-    node.tell(Event::StatusReply(
+    node.handle(written(9));
+    node.handle(Event::StatusReply(
         backend(AHEAD),
         status(BackendRole::Primary, 2, 50),
     ));
-    node.tell(Event::StatusReply(
+    node.handle(Event::StatusReply(
         backend(BEHIND),
         status(BackendRole::Replica, 2, 50),
     ));
@@ -120,11 +120,11 @@
 }
 
 #[test]
-fn a_node_that_was_paused_after_its_claim_promotes_nobody() {
+fn a_node_that_was_paused_after_its_claim_promotes_nothing() {
     let mut node = Node::new("a");
     node.claim_after_refusal(7);
     node.now = node.now + Duration::from_secs(4);
-    node.answer_both();
+    node.answer_from_both_replicas();
     assert!(node.promotions().is_empty());
 }
 
@@ -135,31 +135,31 @@
     group.members.get_mut(&backend(OLD)).unwrap().is_leaving = true;
     group.members.get_mut(&backend(AHEAD)).unwrap().is_leaving = true;
     node.set_group(group);
-    node.tell(written(4));
-    node.tell(Event::StatusReply(
+    node.handle(written(4));
+    node.handle(Event::StatusReply(
         backend(OLD),
         status(BackendRole::Primary, 1, 60),
     ));
-    node.answer_both();
-    node.pass(400);
+    node.answer_from_both_replicas();
+    node.advance(400);
     assert_eq!(node.promotions(), [(backend(BEHIND), FencingToken(4))]);
 }
 
 #[test]
-fn a_primary_that_discovery_lost_is_replaced_after_a_while() {
+fn an_unlisted_primary_is_replaced_after_a_delay() {
     let mut node = Node::new("a");
     let mut group = usual_group();
     group.members.get_mut(&backend(OLD)).unwrap().is_listed = false;
     node.set_group(group);
-    node.pass(1_000);
-    assert_eq!(node.claim(), None);
-    node.pass(1_000);
-    assert!(node.claim().is_some());
+    node.advance(1_000);
+    assert_eq!(node.claimed_version(), None);
+    node.advance(1_000);
+    assert!(node.claimed_version().is_some());
 }
 
-/// While the store is away entries lapse, and are back within two seconds of its return.
+/// While the store is unavailable entries expire; they are back within two seconds of its return.
 #[test]
-fn a_primary_whose_entry_lapsed_with_the_others_is_given_time_to_come_back() {
+fn a_primary_whose_entry_expired_with_others_is_not_replaced_at_once() {
     let mut node = Node::new("a");
     let listed = |names: &[&str]| {
         let mut group = usual_group();
@@ -169,35 +169,41 @@
         group
     };
     node.set_group(listed(&[]));
-    node.pass(100);
+    node.advance(100);
     node.set_group(listed(&[BEHIND]));
-    node.pass(1_900);
-    assert_eq!(node.claim(), None);
-    node.pass(700);
-    assert!(node.claim().is_some(), "missing after that, it is gone");
+    node.advance(1_900);
+    assert_eq!(node.claimed_version(), None);
+    node.advance(700);
+    assert!(
+        node.claimed_version().is_some(),
+        "still missing after the grace period"
+    );
 }
 
 #[test]
-fn synchronous_replicas_are_held_before_they_are_asked_and_released_afterwards() {
+fn synchronous_replicas_are_held_before_the_query_and_released_after_the_promotion() {
     let mut node = Node::new("a");
     let mut group = usual_group();
     group.synchronous_replicas = 1;
     node.set_group(group);
     node.claim_after_refusal(7);
-    node.answer_both();
-    assert!(node.promotions().is_empty(), "they still receive");
+    node.answer_from_both_replicas();
+    assert!(
+        node.promotions().is_empty(),
+        "the replicas are not on hold yet"
+    );
     let holds = node
         .effects
         .iter()
         .filter(|effect| matches!(effect, Effect::Hold(..)));
     assert_eq!(holds.count(), 2);
-    node.answer_both();
-    node.tell(Event::Promotion(
+    node.answer_from_both_replicas();
+    node.handle(Event::Promotion(
         service(),
         FencingToken(7),
         PromotionOutcome::Accepted,
     ));
-    node.pass(500);
+    node.advance(500);
     let resumes = |node: &Node| {
         let resumes = node.effects.iter();
         resumes
@@ -214,16 +220,17 @@
     assert_eq!(resumes(&node), 2);
 }
 
-/// A replica that comes while the others are held would let the old primary acknowledge again.
+/// A replica that joins while the others are on hold would let the old primary acknowledge commits
+/// again.
 #[test]
-fn a_replica_that_comes_meanwhile_is_held_too() {
+fn a_replica_that_joins_during_a_failover_is_put_on_hold() {
     let mut node = Node::new("a");
     let mut group = usual_group();
     group.synchronous_replicas = 1;
     node.set_group(group.clone());
     node.claim_after_refusal(7);
-    node.answer_both();
-    node.answer_both();
+    node.answer_from_both_replicas();
+    node.answer_from_both_replicas();
     assert_eq!(node.promotions().len(), 1);
     let late = backend("db-4");
     group
@@ -238,21 +245,21 @@
 }
 
 #[test]
-fn synchronous_replicas_that_do_not_all_answer_give_no_promotion() {
+fn nothing_is_promoted_while_a_synchronous_replica_has_not_answered() {
     let mut node = Node::new("a");
     let mut group = usual_group();
     group.synchronous_replicas = 1;
     node.set_group(group);
     node.claim_after_refusal(7);
-    node.answer_both();
-    node.tell(Event::StatusReply(
+    node.answer_from_both_replicas();
+    node.handle(Event::StatusReply(
         backend(BEHIND),
         status(BackendRole::Replica, 1, 40),
     ));
-    node.pass(500);
+    node.advance(500);
     assert!(
         node.promotions().is_empty(),
-        "the other may hold an acknowledged commit"
+        "the other replica may hold an acknowledged commit"
     );
 }
 
@@ -260,8 +267,8 @@
 fn every_step_is_logged() {
     let mut node = Node::new("a");
     node.claim_after_refusal(7);
-    node.answer_both();
-    node.tell(Event::Promotion(
+    node.answer_from_both_replicas();
+    node.handle(Event::Promotion(
         service(),
         FencingToken(7),
         PromotionOutcome::Accepted,
@@ -280,22 +287,22 @@
 }
 
 #[test]
-fn a_promotion_without_an_answer_is_not_forgotten_when_the_store_is_away() {
+fn an_unanswered_promotion_is_fenced_after_a_store_outage() {
     let mut node = Node::new("a");
     node.claim_after_refusal(7);
-    node.answer_both();
+    node.answer_from_both_replicas();
     let unknown = Event::Promotion(service(), FencingToken(7), PromotionOutcome::Unknown);
-    node.tell(unknown);
-    node.tell(Event::RecordFailed(service()));
-    // The primary is back, so that nothing else would begin an attempt.
-    node.see(LeaderEvidence::Answered);
+    node.handle(unknown);
+    node.handle(Event::RecordFailed(service()));
+    // The primary is back, so that nothing else would start an attempt.
+    node.observe(LeaderEvidence::Answered);
     node.effects.clear();
-    node.pass(500);
-    assert_eq!(node.claim(), Some(record_version(7)));
-    node.tell(written(9));
+    node.advance(500);
+    assert_eq!(node.claimed_version(), Some(record_version(7)));
+    node.handle(written(9));
     let leads = status(BackendRole::Primary, 1, 60);
-    node.tell(Event::StatusReply(backend(OLD), leads));
-    node.answer_both();
-    node.pass(400);
+    node.handle(Event::StatusReply(backend(OLD), leads));
+    node.answer_from_both_replicas();
+    node.advance(400);
     assert_eq!(node.promotions(), [(backend(OLD), FencingToken(9))]);
 }
--- a/crates/stairward-failover/tests/placement.rs
+++ b/crates/stairward-failover/tests/placement.rs
@@ -1,4 +1,5 @@
-//! Where members stand decides who leads: evacuated zones, cold members, regions where more of the work is allowed.
+//! The placement of members affects which of them leads: evacuated zones, cold members, and regions
+//! where more work is allowed.
 
 mod support;
 
@@ -6,8 +7,8 @@
 use stairward_types::BackendRole;
 use support::{AHEAD, BEHIND, Node, OLD, backend, status, usual_group, written};
 
-/// Longer than any turn that a node waits for before it acts.
-const TURNS: u64 = 3_000;
+/// Milliseconds; longer than any delay of a claim.
+const MAX_START_DELAY: u64 = 3_000;
 
 fn evacuated() -> Placement {
     Placement {
@@ -33,10 +34,10 @@
 
 fn answer(node: &mut Node, name: &str, number: u64) {
     let status = status(BackendRole::Replica, 1, number);
-    node.tell(Event::StatusReply(backend(name), status));
+    node.handle(Event::StatusReply(backend(name), status));
 }
 
-/// The member that is promoted when the group looks like this and both replicas answer that they hold so much.
+/// The member that is promoted in this group when both replicas report these log positions.
 fn promoted(
     group: GroupState,
     evidence: Option<LeaderEvidence>,
@@ -46,11 +47,11 @@
     let mut node = Node::new("a");
     node.set_group(group);
     if let Some(evidence) = evidence {
-        node.see(evidence);
+        node.observe(evidence);
     }
-    node.pass(TURNS);
-    assert!(node.claim().is_some(), "{:?}", node.effects);
-    node.tell(written(7));
+    node.advance(MAX_START_DELAY);
+    assert!(node.claimed_version().is_some(), "{:?}", node.effects);
+    node.handle(written(7));
     answer(&mut node, BEHIND, behind);
     answer(&mut node, AHEAD, ahead);
     let promotions = node.promotions();
@@ -59,12 +60,12 @@
 }
 
 #[test]
-fn a_leader_in_an_evacuated_zone_gives_way_to_the_freshest_elsewhere() {
+fn a_leader_in_an_evacuated_zone_is_replaced_by_the_freshest_replica_elsewhere() {
     assert_eq!(promoted(group(&[(OLD, evacuated())]), None, 40, 50), AHEAD);
 }
 
 #[test]
-fn the_freshest_replica_is_passed_over_where_its_zone_is_evacuated_too() {
+fn the_freshest_replica_is_passed_over_if_its_zone_is_evacuated_too() {
     let group = group(&[(OLD, evacuated()), (AHEAD, evacuated())]);
     assert_eq!(promoted(group, None, 40, 50), BEHIND);
 }
@@ -77,7 +78,7 @@
 }
 
 #[test]
-fn nothing_is_begun_where_every_zone_is_evacuated() {
+fn no_failover_starts_while_every_zone_is_evacuated() {
     let everywhere = group(&[
         (OLD, evacuated()),
         (AHEAD, evacuated()),
@@ -85,12 +86,12 @@
     ]);
     let mut node = Node::new("a");
     node.set_group(everywhere.clone());
-    node.pass(TURNS);
-    assert_eq!(node.claim(), None, "{:?}", node.effects);
-    node.see(LeaderEvidence::Refused);
-    node.pass(TURNS);
-    assert_eq!(node.claim(), None, "{:?}", node.effects);
-    // One zone is taken back: the failover goes on there.
+    node.advance(MAX_START_DELAY);
+    assert_eq!(node.claimed_version(), None, "{:?}", node.effects);
+    node.observe(LeaderEvidence::Refused);
+    node.advance(MAX_START_DELAY);
+    assert_eq!(node.claimed_version(), None, "{:?}", node.effects);
+    // The evacuation of one zone is cancelled: the failover proceeds there.
     let mut one_back = everywhere;
     one_back
         .members
@@ -98,39 +99,39 @@
         .unwrap()
         .placement = Placement::default();
     node.set_group(one_back);
-    node.pass(TURNS);
-    assert!(node.claim().is_some());
+    node.advance(MAX_START_DELAY);
+    assert!(node.claimed_version().is_some());
 }
 
 #[test]
-fn an_evacuation_that_comes_during_a_failover_counts_for_its_choice() {
+fn an_evacuation_during_a_failover_affects_the_choice() {
     let mut node = Node::new("a");
     node.claim_after_refusal(7);
     node.set_group(group(&[(AHEAD, evacuated())]));
-    node.answer_both();
+    node.answer_from_both_replicas();
     let promotions = node.promotions();
     assert_eq!(promotions.len(), 1);
     assert_eq!(promotions[0].0, backend(BEHIND));
 }
 
 #[test]
-fn a_primary_stays_when_its_zone_is_taken_back() {
+fn a_primary_stays_when_an_evacuation_elsewhere_is_cancelled() {
     let mut node = Node::new("a");
     node.set_group(group(&[(BEHIND, evacuated())]));
-    node.pass(TURNS);
+    node.advance(MAX_START_DELAY);
     node.set_group(group(&[]));
-    node.pass(TURNS);
-    assert_eq!(node.claim(), None, "{:?}", node.effects);
+    node.advance(MAX_START_DELAY);
+    assert_eq!(node.claimed_version(), None, "{:?}", node.effects);
 }
 
 #[test]
-fn a_leader_moves_where_much_more_of_the_work_is_allowed() {
+fn a_leader_moves_to_where_much_more_work_is_allowed() {
     let group = group(&[(OLD, allowed(2)), (AHEAD, allowed(2)), (BEHIND, allowed(9))]);
     assert_eq!(promoted(group, None, 50, 50), BEHIND);
 }
 
 #[test]
-fn a_leader_stays_where_little_or_nothing_would_be_won() {
+fn a_leader_does_not_move_for_a_small_gain_or_to_a_cold_member() {
     let cold = Placement {
         is_cold: true,
         ..allowed(9)
@@ -142,13 +143,13 @@
     ] {
         let mut node = Node::new("a");
         node.set_group(places);
-        node.pass(TURNS);
-        assert_eq!(node.claim(), None, "{:?}", node.effects);
+        node.advance(MAX_START_DELAY);
+        assert_eq!(node.claimed_version(), None, "{:?}", node.effects);
     }
 }
 
 #[test]
-fn of_equally_fresh_replicas_a_warm_one_leads_and_a_fresher_one_before_it() {
+fn a_warm_replica_is_preferred_only_among_equally_fresh_ones() {
     let cold = Placement {
         is_cold: true,
         ..Placement::default()
--- a/crates/stairward-failover/tests/reviews.rs
+++ b/crates/stairward-failover/tests/reviews.rs
@@ -1,4 +1,5 @@
-//! Looking only at the services that something is known about decides the same as looking at all of them.
+//! Reviewing only the services for which a step may be due gives the same decisions as reviewing
+//! all services.
 
 mod support;
 
@@ -24,7 +25,8 @@
     BackendId::new(format!("db-{service}-{place}")).unwrap()
 }
 
-/// Groups as some bits shape them: who leads, leaves and is listed.
+/// Groups derived from the bits of `shape` and `detail`: which member leads, is leaving, unlisted,
+/// evacuated or cold.
 fn groups(shape: u8, detail: u8) -> BTreeMap<ServiceName, GroupState> {
     let mut groups = BTreeMap::new();
     for number in 0..SERVICES {
@@ -85,12 +87,12 @@
         9 => Event::RecordFailed(service(first)),
         10 => Event::StatusReply(backend, status(BackendRole::Replica, 1, u64::from(second))),
         11 => {
-            let reach = match second % 3 {
+            let result = match second % 3 {
                 0 => MemberCallResult::Silent,
                 1 => MemberCallResult::Refused,
                 _ => MemberCallResult::Answered(status(BackendRole::Replica, 1, 5).unwrap()),
             };
-            Event::MemberCallEnded(backend, Via::Direct, reach)
+            Event::MemberCallEnded(backend, Via::Direct, result)
         }
         12 => Event::Promotion(
             service(first),
@@ -110,9 +112,11 @@
 
 const BEGIN: Time = Time(60_000_000);
 
-/// A duty that knows the nodes, the records and the services as they are in the beginning.
-fn duty(handle: fn(&mut FailoverController, Time, Event) -> Vec<Effect>) -> FailoverController {
-    let mut duty = FailoverController::new(FailoverOptions {
+/// A controller that has received the nodes, the records and the initial groups.
+fn controller(
+    handle: fn(&mut FailoverController, Time, Event) -> Vec<Effect>,
+) -> FailoverController {
+    let mut controller = FailoverController::new(FailoverOptions {
         leadership_lease: Some(LEADERSHIP_LEASE),
         ..FailoverOptions::new("a")
     });
@@ -125,19 +129,19 @@
         Event::Groups(groups(0, 0)),
     ];
     for event in begin {
-        handle(&mut duty, BEGIN, event);
+        handle(&mut controller, BEGIN, event);
     }
-    duty
+    controller
 }
 
 #[test]
-fn looking_at_unsettled_services_decides_what_looking_at_all_does() {
+fn reviewing_unsettled_services_decides_the_same_as_reviewing_all() {
     check!()
         .with_type::<Vec<(u8, u8, u8, u8)>>()
         .for_each(|steps| {
             let mut now = BEGIN;
-            let mut some = duty(FailoverController::handle);
-            let mut all = duty(FailoverController::handle_reviewing_all);
+            let mut some = controller(FailoverController::handle);
+            let mut all = controller(FailoverController::handle_reviewing_all);
             for (number, (kind, first, second, pause)) in steps.iter().take(200).enumerate() {
                 now = now + Duration::from_millis(u64::from(*pause) * 5);
                 let token = u64::try_from(number).unwrap() + 1;
@@ -153,46 +157,48 @@
         });
 }
 
-/// The groups among these that differ from those known.
+/// The groups that differ from the known ones.
 fn changed_groups(
     known: &BTreeMap<ServiceName, GroupState>,
     groups: &BTreeMap<ServiceName, GroupState>,
 ) -> BTreeMap<ServiceName, GroupState> {
-    let is_news =
+    let is_changed =
         |(service, group): &(&ServiceName, &GroupState)| known.get(*service) != Some(*group);
-    let news = groups.iter().filter(is_news);
-    news.map(|(service, group)| (service.clone(), group.clone()))
+    let changed = groups.iter().filter(is_changed);
+    changed
+        .map(|(service, group)| (service.clone(), group.clone()))
         .collect()
 }
 
 #[test]
-fn hearing_of_changed_groups_decides_what_hearing_of_all_does() {
+fn group_updates_decide_the_same_as_complete_listings() {
     check!()
         .with_type::<Vec<(u8, u8, u8, u8)>>()
         .for_each(|steps| {
             let mut now = BEGIN;
-            let (mut told_changes, mut told_all) = (
-                duty(FailoverController::handle),
-                duty(FailoverController::handle),
+            let (mut by_updates, mut by_listings) = (
+                controller(FailoverController::handle),
+                controller(FailoverController::handle),
             );
             let mut known = groups(0, 0);
             for (number, (kind, first, second, pause)) in steps.iter().take(200).enumerate() {
                 now = now + Duration::from_millis(u64::from(*pause) * 5);
                 let token = u64::try_from(number).unwrap() + 1;
-                // A service goes only with its configuration, which is told whole.
+                // A service is removed only with its configuration, which is always sent as a
+                // complete listing.
                 let event = match event(*kind, *first, *second % 255, token) {
                     Event::Groups(groups) => {
                         let changed = changed_groups(&known, &groups);
                         known.clone_from(&groups);
-                        let decided = told_changes.handle(now, Event::GroupsChanged(changed));
-                        assert_eq!(decided, told_all.handle(now, Event::Groups(groups)));
+                        let decided = by_updates.handle(now, Event::GroupsChanged(changed));
+                        assert_eq!(decided, by_listings.handle(now, Event::Groups(groups)));
                         continue;
                     }
                     event => event,
                 };
-                let decided = told_changes.handle(now, event.clone());
-                assert_eq!(decided, told_all.handle(now, event.clone()), "{event:?}");
-                assert_eq!(told_changes.next_wake(now), told_all.next_wake(now));
+                let decided = by_updates.handle(now, event.clone());
+                assert_eq!(decided, by_listings.handle(now, event.clone()), "{event:?}");
+                assert_eq!(by_updates.next_wake(now), by_listings.next_wake(now));
             }
         });
 }
--- a/crates/stairward-failover/tests/support/mod.rs
+++ b/crates/stairward-failover/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! One node's duty under test, and the group that it looks after.
+//! Test fixture: the failover controller of one node and the database group that it manages.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -21,7 +21,7 @@
     BackendId::new(name).unwrap()
 }
 
-/// A version of a record in the first copy of the store.
+/// A version of a record in the first store era.
 pub fn record_version(revision: u64) -> RecordVersion {
     RecordVersion(StoreRevision::new(0, revision))
 }
@@ -60,7 +60,7 @@
     })
 }
 
-/// A record that a node wrote, with no term noted.
+/// A record written by this holder, with no term recorded.
 pub fn record_of(holder: &str) -> FailoverRecord {
     FailoverRecord {
         holder: holder.to_owned(),
@@ -68,63 +68,63 @@
     }
 }
 
-/// The store wrote the record of this node.
+/// The store confirms that it wrote the record of this node.
 pub fn written(version: u64) -> Event {
     Event::RecordWritten(service(), record_version(version), record_of("a"))
 }
 
-/// One node's duty, with what it last wanted done.
+/// The controller of one node, with the effects that it has returned.
 pub struct Node {
-    pub duty: FailoverController,
+    pub controller: FailoverController,
     pub now: Time,
     pub effects: Vec<Effect>,
 }
 
 impl Node {
-    /// A node that the store has shown that there is no record.
+    /// A node that has received an empty listing of records.
     pub fn new(name: &str) -> Self {
         let mut node = Self::before_any_listing(name);
-        node.tell(Event::Records {
+        node.handle(Event::Records {
             era: 0,
             records: BTreeMap::new(),
         });
         node
     }
 
-    /// A node that the store has shown nothing yet.
+    /// A node that has not received any listing of records.
     pub fn before_any_listing(name: &str) -> Self {
         let mut node = Self {
-            duty: FailoverController::new(FailoverOptions::new(name)),
+            controller: FailoverController::new(FailoverOptions::new(name)),
             now: Time::from_millis(60_000),
             effects: Vec::new(),
         };
-        node.tell(Event::NodeCount(3));
+        node.handle(Event::NodeCount(3));
         node.set_group(usual_group());
         node
     }
 
-    pub fn tell(&mut self, event: Event) {
-        let effects = self.duty.handle(self.now, event);
+    pub fn handle(&mut self, event: Event) {
+        let effects = self.controller.handle(self.now, event);
         self.effects.extend(effects);
     }
 
     pub fn set_group(&mut self, group: GroupState) {
-        self.tell(Event::Groups(BTreeMap::from([(service(), group)])));
+        self.handle(Event::Groups(BTreeMap::from([(service(), group)])));
     }
 
-    pub fn pass(&mut self, milliseconds: u64) {
+    pub fn advance(&mut self, milliseconds: u64) {
         for _ in 0..milliseconds / 10 {
             self.now = self.now + Duration::from_millis(10);
-            self.tell(Event::Tick);
+            self.handle(Event::Tick);
         }
     }
 
-    pub fn see(&mut self, evidence: LeaderEvidence) {
-        self.tell(Event::Evidence(backend(OLD), evidence));
+    pub fn observe(&mut self, evidence: LeaderEvidence) {
+        self.handle(Event::Evidence(backend(OLD), evidence));
     }
 
-    /// The version that a record is to be written over, if one is.
-    pub fn claim(&self) -> Option<RecordVersion> {
+    /// The version over which the last record write was requested, if any was.
+    pub fn claimed_version(&self) -> Option<RecordVersion> {
         self.effects.iter().rev().find_map(|effect| match effect {
             Effect::WriteRecord(_, version, _) => Some(*version),
             _ => None,
@@ -139,21 +139,21 @@
         self.effects.iter().filter_map(promotion).collect()
     }
 
-    pub fn answer_both(&mut self) {
-        self.tell(Event::StatusReply(
+    pub fn answer_from_both_replicas(&mut self) {
+        self.handle(Event::StatusReply(
             backend(BEHIND),
             status(BackendRole::Replica, 1, 40),
         ));
-        self.tell(Event::StatusReply(
+        self.handle(Event::StatusReply(
             backend(AHEAD),
             status(BackendRole::Replica, 1, 50),
         ));
     }
 
-    /// Sees the primary refuse, claims the duty and asks the members.
+    /// Observes that the primary refuses connections, claims the service and queries the members.
     pub fn claim_after_refusal(&mut self, version: u64) {
-        self.see(LeaderEvidence::Refused);
-        assert!(self.claim().is_some(), "{:?}", self.effects);
-        self.tell(written(version));
+        self.observe(LeaderEvidence::Refused);
+        assert!(self.claimed_version().is_some(), "{:?}", self.effects);
+        self.handle(written(version));
     }
 }
