--- a/crates/stairward-limits/src/fleet.rs
+++ b/crates/stairward-limits/src/fleet.rs
@@ -1,27 +1,27 @@
-//! How many nodes there may be: never fewer than may spend a share.
+//! Upper estimate of the number of nodes: never fewer than may spend a share.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use stairward_types::{NodeId, Time};
 
-/// How long a peer's number counts. It is told anew with each message.
-const WORD_LIFE: Duration = Duration::from_secs(10);
+/// How long a number reported by a peer counts. Each message repeats it.
+const REPORT_LIFETIME: Duration = Duration::from_secs(10);
 
-/// The nodes that may live.
+/// The nodes that may be alive.
 #[derive(Debug, Default)]
 pub(crate) struct Fleet {
     /// When each node was last seen.
-    seen: BTreeMap<NodeId, Time>,
-    /// The largest number that peers told lately, and when.
-    told: Option<(Time, u32)>,
-    /// The number that is kept outside the fleet; none while that is not known.
+    last_seen: BTreeMap<NodeId, Time>,
+    /// The largest number that peers have reported recently, and when.
+    reported: Option<(Time, u32)>,
+    /// The recorded number of nodes; `None` until it has been read.
     recorded: Option<u32>,
 }
 
 impl Fleet {
-    /// Takes the view in: nodes that live, and those that said they leave.
-    pub fn note(
+    /// Applies the present view: nodes that are alive, and nodes that announced that they leave.
+    pub fn update(
         &mut self,
         now: Time,
         live: &BTreeSet<NodeId>,
@@ -29,51 +29,59 @@
         node_retention: Duration,
     ) {
         for node in live {
-            self.seen.insert(*node, now);
+            self.last_seen.insert(*node, now);
         }
-        self.seen
+        self.last_seen
             .retain(|node, at| !leaving.contains(node) && now.since(*at) < node_retention);
     }
 
-    /// A peer told how many nodes it counts.
-    pub fn note_told(&mut self, now: Time, nodes: u32) {
+    /// Records the number of nodes that a peer reported.
+    pub fn record_reported(&mut self, now: Time, nodes: u32) {
         if nodes == 0 {
             return;
         }
-        let known = self.told.filter(|(at, _)| now.since(*at) < WORD_LIFE);
+        let known = self
+            .reported
+            .filter(|(at, _)| now.since(*at) < REPORT_LIFETIME);
         if known.is_none_or(|(_, most)| nodes >= most) {
-            self.told = Some((now, nodes));
+            self.reported = Some((now, nodes));
         }
     }
 
-    /// How many nodes this one counts by itself.
+    /// The number of nodes that this node has seen itself.
     pub fn counted(&self) -> u32 {
-        u32::try_from(self.seen.len()).unwrap_or(u32::MAX).max(1)
+        u32::try_from(self.last_seen.len())
+            .unwrap_or(u32::MAX)
+            .max(1)
     }
 
-    /// What this node tells others: what it counts and what is on record, but nothing that it was told, so that no
-    /// number lives on by being passed around. 0 while it does not know the record.
-    pub fn word(&self) -> u32 {
+    /// The number to report to peers: what this node counts or has read from the record, but not
+    /// what others reported, so that an outdated number does not circulate for ever. 0 until the
+    /// record has been read.
+    pub fn size_to_report(&self) -> u32 {
         self.recorded
             .map_or(0, |recorded| recorded.max(self.counted()))
     }
 
-    /// The number that is kept outside the fleet was read; 0 where none is kept yet.
-    pub fn note_recorded(&mut self, nodes: u32) {
+    /// Sets the recorded number of nodes, which is kept outside the fleet; 0 if there is no record
+    /// yet.
+    pub fn set_recorded(&mut self, nodes: u32) {
         self.recorded = Some(nodes);
     }
 
-    /// The number that is kept outside the fleet; none while that is not known.
+    /// The recorded number of nodes; `None` until it has been read.
     pub fn recorded(&self) -> Option<u32> {
         self.recorded
     }
 
-    /// How many nodes there may be. None while a node that has just started, and may see few of the others,
-    /// knows neither the record nor anyone who does.
+    /// The number of nodes that there may be. `None` on a node that has just started, and may see
+    /// only few others, until it has read the record or heard from a node that has.
     pub fn size(&self, now: Time) -> Option<u32> {
-        let told = self.told.filter(|(at, _)| now.since(*at) < WORD_LIFE);
-        let told = told.map(|(_, nodes)| nodes);
-        let known = told.max(self.recorded)?;
+        let reported = self
+            .reported
+            .filter(|(at, _)| now.since(*at) < REPORT_LIFETIME);
+        let reported = reported.map(|(_, nodes)| nodes);
+        let known = reported.max(self.recorded)?;
         Some(known.max(self.counted()))
     }
 }
--- a/crates/stairward-limits/src/lent_shares.rs
+++ b/crates/stairward-limits/src/lent_shares.rs
@@ -1,13 +1,13 @@
-//! The shares that a coordinator was lent for a shard, and how much of a rate they add up to over time.
+//! The shares lent to a coordinator for one shard, and their sum over time.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use stairward_types::{NodeId, Time};
 
-/// All shares together.
+/// The sum of all shares.
 const WHOLE: u64 = 1 << 32;
 
-/// A loan.
+/// A loan of one node.
 #[derive(Debug, Clone, Copy)]
 struct Loan {
     until: Time,
@@ -20,22 +20,22 @@
     loans: BTreeMap<NodeId, Loan>,
     ends: BTreeSet<(Time, NodeId)>,
     sum: u64,
-    /// Seconds for which the whole was lent, counting parts as parts.
+    /// The lent fraction, integrated over time, in seconds.
     whole_seconds: f64,
     advanced_to: Time,
 }
 
 impl LentShares {
-    /// Lets time pass: loans end in their order.
+    /// Advances to a time, ending the loans that expire before it in order.
     pub fn advance(&mut self, now: Time) {
         while let Some((until, node)) = self.ends.first().copied().filter(|(at, _)| *at <= now) {
-            self.pass(until);
+            self.accrue(until);
             self.remove(node);
         }
-        self.pass(now);
+        self.accrue(now);
     }
 
-    fn pass(&mut self, until: Time) {
+    fn accrue(&mut self, until: Time) {
         let elapsed = until.since(self.advanced_to);
         self.whole_seconds += elapsed.as_secs_f64() * self.fraction();
         self.advanced_to = self.advanced_to.max(until);
@@ -48,8 +48,8 @@
         }
     }
 
-    /// A node lends 1 of `nodes` shares. One that it lent before is replaced, so a message that comes twice lends
-    /// once.
+    /// Adds the loan of a node, which lends one of `nodes` shares. It replaces an earlier loan of
+    /// the same node, so a duplicate message lends only once.
     pub fn lend(&mut self, now: Time, node: NodeId, nodes: u32, until: Time) {
         self.advance(now);
         let known = self.loans.get(&node).map(|loan| loan.until);
@@ -64,14 +64,14 @@
         self.sum += share;
     }
 
-    /// The part of the whole that is lent at the moment, at most 1.
+    /// The fraction of the whole that is lent now, at most 1.
     pub fn fraction(&self) -> f64 {
         #[allow(clippy::cast_precision_loss, reason = "both are far below 2^53")]
         let fraction = self.sum as f64 / WHOLE as f64;
         fraction.min(1.0)
     }
 
-    /// Seconds for which the whole was lent since the process began, counting parts as parts.
+    /// The lent fraction, integrated over the time since the process started, in seconds.
     pub fn whole_seconds(&self) -> f64 {
         self.whole_seconds
     }
--- a/crates/stairward-limits/src/lib.rs
+++ b/crates/stairward-limits/src/lib.rs
@@ -1,14 +1,15 @@
-//! Limits of tenants that all nodes keep together.
+//! Tenant limits that all nodes of a fleet enforce together.
 //!
-//! A limit is a rate of operations and a burst, counted over the whole fleet. Each of N nodes owns 1/N of every
-//! tenant's rate and burst. A node lends its share to the tenant's *coordinator* for a short time and spends
-//! nothing of it meanwhile; the coordinator grants operations to whichever node asks, out of what it was lent.
-//! So what can be spent at any moment is at most the sum of the shares, whatever nodes are cut off, killed or
-//! hold different views; only durations are compared, never two clocks. docs/design/limits.md has the proof and
-//! the ways that were weighed.
+//! A limit is a rate of operations and a burst, counted over the whole fleet. Each of N nodes owns
+//! 1/N of every tenant's rate and burst. A node lends its share to the tenant's *coordinator* for a
+//! short time and spends none of it meanwhile; the coordinator grants operations to whichever node
+//! requests them, out of the shares lent to it. So at any moment at most the sum of the shares can
+//! be spent, whatever nodes are partitioned, killed or hold different views of the fleet. Only
+//! durations are compared, never the clocks of two nodes. docs/design/limits.md has the proof and
+//! the alternatives that were considered.
 //!
-//! Pure: [`Limiter::handle`] takes the time and an [`Event`], and what to do comes from
-//! [`Limiter::take_effects`].
+//! The crate does no I/O: [`Limiter::handle`] takes the time and an [`Event`], and
+//! [`Limiter::take_effects`] returns the effects to carry out.
 
 #![forbid(unsafe_code)]
 
--- a/crates/stairward-limits/src/limiter.rs
+++ b/crates/stairward-limits/src/limiter.rs
@@ -1,4 +1,4 @@
-//! The limits of one node: admission, lending and coordinating together.
+//! Limits at one node: admission, lending and coordination.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,38 +7,39 @@
 use crate::allowance::Allowance;
 use crate::coordinator::Coordinator;
 use crate::fleet::Fleet;
-use crate::lender::{Lending, Outstanding};
+use crate::lender::{Lending, OutstandingRequest};
 use crate::message::{CoordinatorTime, GrantRequest, GrantResponse, TenantDemand, TenantGrant};
 use crate::options::LimitOptions;
 use crate::rate_limit::RateLimit;
 use crate::shard::Shard;
 
-/// Shortest and longest time for which nothing more is asked for a tenant that got less than it wanted: shorter
-/// costs messages, longer leaves room unused.
-const SHORTEST_PAUSE: Duration = Duration::from_millis(40);
-const LONGEST_PAUSE: Duration = Duration::from_millis(200);
-/// Pause between two writes of the record: the first may still be under way.
-const RECORD_PAUSE: Duration = Duration::from_secs(3);
-/// How long the first grants take once a node may lend: two questions to another region and their answers.
-const FIRST_GRANT_TIME: Duration = Duration::from_millis(150);
-/// How often what is known of idle tenants is dropped.
-const SWEEP: Duration = Duration::from_secs(10);
+/// Minimum and maximum pause before more is requested for a tenant that was granted less than its
+/// demand. A shorter pause costs messages, a longer one leaves room unused.
+const MIN_REQUEST_PAUSE: Duration = Duration::from_millis(40);
+const MAX_REQUEST_PAUSE: Duration = Duration::from_millis(200);
+/// Interval between two writes of the record; the first may still be in progress.
+const RECORD_WRITE_INTERVAL: Duration = Duration::from_secs(3);
+/// Time until the first grants arrive once a node may lend: two round trips to another region.
+const FIRST_GRANT_DELAY: Duration = Duration::from_millis(150);
+/// Interval at which the state of idle tenants is dropped.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(10);
 
-/// What the limits hear.
+/// Input of the limiter.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
-    /// The nodes that live, and those that have said that they leave, whole.
+    /// The complete sets of nodes that are alive and of nodes that announced that they leave.
     Members {
-        /// Nodes that live and don't leave, this one among them.
+        /// Nodes that are alive and not leaving, including this one.
         live: BTreeSet<NodeId>,
-        /// Nodes that leave.
+        /// Nodes that are leaving.
         leaving: BTreeSet<NodeId>,
     },
     /// All tenants that have a limit.
     Limits(BTreeMap<TenantName, RateLimit>),
-    /// How many nodes are on record; 0 where there is no record. A node lends nothing before it knows.
+    /// The recorded number of nodes; 0 if there is no record. A node lends nothing before it knows
+    /// this.
     RecordedFleetSize(u32),
-    /// A coordinator answered.
+    /// A coordinator answered a request.
     GrantReceived(NodeId, GrantResponse),
     /// A node can't be reached.
     PeerLost(NodeId),
@@ -46,40 +47,41 @@
     Tick,
 }
 
-/// What the limits want done.
+/// Output of the limiter, to be carried out by the caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Effect {
-    /// Ask a coordinator; it answers with [`Limiter::answer`], which comes back as [`Event::GrantReceived`].
+    /// Send a request to a coordinator, which answers it with [`Limiter::answer`]; the answer is
+    /// delivered as [`Event::GrantReceived`].
     RequestGrant(NodeId, GrantRequest),
-    /// Operations of a tenant that wait may be admitted.
+    /// Waiting operations of a tenant may be admitted.
     Available(TenantName),
-    /// Record how many nodes there may be, where all nodes read it.
+    /// Write the number of nodes to the record that all nodes read.
     RecordFleetSize(u32),
-    /// A coordinator did not answer: another is asked from now on.
+    /// A coordinator did not answer and is replaced by another.
     CoordinatorChanged {
         /// The shard.
         shard: Shard,
-        /// The one that did not answer.
+        /// The coordinator that did not answer.
         silent: NodeId,
-        /// The one that is asked now; this node itself where no other answers.
+        /// The new coordinator; this node itself if no other answers.
         now: Option<NodeId>,
     },
-    /// Operations of a tenant that wait have no room for this long; the coordinator said so.
+    /// The coordinator has no room for the waiting operations of a tenant for this long.
     Denied(TenantName, Duration),
 }
 
-/// What becomes of an operation.
+/// The decision on an operation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
-    /// It may run.
+    /// The operation may run.
     Admitted,
-    /// It waits for a coordinator's answer.
+    /// The operation waits for the answer of a coordinator.
     Waiting,
-    /// The limit is reached; there is most likely room after this time.
+    /// The limit is reached; retry after this time, when there is most likely room.
     Denied(Duration),
 }
 
-/// The limits as one node keeps them.
+/// The limiter of one node.
 #[derive(Debug)]
 pub struct Limiter {
     options: LimitOptions,
@@ -91,11 +93,11 @@
     effects: Vec<Effect>,
     last_sequence: u64,
     swept_at: Time,
-    record_after: Time,
+    next_record_write: Time,
 }
 
 impl Limiter {
-    /// A node that knows no limits and no other node. Its clock begins with its process.
+    /// Creates a limiter that knows no limits and no other node. Its clock starts with its process.
     #[must_use]
     pub fn new(options: LimitOptions) -> Self {
         Self {
@@ -110,24 +112,24 @@
             effects: Vec::new(),
             last_sequence: 0,
             swept_at: Time::ZERO,
-            record_after: Time::ZERO,
+            next_record_write: Time::ZERO,
         }
     }
 
-    /// Takes an event in.
+    /// Handles an event.
     pub fn handle(&mut self, now: Time, event: Event) {
         match event {
-            Event::Members { live, leaving } => self.note_members(now, &live, &leaving),
+            Event::Members { live, leaving } => self.update_members(now, &live, &leaving),
             Event::Limits(limits) => {
                 self.allowances
                     .retain(|tenant, _| limits.contains_key(tenant));
                 self.limits = self.buckets(limits);
             }
-            Event::RecordedFleetSize(nodes) => self.fleet.note_recorded(nodes),
-            Event::GrantReceived(coordinator, grant) => self.take_grant(now, coordinator, grant),
+            Event::RecordedFleetSize(nodes) => self.fleet.set_recorded(nodes),
+            Event::GrantReceived(coordinator, grant) => self.apply_grant(now, coordinator, grant),
             Event::PeerLost(node) => {
                 for lending in self.lendings.values_mut() {
-                    lending.note_silent(now, node, &self.options);
+                    lending.mark_unresponsive(now, node, &self.options);
                 }
             }
             Event::Tick => {}
@@ -135,7 +137,7 @@
         self.review(now);
     }
 
-    /// The rates and bursts that buckets have.
+    /// The rates and bursts of the buckets.
     fn buckets(&self, limits: BTreeMap<TenantName, RateLimit>) -> BTreeMap<TenantName, RateLimit> {
         let Some(window) = self.options.window else {
             return limits;
@@ -147,12 +149,12 @@
             .collect()
     }
 
-    /// What is to be done, taken.
+    /// Takes the effects to be carried out.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
 
-    /// When [`Event::Tick`] is due at the latest; none while there is no limit.
+    /// The latest time for the next [`Event::Tick`]; `None` while there is no limit.
     #[must_use]
     pub fn next_wake(&self) -> Option<Time> {
         if self.limits.is_empty() {
@@ -161,20 +163,20 @@
         let renewals = self.lendings.values().map(|lending| {
             let answer_due = lending
                 .outstanding
-                .map(|asked| asked.at + self.options.answer_timeout);
+                .map(|outstanding_request| outstanding_request.at + self.options.answer_timeout);
             answer_due.unwrap_or(lending.renew_at)
         });
-        // Where a question is under way its answer, or that there is none, is what is waited for; where no node is
-        // known to ask, the view.
-        let may_ask = |tenant: &TenantName| {
+        // While a request is in progress, its answer or timeout comes next; while no node is known,
+        // the next view does.
+        let may_request = |tenant: &TenantName| {
             let lending = self.lendings.get(&Shard::of(tenant));
-            lending.is_some_and(Lending::may_ask)
+            lending.is_some_and(Lending::may_request)
         };
         let openings = self
             .allowances
             .iter()
-            .filter(|(tenant, allowance)| allowance.lacks_grants() && may_ask(tenant))
-            .map(|(_, allowance)| allowance.closed_until.max(allowance.quiet_until));
+            .filter(|(tenant, allowance)| allowance.lacks_grants() && may_request(tenant))
+            .map(|(_, allowance)| allowance.denied_until.max(allowance.requests_paused_until));
         renewals.chain(openings).min()
     }
 
@@ -184,32 +186,32 @@
         self.limits.contains_key(tenant)
     }
 
-    /// Decides about an operation that has just come.
+    /// Decides whether a new operation is admitted.
     pub fn admit(&mut self, now: Time, tenant: &TenantName) -> Admission {
         if !self.limits.contains_key(tenant) {
             return Admission::Admitted;
         }
         let allowance = self.allowances.entry(tenant.clone()).or_default();
-        allowance.note_demand(now);
+        allowance.record_demand(now);
         if allowance.waiting == 0 && allowance.take(now) {
-            if allowance.runs_low(now) && now >= allowance.closed_until {
-                self.ask(now, Shard::of(tenant));
+            if allowance.runs_low(now) && now >= allowance.denied_until {
+                self.request_grant(now, Shard::of(tenant));
             }
             return Admission::Admitted;
         }
-        if now < allowance.closed_until {
+        if now < allowance.denied_until {
             return Admission::Denied(allowance.next_retry(now));
         }
         allowance.waiting += 1;
-        self.ask(now, Shard::of(tenant));
-        // A node that coordinates itself has its answer at once.
+        self.request_grant(now, Shard::of(tenant));
+        // A node that is its own coordinator has its answer at once.
         Admission::Waiting
     }
 
-    /// Uses a granted operation for one that waits; returns whether there was one.
+    /// Uses a granted operation for a waiting one; returns whether there was one.
     pub fn admit_waiting(&mut self, now: Time, tenant: &TenantName) -> bool {
         let Some(allowance) = self.allowances.get_mut(tenant) else {
-            // Its limit was taken away.
+            // The limit of the tenant was removed.
             return true;
         };
         let is_admitted = allowance.take(now);
@@ -219,30 +221,30 @@
         is_admitted
     }
 
-    /// An operation that waited waits no longer.
+    /// Removes a waiting operation that was given up.
     pub fn give_up(&mut self, tenant: &TenantName) {
         if let Some(allowance) = self.allowances.get_mut(tenant) {
             allowance.waiting = allowance.waiting.saturating_sub(1);
         }
     }
 
-    /// When a refused operation of a tenant should come back.
+    /// When a denied operation of a tenant should be retried.
     pub fn next_retry(&mut self, now: Time, tenant: &TenantName) -> Duration {
         let allowance = self.allowances.get_mut(tenant);
         allowance.map_or(Duration::ZERO, |allowance| allowance.next_retry(now))
     }
 
-    /// While this node has just started and could not lend its share yet, and so may get nothing: when it most likely
-    /// gets its first grants.
+    /// The expected time of the first grants, while this node has just started, cannot lend its
+    /// share yet, and so may be granted nothing.
     #[must_use]
     pub fn first_grants_at(&self, now: Time) -> Option<Time> {
-        let first = self.options.started + self.options.loan_by_lender() + FIRST_GRANT_TIME;
+        let first = self.options.started + self.options.loan_by_lender() + FIRST_GRANT_DELAY;
         (now < first).then_some(first)
     }
 
-    /// Answers another node, as coordinator.
+    /// Answers the request of a node, as coordinator.
     pub fn answer(&mut self, now: Time, node: NodeId, request: &GrantRequest) -> GrantResponse {
-        self.fleet.note_told(now, request.nodes);
+        self.fleet.record_reported(now, request.nodes);
         let nodes = self.fleet.size(now);
         let granted =
             self.coordinator
@@ -254,14 +256,14 @@
                 incarnation: self.options.incarnation,
                 at: now,
             },
-            nodes: self.fleet.word(),
+            nodes: self.fleet.size_to_report(),
             granted,
         }
     }
 
-    fn note_members(&mut self, now: Time, live: &BTreeSet<NodeId>, leaving: &BTreeSet<NodeId>) {
+    fn update_members(&mut self, now: Time, live: &BTreeSet<NodeId>, leaving: &BTreeSet<NodeId>) {
         self.fleet
-            .note(now, live, leaving, self.options.node_retention);
+            .update(now, live, leaving, self.options.node_retention);
         let nodes: Vec<NodeId> = if self.options.lends_shares {
             live.iter().copied().collect()
         } else {
@@ -278,22 +280,23 @@
         }
         self.record_fleet(now);
         for shard in Shard::all() {
-            self.note_unanswered(now, shard);
+            self.check_timeout(now, shard);
             let lending = self.lendings.get(&shard);
             let is_due = lending.is_some_and(|lending| now >= lending.renew_at);
-            if is_due || self.wants_more(now, shard) {
-                self.ask(now, shard);
+            if is_due || self.needs_request(now, shard) {
+                self.request_grant(now, shard);
             }
         }
-        if now.since(self.swept_at) >= SWEEP {
+        if now.since(self.swept_at) >= SWEEP_INTERVAL {
             self.swept_at = now;
             self.allowances
                 .retain(|_, allowance| !allowance.is_idle(now));
         }
     }
 
-    /// The coordinator of the first shard keeps the record of the number of nodes. It grows at once, and shrinks
-    /// only when this node has watched for as long as nodes are remembered.
+    /// Maintains the record of the number of nodes, on the coordinator of the first shard. The
+    /// number increases at once, and decreases only after this node has run for as long as it
+    /// remembers nodes.
     fn record_fleet(&mut self, now: Time) {
         let own = self.options.node;
         let first = self.lendings.get(&Shard(0));
@@ -304,33 +307,33 @@
         let counted = self.fleet.counted();
         let may_shrink = now.since(self.options.started) >= self.options.node_retention;
         let is_wrong = counted > recorded || (may_shrink && counted < recorded);
-        if is_wrong && now >= self.record_after {
-            self.record_after = now + RECORD_PAUSE;
+        if is_wrong && now >= self.next_record_write {
+            self.next_record_write = now + RECORD_WRITE_INTERVAL;
             self.effects.push(Effect::RecordFleetSize(counted));
         }
     }
 
-    fn note_unanswered(&mut self, now: Time, shard: Shard) {
+    fn check_timeout(&mut self, now: Time, shard: Shard) {
         let Some(lending) = self.lendings.get_mut(&shard) else {
             return;
         };
-        let overdue = lending
-            .outstanding
-            .filter(|asked| now >= asked.at + self.options.answer_timeout);
-        if let Some(asked) = overdue
-            && lending.note_unanswered(now, &self.options)
+        let overdue = lending.outstanding.filter(|outstanding_request| {
+            now >= outstanding_request.at + self.options.answer_timeout
+        });
+        if let Some(outstanding_request) = overdue
+            && lending.record_timeout(now, &self.options)
         {
             self.effects.push(Effect::CoordinatorChanged {
                 shard,
-                silent: asked.to,
+                silent: outstanding_request.to,
                 now: lending.coordinator(now, self.options.node),
             });
         }
     }
 
-    fn wants_more(&mut self, now: Time, shard: Shard) -> bool {
+    fn needs_request(&mut self, now: Time, shard: Shard) -> bool {
         self.allowances.iter_mut().any(|(tenant, allowance)| {
-            allowance.unmet(now) > 0 && allowance.may_ask(now) && Shard::of(tenant) == shard
+            allowance.unmet(now) > 0 && allowance.may_request(now) && Shard::of(tenant) == shard
         })
     }
 
@@ -338,22 +341,23 @@
         let open = self
             .allowances
             .iter_mut()
-            .filter(|(tenant, allowance)| allowance.may_ask(now) && Shard::of(tenant) == shard);
+            .filter(|(tenant, allowance)| allowance.may_request(now) && Shard::of(tenant) == shard);
         let demands = open.map(|(tenant, allowance)| TenantDemand {
             tenant: tenant.clone(),
             waiting: allowance.unmet(now),
-            ahead: allowance.ahead(now),
+            ahead: allowance.prefetch(now),
         });
         demands
             .filter(|demand| demand.waiting > 0 || demand.ahead > 0)
             .collect()
     }
 
-    /// Asks a shard's coordinator for what is wanted, and lends the own share; one question at a time.
-    fn ask(&mut self, now: Time, shard: Shard) {
+    /// Requests the demands of a shard from its coordinator and lends this node's share. One
+    /// request at a time.
+    fn request_grant(&mut self, now: Time, shard: Shard) {
         let demands = self.demands(now, shard);
         let own = self.options.node;
-        let nodes = self.fleet.word();
+        let nodes = self.fleet.size_to_report();
         let Some(lending) = self.lendings.get_mut(&shard) else {
             return;
         };
@@ -361,12 +365,12 @@
             return;
         }
         let Some(grantor) = lending.grantor(now, own) else {
-            // No node is known yet; the view's first change is heard of.
+            // No node is known yet; the first view will trigger the request.
             lending.renew_at = now + self.options.renewal_margin;
             return;
         };
         self.last_sequence += 1;
-        // An earlier life of this process may have lent the share until then.
+        // An earlier incarnation of this process may have lent the share until then.
         let is_free = now >= self.options.started + self.options.loan_by_lender();
         let is_coordinator = lending.coordinator(now, own) == Some(grantor);
         let may_lend = is_free && is_coordinator && self.fleet.size(now).is_some();
@@ -376,7 +380,7 @@
         let renewal_at = now + (self.options.loan - self.options.renewal_margin);
         let loan_ends = lending.loan_ends(now).filter(|_| !is_coordinator);
         lending.renew_at = loan_ends.map_or(renewal_at, |ends| ends.min(renewal_at));
-        lending.outstanding = Some(Outstanding {
+        lending.outstanding = Some(OutstandingRequest {
             to: grantor,
             at: now,
             sequence: self.last_sequence,
@@ -390,37 +394,37 @@
         };
         if grantor == own {
             let grant = self.answer(now, own, &request);
-            self.take_grant(now, own, grant);
+            self.apply_grant(now, own, grant);
         } else {
             self.effects.push(Effect::RequestGrant(grantor, request));
         }
     }
 
-    fn take_grant(&mut self, now: Time, coordinator: NodeId, grant: GrantResponse) {
+    fn apply_grant(&mut self, now: Time, coordinator: NodeId, grant: GrantResponse) {
         if coordinator != self.options.node {
-            self.fleet.note_told(now, grant.nodes);
+            self.fleet.record_reported(now, grant.nodes);
         }
         let Some(lending) = self.lendings.get_mut(&grant.shard) else {
             return;
         };
-        let asked = lending
-            .outstanding
-            .filter(|asked| asked.to == coordinator && asked.sequence == grant.sequence);
-        let is_first = lending.note_answer(coordinator, grant.coordinator_time);
-        // One that comes late is of a question that was given up.
-        if let Some(asked) = asked {
-            let until = asked.at + self.options.grant_life;
+        let outstanding_request = lending.outstanding.filter(|outstanding_request| {
+            outstanding_request.to == coordinator && outstanding_request.sequence == grant.sequence
+        });
+        let is_first = lending.record_answer(coordinator, grant.coordinator_time);
+        // A late answer belongs to a request that was given up.
+        if let Some(outstanding_request) = outstanding_request {
+            let until = outstanding_request.at + self.options.grant_life;
             for granted in grant.granted {
-                self.take_granted(now, until, granted);
+                self.apply_tenant_grant(now, until, granted);
             }
         }
         if is_first {
-            // Now a loan can be dated: it is made at once.
-            self.ask(now, grant.shard);
+            // The coordinator's time is known now, so the share is lent at once.
+            self.request_grant(now, grant.shard);
         }
     }
 
-    fn take_granted(&mut self, now: Time, until: Time, granted: TenantGrant) {
+    fn apply_tenant_grant(&mut self, now: Time, until: Time, granted: TenantGrant) {
         let first_grants_at = self.first_grants_at(now);
         let Some(allowance) = self.allowances.get_mut(&granted.tenant) else {
             return;
@@ -433,11 +437,13 @@
             return;
         }
         if let Some(first) = first_grants_at {
-            // Until shares are lent, that there is no room says nothing of the limit.
-            allowance.quiet_until = first.min(now + LONGEST_PAUSE);
+            // Before shares are lent, a lack of room says nothing about the limit.
+            allowance.requests_paused_until = first.min(now + MAX_REQUEST_PAUSE);
         } else {
-            let pause = granted.retry_after.clamp(SHORTEST_PAUSE, LONGEST_PAUSE);
-            allowance.close(now, now + pause, granted.retry_after, granted.spacing);
+            let pause = granted
+                .retry_after
+                .clamp(MIN_REQUEST_PAUSE, MAX_REQUEST_PAUSE);
+            allowance.deny_until(now, now + pause, granted.retry_after, granted.spacing);
             self.effects
                 .push(Effect::Denied(granted.tenant, granted.retry_after));
         }
--- a/crates/stairward-limits/src/message.rs
+++ b/crates/stairward-limits/src/message.rs
@@ -1,71 +1,71 @@
-//! What a node and a coordinator tell each other.
+//! Messages between a node and a coordinator.
 
 use stairward_types::{Duration, TenantName, Time};
 
 use crate::shard::Shard;
 
-/// A moment of a coordinator's clock, as it last told it to a node. A loan counts from then, which is before it
-/// was made, so the coordinator needs to know nothing of the way's delay.
+/// A time of a coordinator's clock, as last sent to a node. A loan counts from this time, which is
+/// before the loan was made, so the coordinator needs to know nothing about the network delay.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CoordinatorTime {
-    /// The coordinator's life.
+    /// The coordinator's incarnation.
     pub incarnation: u64,
-    /// The moment.
+    /// The time.
     pub at: Time,
 }
 
-/// Operations that a node wants for a tenant.
+/// A node's demand for operations of a tenant.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TenantDemand {
     /// The tenant.
     pub tenant: TenantName,
-    /// Operations that wait.
+    /// Waiting operations.
     pub waiting: u32,
-    /// Operations that will most likely come while the grant is good.
+    /// Operations that are expected to arrive before the grant expires.
     pub ahead: u32,
 }
 
-/// A node's question to a coordinator.
+/// A request of a node to a coordinator.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct GrantRequest {
     /// The shard.
     pub shard: Shard,
-    /// The question's number; the answer carries it back.
+    /// Sequence number, returned in the answer.
     pub sequence: u64,
-    /// How many nodes there may be, as far as the node knows; 0 where it does not.
+    /// The number of nodes, as far as the node knows; 0 if it does not.
     pub nodes: u32,
-    /// The coordinator's moment from which the node's share is lent; none where it isn't.
+    /// The coordinator's time from which the node's share is lent; `None` if it is not lent.
     pub loan: Option<CoordinatorTime>,
-    /// What is wanted.
+    /// The demands of the node.
     pub demands: Vec<TenantDemand>,
 }
 
-/// A coordinator's word on what a tenant gets.
+/// What a coordinator grants to a tenant.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TenantGrant {
     /// The tenant.
     pub tenant: TenantName,
-    /// Operations.
+    /// Operations granted.
     pub count: u32,
-    /// Operations that wait and got none.
+    /// Waiting operations that were granted nothing.
     pub unmet: u32,
-    /// When there is most likely room for the first operation that waits and got none.
+    /// When there is most likely room for the first waiting operation that was granted nothing.
     pub retry_after: Duration,
-    /// How much later there is for each one after it.
+    /// Additional delay for each further operation.
     pub spacing: Duration,
 }
 
-/// A coordinator's answer.
+/// The answer of a coordinator.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct GrantResponse {
     /// The shard.
     pub shard: Shard,
-    /// The question's number.
+    /// Sequence number of the request.
     pub sequence: u64,
-    /// The coordinator's moment.
+    /// The coordinator's time.
     pub coordinator_time: CoordinatorTime,
-    /// How many nodes there may be, as far as the coordinator knows; 0 where it does not.
+    /// The number of nodes, as far as the coordinator knows; 0 if it does not.
     pub nodes: u32,
-    /// One for each want.
+    /// One entry for each demand.
     pub granted: Vec<TenantGrant>,
 }
--- a/crates/stairward-limits/src/options.rs
+++ b/crates/stairward-limits/src/options.rs
@@ -1,4 +1,4 @@
-//! Times and bounds of the limits.
+//! Timeouts and bounds of the limiter.
 
 use std::time::Duration;
 
@@ -6,37 +6,39 @@
 
 use crate::limit_window::LimitWindow;
 
-/// Times and bounds of one node.
+/// Timeouts and bounds of one node.
 #[derive(Debug, Clone)]
 pub struct LimitOptions {
     /// This node.
     pub node: NodeId,
-    /// A number that no other life of this node's process has.
+    /// A number unique to this run of the process.
     pub incarnation: u64,
-    /// When the process began, by its own clock.
+    /// When the process started, by its own clock.
     pub started: Time,
-    /// How long a share is lent. Longer: fewer messages, a longer pause after a coordinator is lost.
+    /// How long a share is lent. A longer loan costs fewer messages but prolongs the pause after
+    /// the loss of a coordinator.
     pub loan: Duration,
     /// How long before its end a loan is renewed.
     pub renewal_margin: Duration,
-    /// How long a granted operation may be used, counted from the question. What a window counts too much is
-    /// at most the rate for this long.
+    /// How long a granted operation may be used, counted from the request. A window may exceed the
+    /// limit by at most the rate times this duration.
     pub grant_life: Duration,
-    /// How long a coordinator may take to answer.
+    /// How long to wait for an answer of a coordinator.
     pub answer_timeout: Duration,
-    /// How long a coordinator that did not answer is passed over.
+    /// How long a coordinator that did not answer is skipped.
     pub skip_duration: Duration,
-    /// How long a node that is no longer seen, and did not say that it leaves, counts among the nodes: a network
-    /// partition lasts an hour now and then, and a node behind it spends its share.
+    /// How long a node counts that is no longer seen and did not announce that it leaves. A network
+    /// partition may last an hour, and a node behind it spends its share.
     pub node_retention: Duration,
-    /// How limits are counted; none where every moment counts, so that a bucket has the limit's own rate and burst.
+    /// How limits are counted in windows; `None` to enforce them at every moment, with buckets of
+    /// the rate and burst of the limit itself.
     pub window: Option<LimitWindow>,
-    /// Whether shares are lent. Otherwise each node spends its own.
+    /// Whether shares are lent. Otherwise each node spends its own share only.
     pub lends_shares: bool,
 }
 
 impl LimitOptions {
-    /// The usual times.
+    /// The default timeouts.
     #[must_use]
     pub const fn new(node: NodeId, incarnation: u64) -> Self {
         Self {
@@ -54,8 +56,8 @@
         }
     }
 
-    /// How long a lender keeps to a loan by its own clock: longer than the coordinator counts it, so that clocks
-    /// may differ in speed by one in 20.
+    /// How long a lender honours a loan by its own clock: longer than the coordinator counts it, so
+    /// that the clocks may differ in speed by one part in 20.
     pub(crate) fn loan_by_lender(&self) -> Duration {
         self.loan + self.loan / 20
     }
--- a/crates/stairward-limits/src/rate_limit.rs
+++ b/crates/stairward-limits/src/rate_limit.rs
@@ -1,19 +1,19 @@
-//! A tenant's limit.
+//! The limit of a tenant.
 
-/// So many thousandths make one operation.
+/// Thousandths per operation.
 const THOUSANDTHS: f64 = 1_000.0;
 
-/// How many operations a tenant may run over all nodes.
+/// The number of operations that a tenant may run over all nodes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RateLimit {
-    /// Operations a second, in thousandths. With 0 nothing is admitted.
+    /// Operations per second, in thousandths. With 0 nothing is admitted.
     pub rate_thousandths: u64,
-    /// Operations that may come at once after a quiet time, in thousandths.
+    /// Operations that may arrive at once after a quiet period, in thousandths.
     pub burst_thousandths: u64,
 }
 
 impl RateLimit {
-    /// A limit of so many operations; fractions of a thousandth are dropped.
+    /// Creates a limit from numbers of operations; fractions of a thousandth are dropped.
     #[must_use]
     pub fn from_operations(per_second: f64, burst: f64) -> Self {
         Self {
@@ -22,13 +22,13 @@
         }
     }
 
-    /// Operations a second.
+    /// Operations per second.
     #[must_use]
     pub fn per_second(self) -> f64 {
         operations(self.rate_thousandths)
     }
 
-    /// Operations at once.
+    /// Burst, in operations.
     #[must_use]
     pub fn burst(self) -> f64 {
         operations(self.burst_thousandths)
--- a/crates/stairward-limits/src/shard.rs
+++ b/crates/stairward-limits/src/shard.rs
@@ -1,10 +1,10 @@
-//! Tenants in groups that have one coordinator each, so that a node lends to a few others only.
+//! Groups of tenants with one coordinator each, so that a node lends to only a few others.
 
 use stairward_types::{NodeId, TenantName};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// How many shards there are. Each costs every node one message a renewal; each coordinator has the tenants of
-/// one of them.
+/// The number of shards. Each costs every node one message per renewal; each coordinator serves the
+/// tenants of one of them.
 pub const SHARDS: u8 = 8;
 
 /// A group of tenants.
@@ -12,7 +12,7 @@
 pub struct Shard(pub u8);
 
 impl Shard {
-    /// The shard of a tenant: the same on all nodes.
+    /// The shard of a tenant, which is the same on all nodes.
     #[must_use]
     pub fn of(tenant: &TenantName) -> Self {
         let hash = xxh3_64(tenant.as_str().as_bytes());
@@ -25,7 +25,7 @@
         (0..SHARDS).map(Self)
     }
 
-    /// How high a node ranks as coordinator (rendezvous hashing; Thaler and Ravishankar, 1998).
+    /// Rank of a node as coordinator (rendezvous hashing; Thaler and Ravishankar, 1998).
     pub(crate) fn score(self, node: NodeId) -> u64 {
         xxh3_64_with_seed(&[self.0], node.0)
     }
