--- a/crates/stairward-limits/tests/limit_window.rs
+++ b/crates/stairward-limits/tests/limit_window.rs
@@ -1,4 +1,4 @@
-//! What a bucket gets of a limit that is counted in windows.
+//! The rate and burst of a bucket for a limit that is counted in windows.
 
 use std::time::Duration;
 
@@ -38,27 +38,28 @@
 
 #[test]
 fn a_steady_demand_up_to_what_windows_allow_is_admitted() {
-    // 132 operations in 5 s are 26.4 a second for ever; a bucket of the limit's own rate admits 22.
+    // 132 operations in 5 s are a steady 26.4 a second; a bucket with the rate of the limit itself
+    // admits 22.
     let bucket = window(0.1, 20.0).bucket(limit(22, 22), GRANT_LIFE);
     assert!(bucket.per_second() > 26.4, "{bucket:?}");
     assert!((bucket.burst() - 11.0).abs() < 0.01, "{bucket:?}");
 }
 
 #[test]
-fn the_rate_that_was_sold_comes_before_the_burst() {
+fn the_rate_takes_precedence_over_the_burst() {
     let bucket = window(0.0, 0.0).bucket(limit(100, 100), GRANT_LIFE);
     assert!(bucket.per_second() > 99.9, "{bucket:?}");
 }
 
 #[test]
-fn a_small_tenant_may_send_some_at_once() {
+fn a_small_tenant_may_send_several_operations_at_once() {
     let bucket = window(0.1, 20.0).bucket(limit(1, 1), GRANT_LIFE);
     assert!(bucket.burst() >= 5.0, "{bucket:?}");
     assert!(bucket.per_second() > 1.0, "{bucket:?}");
 }
 
 #[test]
-fn a_limit_of_nothing_stays_nothing() {
+fn a_limit_of_zero_stays_zero() {
     let nothing = limit(0, 0);
     assert_eq!(window(0.1, 20.0).bucket(nothing, GRANT_LIFE), nothing);
 }
--- a/crates/stairward-limits/tests/limiter.rs
+++ b/crates/stairward-limits/tests/limiter.rs
@@ -1,4 +1,5 @@
-//! One node's limits, step by step: when it lends, how long a grant is good, what it says of the room there is.
+//! The limiter of one node, step by step: when it lends, how long a grant is valid, and which retry
+//! times it reports.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -22,7 +23,7 @@
     }
 }
 
-/// The other node, if it ranks first for the tenant's shard.
+/// A node that ranks above this one as coordinator of the tenant's shard.
 fn other_coordinator() -> NodeId {
     let shard = Shard::of(&tenant());
     let ranks_first = |id: u64| {
@@ -52,7 +53,7 @@
     limiter
 }
 
-/// The question to a coordinator about the tenant's shard among what is to be done, if there is one.
+/// The request to a coordinator for the tenant's shard among the effects, if there is one.
 fn asked(limiter: &mut Limiter, coordinator: NodeId) -> Option<GrantRequest> {
     let shard = Shard::of(&tenant());
     let effects = limiter.take_effects();
@@ -84,7 +85,7 @@
 }
 
 #[test]
-fn a_node_that_has_just_started_lends_nothing_until_loans_of_an_earlier_life_are_over() {
+fn a_restarted_node_lends_nothing_until_earlier_loans_have_ended() {
     let started = Time::from_millis(50_000);
     let coordinator = other_coordinator();
     let mut limiter = limiter_at(started, &[OWN, coordinator]);
@@ -102,7 +103,7 @@
             );
         }
     }
-    let lent_at = lent_at.expect("it lends in the end");
+    let lent_at = lent_at.expect("it lends eventually");
     assert!((840..1_200).contains(&lent_at), "{lent_at}");
 }
 
@@ -129,22 +130,22 @@
     }
     limiter.handle(Time::from_millis(5_000), Event::RecordedFleetSize(2));
     limiter.handle(Time::from_millis(5_500), Event::Tick);
-    let request = asked(&mut limiter, coordinator).expect("it asks again");
+    let request = asked(&mut limiter, coordinator).expect("it sends another request");
     assert!(request.loan.is_some());
 }
 
 #[test]
-fn what_was_granted_is_good_for_a_moment_only() {
+fn a_grant_expires() {
     let coordinator = other_coordinator();
     let mut limiter = limiter_at(Time::ZERO, &[OWN, coordinator]);
     asked(&mut limiter, coordinator);
     let now = Time::from_millis(10_000);
-    // The first question is long overdue; the next one tells what is wanted.
+    // The first request has timed out; the next one contains the demand.
     limiter.handle(now, Event::Tick);
-    let first = asked(&mut limiter, coordinator).expect("a question");
+    let first = asked(&mut limiter, coordinator).expect("a request");
     assert_eq!(limiter.admit(now, &tenant()), Admission::Waiting);
     limiter.handle(now, Event::GrantReceived(coordinator, grant(&first, 0, 0)));
-    let request = asked(&mut limiter, coordinator).expect("another question");
+    let request = asked(&mut limiter, coordinator).expect("another request");
     assert_eq!(request.demands[0].waiting, 1);
     limiter.handle(
         now,
@@ -158,13 +159,13 @@
 }
 
 #[test]
-fn those_refused_come_back_when_there_is_room_each_after_the_other() {
+fn denied_operations_get_increasing_retry_times() {
     let coordinator = other_coordinator();
     let mut limiter = limiter_at(Time::ZERO, &[OWN, coordinator]);
     asked(&mut limiter, coordinator);
     let now = Time::from_millis(5_000);
     limiter.handle(now, Event::Tick);
-    let request = asked(&mut limiter, coordinator).expect("a question");
+    let request = asked(&mut limiter, coordinator).expect("a request");
     assert_eq!(limiter.admit(now, &tenant()), Admission::Waiting);
     limiter.handle(
         now,
@@ -206,12 +207,12 @@
     };
     let first = limiter.answer(Time::from_millis(2_000), NodeId(9), &request);
     assert_eq!((first.granted[0].count, first.granted[0].unmet), (0, 50));
-    // One share of ten of a rate of 100, for 0.61 s.
+    // One of ten shares of a rate of 100, for 0.61 s.
     request.loan = Some(first.coordinator_time);
     limiter.answer(Time::from_millis(2_000), NodeId(9), &request);
     let second = limiter.answer(Time::from_millis(2_610), NodeId(9), &request);
     assert_eq!(second.granted[0].count, 6);
-    // A loan of another life of the coordinator is none.
+    // A loan for another incarnation of the coordinator does not count.
     request.loan = Some(CoordinatorTime {
         incarnation: LIFE + 1,
         at: Time::from_millis(9_000),
@@ -222,7 +223,7 @@
 }
 
 #[test]
-fn a_limit_that_is_lowered_binds_at_once() {
+fn a_lowered_limit_takes_effect_at_once() {
     let mut limiter = limiter_at(Time::ZERO, &[OWN]);
     let now = Time::from_millis(10_000);
     for milliseconds in (0..10_000).step_by(100) {
@@ -239,9 +240,10 @@
     assert_eq!(admitted.count(), 0);
 }
 
-/// A node that is woken at once again and again would spend its whole processor on nothing.
+/// Guards against a busy loop: a node that is woken at once again and again would use its whole
+/// processor.
 #[test]
-fn after_each_wake_the_next_one_lies_ahead() {
+fn the_next_wake_is_always_in_the_future() {
     let coordinator = other_coordinator();
     let mut unknown = Limiter::new(LimitOptions::new(OWN, LIFE));
     let limits = BTreeMap::from([(tenant(), limit(5, 5))]);
--- a/crates/stairward-limits/tests/support/mod.rs
+++ b/crates/stairward-limits/tests/support/mod.rs
@@ -1,5 +1,6 @@
-//! A fleet of limiters on a virtual clock: delayed, lost and doubled messages, killed and frozen nodes, network
-//! partitions, views that lag, clocks of different speed. A checker counts what was admitted in every window.
+//! A fleet of limiters on a virtual clock, with delayed, lost and duplicated messages, killed and
+//! frozen nodes, network partitions, lagging views, and clocks of different speed. A checker counts
+//! the operations admitted in every window.
 
 #![allow(dead_code, reason = "each test file uses its own part")]
 
@@ -16,37 +17,37 @@
 };
 use stairward_types::{Duration, NodeId, TenantName, Time};
 
-pub use options::{Broken, Options};
+pub use options::{InjectedBug, Scenario};
 
 /// The windows in which operations are counted.
 pub const WINDOWS: [Duration; 2] = [Duration::from_secs(1), Duration::from_secs(5)];
-/// The first loans of a fleet are made by then.
-const SETTLED: Time = Time::from_millis(3_000);
-/// How often views are renewed.
-const VIEW_PAUSE: Duration = Duration::from_millis(500);
-/// From a node's word that it leaves to its end.
-const LEAVES_FOR: Duration = Duration::from_millis(2_500);
-/// How far a clock's speed may be off, in thousandths.
-const DRIFT: u64 = 20;
+/// Time by which the first loans of a fleet are made.
+const SETTLED_AT: Time = Time::from_millis(3_000);
+/// Interval at which views are updated.
+const VIEW_INTERVAL: Duration = Duration::from_millis(500);
+/// Time from a node's announcement that it leaves until it stops.
+const LEAVE_DURATION: Duration = Duration::from_millis(2_500);
+/// Maximum deviation of the rate of a clock, in thousandths.
+const MAX_CLOCK_DRIFT: u64 = 20;
 
 struct Node {
     limiter: Limiter,
     incarnation: u64,
-    runs: bool,
+    is_running: bool,
     started: Time,
     frozen_until: Time,
-    /// Messages that came while it stood still.
-    inbox: VecDeque<Happening>,
+    /// Messages that arrived while it was frozen.
+    inbox: VecDeque<SimulationEvent>,
     wake_at: Time,
-    /// Thousandths that its clock runs fast, around 1,000.
-    speed: u64,
+    /// Rate of its clock in thousandths; 1,000 is exact.
+    clock_rate: u64,
     waiting: u32,
     side: u64,
-    leaves: bool,
+    is_leaving: bool,
 }
 
 #[derive(Debug, Clone)]
-enum Happening {
+enum SimulationEvent {
     Asked(usize, usize, u64, GrantRequest),
     Granted(usize, u64, usize, GrantResponse),
     Operation(usize),
@@ -58,17 +59,17 @@
     Start(usize),
     Freeze(usize, Duration),
     Thaw(usize, u64),
-    Cut(u64),
+    Partition(u64),
     Heal,
 }
 
-/// A run and what came of it.
+/// A run and its results.
 pub struct Fleet {
-    options: Options,
+    options: Scenario,
     random: ChaCha8Rng,
     now: Time,
-    queue: BTreeMap<(Time, u64), Happening>,
-    planned: u64,
+    queue: BTreeMap<(Time, u64), SimulationEvent>,
+    scheduled: u64,
     incarnations: u64,
     nodes: Vec<Node>,
     tenant: TenantName,
@@ -76,21 +77,21 @@
     pub admitted: Vec<Time>,
     pub wanted: u64,
     pub denied: u64,
-    /// What was wanted and denied once the fleet's first loans were made.
+    /// Operations wanted and denied after the first loans were made.
     pub settled: (u64, u64),
     pub retries: Vec<Duration>,
-    /// The number of nodes on record.
+    /// The recorded number of nodes.
     recorded: u32,
 }
 
 impl Fleet {
-    pub fn run(options: Options) -> Self {
+    pub fn run(options: Scenario) -> Self {
         let random = ChaCha8Rng::seed_from_u64(options.seed);
         let mut fleet = Self {
             random,
             now: Time::from_millis(1),
             queue: BTreeMap::new(),
-            planned: 0,
+            scheduled: 0,
             incarnations: 0,
             nodes: Vec::new(),
             tenant: TenantName::new("tenant-1").unwrap(),
@@ -102,19 +103,19 @@
             recorded: 0,
             options,
         };
-        fleet.begin();
+        fleet.start();
         let end = fleet.now + fleet.options.length;
-        while let Some(((at, _), happening)) = fleet.queue.pop_first() {
+        while let Some(((at, _), event)) = fleet.queue.pop_first() {
             if at > end {
                 break;
             }
             fleet.now = at;
-            fleet.happen(happening);
+            fleet.dispatch(event);
         }
         fleet
     }
 
-    /// What the first window that admits too much admits, and what it may.
+    /// The operations admitted by the first window over its limit, and the number it may admit.
     pub fn excess(&self) -> Option<(f64, f64)> {
         let counted = match self.options.window {
             Some(window) => vec![window.length],
@@ -141,8 +142,8 @@
         most
     }
 
-    /// What may be admitted in any window: the rate for the window and for the life of a grant, and the burst.
-    /// Clocks run at most 2% fast.
+    /// The number of operations that any window may admit: the rate over the window and the life of
+    /// a grant, plus the burst. Clocks run at most 2% fast.
     fn bound(&self, window: Duration) -> f64 {
         if let Some(window) = self.options.window {
             return window.allowed(self.options.limit);
@@ -152,49 +153,54 @@
         limit.per_second() * seconds * 1.02 + limit.burst()
     }
 
-    fn begin(&mut self) {
+    fn start(&mut self) {
         for index in 0..self.options.nodes {
-            let speed = 1_000 - DRIFT + self.random.random_range(0..=2 * DRIFT);
-            let node = self.new_node(usize::try_from(index).unwrap(), speed);
+            let clock_rate =
+                1_000 - MAX_CLOCK_DRIFT + self.random.random_range(0..=2 * MAX_CLOCK_DRIFT);
+            let node = self.new_node(usize::try_from(index).unwrap(), clock_rate);
             self.nodes.push(node);
         }
         for index in 0..self.nodes.len() {
-            self.plan_operation(index);
+            self.schedule_operation(index);
         }
-        self.plan(Duration::from_millis(50), Happening::View);
-        for at in self.options.killed_all.clone() {
-            self.plan(at, Happening::KillAll);
+        self.schedule(Duration::from_millis(50), SimulationEvent::View);
+        for at in self.options.kill_all_at.clone() {
+            self.schedule(at, SimulationEvent::KillAll);
         }
-        if let Some((begins, ends)) = self.options.cut {
-            self.plan(begins, Happening::Cut(0b1010_1010_1010));
-            self.plan(ends, Happening::Heal);
+        if let Some((starts_at, ends_at)) = self.options.partition {
+            self.schedule(starts_at, SimulationEvent::Partition(0b1010_1010_1010));
+            self.schedule(ends_at, SimulationEvent::Heal);
         }
-        if self.options.flips {
-            self.plan_flips();
+        if self.options.repeated_partitions {
+            self.schedule_repeated_partitions();
         }
         if self.options.faults {
-            self.plan_faults();
+            self.schedule_faults();
         }
-        if let Some(gap) = self.options.rolled {
+        if let Some(gap) = self.options.restart_interval {
             for node in 0..self.nodes.len() {
                 let turn = u32::try_from(node).unwrap() + 2;
-                self.plan(gap * turn, Happening::Leave(node));
+                self.schedule(gap * turn, SimulationEvent::Leave(node));
             }
         }
     }
 
-    fn new_node(&mut self, index: usize, speed: u64) -> Node {
+    fn new_node(&mut self, index: usize, clock_rate: u64) -> Node {
         self.incarnations += 1;
         let id = NodeId(u64::try_from(index).unwrap());
-        let started = local(self.now, speed);
+        let started = local_time(self.now, clock_rate);
         let mut options = LimitOptions::new(id, self.incarnations);
         options.started = started;
         options.lends_shares = self.options.lends_shares;
         options.window = self.options.window;
-        match self.options.broken {
-            Some(Broken::LoanOutlived) if is_odd(id.0 + self.options.seed) => options.loan *= 8,
-            Some(Broken::PresentView) => options.node_retention = Duration::from_millis(100),
-            Some(Broken::LoanOutlived | Broken::LendsTwice) | None => {}
+        match self.options.bug {
+            Some(InjectedBug::LoanOutlivesLender) if is_odd(id.0 + self.options.seed) => {
+                options.loan *= 8
+            }
+            Some(InjectedBug::CountsOnlyVisibleNodes) => {
+                options.node_retention = Duration::from_millis(100)
+            }
+            Some(InjectedBug::LoanOutlivesLender | InjectedBug::DuplicateLends) | None => {}
         }
         let mut limiter = Limiter::new(options);
         let limits = BTreeMap::from([(self.tenant.clone(), self.options.limit)]);
@@ -202,70 +208,72 @@
         Node {
             limiter,
             incarnation: self.incarnations,
-            runs: true,
+            is_running: true,
             started: self.now,
             frozen_until: Time::ZERO,
             inbox: VecDeque::new(),
             wake_at: Time::NEVER,
-            speed,
+            clock_rate,
             waiting: 0,
             side: 0,
-            leaves: false,
+            is_leaving: false,
         }
     }
 
-    fn plan(&mut self, after: Duration, happening: Happening) {
-        self.planned += 1;
-        self.queue
-            .insert((self.now + after, self.planned), happening);
+    fn schedule(&mut self, after: Duration, event: SimulationEvent) {
+        self.scheduled += 1;
+        self.queue.insert((self.now + after, self.scheduled), event);
     }
 
-    fn plan_operation(&mut self, node: usize) {
+    fn schedule_operation(&mut self, node: usize) {
         let rate = self.options.demand[node];
         if rate > 0.0 {
             let mean = 1.0 / rate;
             let pause = mean * 2.0 * self.random.random::<f64>();
-            self.plan(Duration::from_secs_f64(pause), Happening::Operation(node));
+            self.schedule(
+                Duration::from_secs_f64(pause),
+                SimulationEvent::Operation(node),
+            );
         }
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Asked(..) | Happening::Granted(..) => self.deliver(happening),
-            Happening::Operation(node) => {
-                self.plan_operation(node);
-                self.operate(node);
+    fn dispatch(&mut self, event: SimulationEvent) {
+        match event {
+            SimulationEvent::Asked(..) | SimulationEvent::Granted(..) => self.deliver(event),
+            SimulationEvent::Operation(node) => {
+                self.schedule_operation(node);
+                self.submit_operation(node);
             }
-            Happening::Wake(node, incarnation) => self.wake(node, incarnation),
-            Happening::View => {
-                self.show_views();
-                self.plan(VIEW_PAUSE, Happening::View);
+            SimulationEvent::Wake(node, incarnation) => self.wake(node, incarnation),
+            SimulationEvent::View => {
+                self.send_views();
+                self.schedule(VIEW_INTERVAL, SimulationEvent::View);
             }
-            Happening::KillAll => {
+            SimulationEvent::KillAll => {
                 for node in 0..self.nodes.len() {
                     self.kill(node);
                 }
             }
-            Happening::Kill(node) => self.kill(node),
-            Happening::Leave(node) => self.leave(node),
-            Happening::Start(node) => {
-                let speed = self.nodes[node].speed;
-                self.nodes[node] = self.new_node(node, speed);
-                self.tell_recorded(node);
-                self.show_view(node);
+            SimulationEvent::Kill(node) => self.kill(node),
+            SimulationEvent::Leave(node) => self.leave(node),
+            SimulationEvent::Start(node) => {
+                let clock_rate = self.nodes[node].clock_rate;
+                self.nodes[node] = self.new_node(node, clock_rate);
+                self.send_recorded_size(node);
+                self.send_view(node);
             }
-            Happening::Freeze(node, pause) => {
+            SimulationEvent::Freeze(node, pause) => {
                 let incarnation = self.nodes[node].incarnation;
                 self.nodes[node].frozen_until = self.now + pause;
-                self.plan(pause, Happening::Thaw(node, incarnation));
+                self.schedule(pause, SimulationEvent::Thaw(node, incarnation));
             }
-            Happening::Thaw(node, incarnation) => self.thaw(node, incarnation),
-            Happening::Cut(sides) => {
+            SimulationEvent::Thaw(node, incarnation) => self.thaw(node, incarnation),
+            SimulationEvent::Partition(sides) => {
                 for (index, node) in self.nodes.iter_mut().enumerate() {
                     node.side = (sides >> (index % 64)) & 1;
                 }
             }
-            Happening::Heal => {
+            SimulationEvent::Heal => {
                 for node in &mut self.nodes {
                     node.side = 0;
                 }
@@ -277,27 +285,27 @@
         self.now < self.nodes[node].frozen_until
     }
 
-    fn local(&self, node: usize) -> Time {
-        local(self.now, self.nodes[node].speed)
+    fn local_time(&self, node: usize) -> Time {
+        local_time(self.now, self.nodes[node].clock_rate)
     }
 
-    fn deliver(&mut self, happening: Happening) {
-        let to = match &happening {
-            Happening::Asked(_, to, ..) | Happening::Granted(to, ..) => *to,
+    fn deliver(&mut self, event: SimulationEvent) {
+        let to = match &event {
+            SimulationEvent::Asked(_, to, ..) | SimulationEvent::Granted(to, ..) => *to,
             _ => return,
         };
-        if !self.nodes[to].runs {
+        if !self.nodes[to].is_running {
             return;
         }
         if self.is_frozen(to) {
-            return self.nodes[to].inbox.push_back(happening);
+            return self.nodes[to].inbox.push_back(event);
         }
-        let now = self.local(to);
-        match happening {
-            Happening::Asked(from, to, incarnation, request) => {
+        let now = self.local_time(to);
+        match event {
+            SimulationEvent::Asked(from, to, incarnation, request) => {
                 let asking = NodeId(u64::try_from(from).unwrap());
                 let grant = self.nodes[to].limiter.answer(now, asking, &request);
-                if self.options.broken == Some(Broken::LendsTwice) {
+                if self.options.bug == Some(InjectedBug::DuplicateLends) {
                     let other = NodeId(asking.0 + 1_000);
                     let copy = GrantRequest {
                         demands: Vec::new(),
@@ -305,22 +313,26 @@
                     };
                     self.nodes[to].limiter.answer(now, other, &copy);
                 }
-                self.send(to, from, Happening::Granted(from, incarnation, to, grant));
+                self.send(
+                    to,
+                    from,
+                    SimulationEvent::Granted(from, incarnation, to, grant),
+                );
             }
-            Happening::Granted(to, incarnation, from, grant)
+            SimulationEvent::Granted(to, incarnation, from, grant)
                 if self.nodes[to].incarnation == incarnation =>
             {
                 let coordinator = NodeId(u64::try_from(from).unwrap());
                 let event = Event::GrantReceived(coordinator, grant);
                 self.nodes[to].limiter.handle(now, event);
-                self.carry_out(to);
+                self.apply_effects(to);
             }
             _ => {}
         }
     }
 
-    /// Sends a message: late, sometimes twice, sometimes not at all.
-    fn send(&mut self, from: usize, to: usize, message: Happening) {
+    /// Sends a message, which is delayed and may be duplicated or lost.
+    fn send(&mut self, from: usize, to: usize, message: SimulationEvent) {
         if self.nodes[from].side != self.nodes[to].side {
             return;
         }
@@ -334,39 +346,39 @@
             if self.options.faults && self.random.random_range(0..100) == 0 {
                 delay *= 60;
             }
-            self.plan(delay, message.clone());
+            self.schedule(delay, message.clone());
         }
     }
 
-    fn operate(&mut self, node: usize) {
-        if !self.nodes[node].runs || self.is_frozen(node) || self.nodes[node].leaves {
+    fn submit_operation(&mut self, node: usize) {
+        if !self.nodes[node].is_running || self.is_frozen(node) || self.nodes[node].is_leaving {
             return;
         }
         self.wanted += 1;
-        self.settled.0 += u64::from(self.now >= SETTLED);
-        let now = self.local(node);
+        self.settled.0 += u64::from(self.now >= SETTLED_AT);
+        let now = self.local_time(node);
         let tenant = self.tenant.clone();
         match self.nodes[node].limiter.admit(now, &tenant) {
             Admission::Admitted => self.admitted.push(self.now),
             Admission::Denied(retry) => {
-                self.note_denied(1);
+                self.record_denied(1);
                 self.retries.push(retry);
             }
             Admission::Waiting => self.nodes[node].waiting += 1,
         }
-        self.carry_out(node);
+        self.apply_effects(node);
     }
 
-    fn note_denied(&mut self, operations: u32) {
+    fn record_denied(&mut self, operations: u32) {
         self.denied += u64::from(operations);
-        if self.now >= SETTLED {
+        if self.now >= SETTLED_AT {
             self.settled.1 += u64::from(operations);
         }
     }
 
-    fn carry_out(&mut self, node: usize) {
+    fn apply_effects(&mut self, node: usize) {
         let incarnation = self.nodes[node].incarnation;
-        let now = self.local(node);
+        let now = self.local_time(node);
         let tenant = self.tenant.clone();
         loop {
             let effects = self.nodes[node].limiter.take_effects();
@@ -377,7 +389,11 @@
                 match effect {
                     Effect::RequestGrant(to, request) => {
                         let to = usize::try_from(to.0).unwrap();
-                        self.send(node, to, Happening::Asked(node, to, incarnation, request));
+                        self.send(
+                            node,
+                            to,
+                            SimulationEvent::Asked(node, to, incarnation, request),
+                        );
                     }
                     Effect::Available(_) => {
                         while self.nodes[node].waiting > 0
@@ -392,54 +408,54 @@
                         for _ in 0..waiting {
                             self.nodes[node].limiter.give_up(&tenant);
                         }
-                        self.note_denied(waiting);
+                        self.record_denied(waiting);
                     }
                     Effect::RecordFleetSize(nodes) => {
                         self.recorded = self.recorded.max(nodes);
-                        self.tell_recorded(node);
+                        self.send_recorded_size(node);
                     }
                     Effect::CoordinatorChanged { .. } => {}
                 }
             }
         }
-        self.plan_wake(node);
+        self.schedule_wake(node);
     }
 
-    fn plan_wake(&mut self, node: usize) {
+    fn schedule_wake(&mut self, node: usize) {
         let incarnation = self.nodes[node].incarnation;
         if let Some(at) = self.nodes[node].limiter.next_wake() {
-            let pause = at.since(self.local(node)) + Duration::from_millis(1);
+            let pause = at.since(self.local_time(node)) + Duration::from_millis(1);
             let due = self.now + pause;
             let known = self.nodes[node].wake_at;
             if due < known || known <= self.now {
                 self.nodes[node].wake_at = due;
-                self.plan(pause, Happening::Wake(node, incarnation));
+                self.schedule(pause, SimulationEvent::Wake(node, incarnation));
             }
         }
     }
 
     fn wake(&mut self, node: usize, incarnation: u64) {
-        let is_current = self.nodes[node].incarnation == incarnation && self.nodes[node].runs;
+        let is_current = self.nodes[node].incarnation == incarnation && self.nodes[node].is_running;
         if !is_current || self.is_frozen(node) {
             return;
         }
-        let now = self.local(node);
+        let now = self.local_time(node);
         self.nodes[node].limiter.handle(now, Event::Tick);
-        self.carry_out(node);
+        self.apply_effects(node);
     }
 }
 
-fn numbers(nodes: &[(usize, &Node)]) -> BTreeSet<NodeId> {
-    let numbers = nodes
+fn node_ids(nodes: &[(usize, &Node)]) -> BTreeSet<NodeId> {
+    let node_ids = nodes
         .iter()
         .map(|(index, _)| u64::try_from(*index).unwrap());
-    numbers.map(NodeId).collect()
+    node_ids.map(NodeId).collect()
 }
 
 fn is_odd(number: u64) -> bool {
     number % 2 == 1
 }
 
-fn local(now: Time, speed: u64) -> Time {
-    Time(now.0 / 1_000 * speed)
+fn local_time(now: Time, clock_rate: u64) -> Time {
+    Time(now.0 / 1_000 * clock_rate)
 }
--- a/crates/stairward-limits/tests/support/options.rs
+++ b/crates/stairward-limits/tests/support/options.rs
@@ -1,46 +1,47 @@
-//! How a run of a fleet of limiters is set up.
+//! Configuration of a simulated fleet of limiters.
 
 use stairward_limits::{LimitWindow, RateLimit};
 use stairward_types::Duration;
 
-/// What is damaged on purpose, to show that the checker sees it.
+/// A defect injected on purpose, to show that the checker detects it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Broken {
-    /// A coordinator counts a loan for longer than its lender keeps to it.
-    LoanOutlived,
+pub enum InjectedBug {
+    /// A coordinator counts a loan for longer than its lender honours it.
+    LoanOutlivesLender,
     /// The number of nodes is taken from the present view alone.
-    PresentView,
-    /// A doubled message lends twice.
-    LendsTwice,
+    CountsOnlyVisibleNodes,
+    /// A duplicate message lends twice.
+    DuplicateLends,
 }
 
-/// How a run is set up.
+/// Configuration of a run.
 #[derive(Debug, Clone)]
-pub struct Options {
+pub struct Scenario {
     pub seed: u64,
     pub nodes: u64,
     pub limit: RateLimit,
-    /// Operations a second at each node.
+    /// Operations per second at each node.
     pub demand: Vec<f64>,
     pub length: Duration,
-    /// Kills of all nodes, of some, freezes, partitions, each at random moments.
+    /// Whether all nodes or some are killed, frozen or partitioned at random times.
     pub faults: bool,
-    /// All nodes are killed at these moments.
-    pub killed_all: Vec<Duration>,
-    /// A network partition between these moments.
-    pub cut: Option<(Duration, Duration)>,
-    /// Most of the nodes are killed and cut off, and killed again as they are back in touch, over and over.
-    pub flips: bool,
-    /// All nodes are stopped and started again in turn, as planned, so long after each other.
-    pub rolled: Option<Duration>,
-    /// How the limit is counted.
+    /// Times at which all nodes are killed.
+    pub kill_all_at: Vec<Duration>,
+    /// A network partition between these times.
+    pub partition: Option<(Duration, Duration)>,
+    /// Whether most nodes are killed and partitioned, and killed again once they are reconnected,
+    /// repeatedly.
+    pub repeated_partitions: bool,
+    /// Interval at which the nodes are stopped and restarted as planned, one after the other.
+    pub restart_interval: Option<Duration>,
+    /// The window in which the limit is counted.
     pub window: Option<LimitWindow>,
     /// Whether shares are lent.
     pub lends_shares: bool,
-    pub broken: Option<Broken>,
+    pub bug: Option<InjectedBug>,
 }
 
-impl Options {
+impl Scenario {
     pub fn new(seed: u64, rate: u64, burst: u64) -> Self {
         Self {
             seed,
@@ -52,13 +53,13 @@
             demand: vec![20.0; 12],
             length: Duration::from_secs(40),
             faults: false,
-            killed_all: Vec::new(),
-            cut: None,
-            flips: false,
-            rolled: None,
+            kill_all_at: Vec::new(),
+            partition: None,
+            repeated_partitions: false,
+            restart_interval: None,
             window: None,
             lends_shares: true,
-            broken: None,
+            bug: None,
         }
     }
 }
