--- a/crates/stairward-routing/src/choice.rs
+++ b/crates/stairward-routing/src/choice.rs
@@ -1,7 +1,7 @@
-//! Choosing the back end for a read.
+//! Selection of the back end for a read.
 //!
-//! Nearest first, then the less loaded of two taken at random. Source: Mitzenmacher, "The Power of
-//! Two Choices in Randomized Load Balancing", 2001.
+//! The nearest back ends are preferred; among these, the less loaded of two picked at random.
+//! Source: Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing", 2001.
 
 use std::collections::BTreeSet;
 
@@ -9,10 +9,11 @@
 
 use crate::view::{BackendView, GroupView};
 
-/// With this many requests waiting at every near replica, a farther one is taken.
-const BUSY_WAITING: u16 = 16;
+/// Number of waiting requests from which a replica is considered busy. If all near replicas are, a
+/// farther one is chosen.
+const BUSY_THRESHOLD: u16 = 16;
 
-/// A replica that may answer a read with this floor, apart from those already tried.
+/// Chooses a replica for a read with this freshness floor, excluding those already tried.
 pub(crate) fn choose_replica(
     view: &GroupView,
     now: Time,
@@ -29,21 +30,21 @@
     let fresh: Vec<_> = untried
         .iter()
         .copied()
-        .filter(|(_, state)| may_cover(state, now, floor))
+        .filter(|(_, state)| may_satisfy_floor(state, now, floor))
         .collect();
     if !fresh.is_empty() {
         return Some(nearest_and_least_loaded(&fresh, random));
     }
-    // No copy is known to be fresh enough. One wait is worth it; after a refusal the primary is
-    // surer than a second replica.
+    // No replica is known to be fresh enough. Waiting for one to catch up is worth one try; after a
+    // refusal, the primary is more reliable than a second replica.
     if !tried.is_empty() {
         return None;
     }
-    let able: Vec<_> = untried
+    let catching_up: Vec<_> = untried
         .into_iter()
         .filter(|(_, state)| state.may_catch_up(now))
         .collect();
-    freshest(&able)
+    freshest(&catching_up)
 }
 
 fn is_replica(view: &GroupView, backend: &BackendId, state: &BackendView) -> bool {
@@ -57,9 +58,9 @@
     !is_known_primary && !is_only_primary_seen
 }
 
-/// Whether nothing speaks against the replica having reached the floor. Old observations count for
-/// nothing, or a replica that is not asked would never be asked again.
-fn may_cover(state: &BackendView, now: Time, floor: Option<Freshness>) -> bool {
+/// Whether the replica may have reached the floor. Old observations are not held against it, or a
+/// replica that gets no requests would never get one again.
+fn may_satisfy_floor(state: &BackendView, now: Time, floor: Option<Freshness>) -> bool {
     state.covers(floor) || (state.is_observation_old(now) && state.may_catch_up(now))
 }
 
@@ -70,7 +71,7 @@
 fn nearest_and_least_loaded(candidates: &[(&BackendId, &BackendView)], random: u64) -> BackendId {
     let nearest = candidates
         .iter()
-        .filter(|(_, state)| waiting(state) < BUSY_WAITING)
+        .filter(|(_, state)| waiting(state) < BUSY_THRESHOLD)
         .map(|(_, state)| state.distance)
         .min();
     let tier: Vec<_> = candidates
--- a/crates/stairward-routing/src/event.rs
+++ b/crates/stairward-routing/src/event.rs
@@ -1,4 +1,4 @@
-//! What the request machine is told, and what it asks for.
+//! Events that the request machine receives, and effects that it returns.
 
 use std::time::Duration;
 
@@ -7,95 +7,97 @@
 use crate::outcome::Outcome;
 use crate::view::Observation;
 
-/// What is asked for.
+/// Properties of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RequestSpec {
-    /// Whether it may write.
+    /// Whether the request may write.
     pub access: AccessClass,
-    /// Whether it may run twice: a read, a write so marked by its caller, or one with a request key.
+    /// Whether it may be executed twice: a read, a write marked repeatable by its caller, or a
+    /// write with a request key.
     pub repeatable: bool,
     /// Whether it may commit writes. False for the first batch of a transaction that stays open.
     pub may_commit: bool,
-    /// The answer must come from a copy that covers this.
+    /// Freshness floor: the copy that answers must cover it.
     pub floor: Option<Freshness>,
-    /// Whether replicas are not to be asked, since the floor could not be learnt.
+    /// Whether only the primary may answer, since the floor could not be determined.
     pub primary_only: bool,
-    /// When the caller gives up.
+    /// The deadline of the caller.
     pub deadline: Time,
-    /// Its size, for the hold queue.
+    /// Its size in bytes, for the hold queue.
     pub bytes: usize,
 }
 
-/// What happened to a request.
+/// An event of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
-    /// It arrived. Always the first event.
+    /// The request arrived. Always the first event.
     Start,
-    /// The owner lent a connection. Carries the back end's state, if known.
+    /// The owner admitted the request to a connection. Contains the back end's state, if known.
     Admitted(Option<Observation>),
-    /// The owner refused; nothing ran.
+    /// The owner refused the request; nothing was executed.
     Refused {
-        /// Why, of the class *not run*.
+        /// The reason, of the class *not run*.
         code: ResultCode,
-        /// When it may be worth asking again.
+        /// When a retry may succeed.
         retry_after: Option<Duration>,
         /// The back end's state, if known.
         observation: Option<Observation>,
     },
-    /// The first bytes of the answer were passed to the caller.
+    /// The first bytes of the answer were forwarded to the caller.
     AnswerStarted,
-    /// The batch ended and its answer was passed on whole. Carries the back end's state, if known.
+    /// The batch ended and its answer was forwarded completely. Contains the back end's state, if
+    /// known.
     Done(Option<Observation>),
     /// The owner cannot tell the outcome.
     OutcomeUnknown {
-        /// Why, of the class *outcome unknown*.
+        /// The reason, of the class *outcome unknown*.
         code: ResultCode,
         /// The back end's state, if known.
         observation: Option<Observation>,
     },
-    /// The batch's transaction was lost without being committed.
+    /// The transaction of the batch was lost without being committed.
     TransactionLost,
     /// The connection to the owner was lost.
     StreamLost {
         /// Whether the request had been sent on it.
         request_sent: bool,
     },
-    /// A primary was learnt, or the one known was found alive.
+    /// A new primary was found, or the known one was confirmed.
     PrimaryFound,
-    /// The caller cancels.
+    /// The caller cancelled the request.
     Cancelled,
-    /// Time has passed; comes at the latest at each [`Effect::WakeAt`].
+    /// Time has passed; delivered at the latest at each [`Effect::WakeAt`].
     Tick,
 }
 
-/// One try at one back end.
+/// One attempt at one back end.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Attempt {
     /// The back end.
     pub backend: BackendId,
-    /// Whether to ask its standby owner.
+    /// Whether to send it to the standby owner of the back end.
     pub use_standby: bool,
-    /// The owner is to refuse unless the back end's term is at least this.
+    /// The owner must refuse the request unless the back end's term is at least this.
     pub expected_term: Term,
-    /// How long the owner may wait for the floor.
+    /// How long the owner may wait until the back end reaches the floor.
     pub freshness_wait: Duration,
     /// Time left until the deadline.
     pub remaining: Duration,
 }
 
-/// What is to be done.
+/// Output of the request machine, to be carried out by the caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Effect {
     /// Send the request.
     Send(Attempt),
-    /// Deliver [`Event::Tick`] at this moment. Replaces the moment named before.
+    /// Deliver [`Event::Tick`] at this time. Replaces the previous time.
     WakeAt(Time),
-    /// Ask the group's members for the newest primary, then deliver [`Event::PrimaryFound`].
+    /// Query the members of the group for the newest primary, then deliver [`Event::PrimaryFound`].
     FindPrimary,
-    /// Pass the cancellation to the owner.
+    /// Forward the cancellation to the owner.
     Cancel,
-    /// Let go of the stream.
+    /// Abandon the stream.
     Abandon,
-    /// Answer the caller. The last effect.
+    /// Complete the request with this outcome. The last effect.
     Finish(Outcome),
 }
--- a/crates/stairward-routing/src/hold.rs
+++ b/crates/stairward-routing/src/hold.rs
@@ -1,22 +1,22 @@
-//! The hold queue: requests not yet sent that wait for a primary.
+//! The hold queue: requests that were not sent yet and wait for a primary.
 //!
-//! Bounded in number, bytes and time; released one after another at a bounded rate, so that a new
-//! primary isn't met by everything at once.
+//! It is bounded in number, bytes and time. Requests are released at a bounded rate, so that a new
+//! primary does not receive all of them at once.
 
 use std::time::Duration;
 
 use stairward_types::Time;
 
-/// Bounds of a [`HoldQueue`].
+/// Limits of a [`HoldQueue`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HoldLimits {
-    /// Requests that may wait.
+    /// Maximum number of waiting requests.
     pub requests: usize,
-    /// Bytes of requests that may wait.
+    /// Maximum total size of waiting requests, in bytes.
     pub bytes: usize,
-    /// How long one request may wait.
+    /// Maximum waiting time of one request.
     pub time: Duration,
-    /// Least time between two releases.
+    /// Minimum time between two releases.
     pub release_interval: Duration,
 }
 
@@ -31,13 +31,13 @@
     }
 }
 
-/// A place in the hold queue; give it back with [`HoldQueue::leave`].
+/// A reserved place in the hold queue, to be returned with [`HoldQueue::leave`].
 #[derive(Debug, PartialEq, Eq)]
 pub struct HoldTicket {
     bytes: usize,
 }
 
-/// Counts the requests of a group that wait at this edge.
+/// Tracks the requests of a database group that wait at this edge.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct HoldQueue {
     requests: usize,
@@ -46,7 +46,7 @@
 }
 
 impl HoldQueue {
-    /// Takes a place for a request of so many bytes; `None` when the queue is full.
+    /// Reserves a place for a request of this size; `None` if the queue is full.
     pub fn enter(&mut self, bytes: usize, limits: &HoldLimits) -> Option<HoldTicket> {
         let fits = self.requests < limits.requests
             && self
@@ -61,26 +61,26 @@
         Some(HoldTicket { bytes })
     }
 
-    /// Gives a place back.
+    /// Returns a place.
     pub fn leave(&mut self, ticket: HoldTicket) {
         self.requests = self.requests.saturating_sub(1);
         self.bytes = self.bytes.saturating_sub(ticket.bytes);
     }
 
-    /// The moment at which the next waiting request may be sent, now that a primary is known.
+    /// The time at which the next waiting request may be sent, once a primary is known.
     pub fn release_time(&mut self, now: Time, limits: &HoldLimits) -> Time {
         let release = self.next_release.max(now);
         self.next_release = release + limits.release_interval;
         release
     }
 
-    /// Requests that wait.
+    /// The number of waiting requests.
     #[must_use]
     pub fn len(&self) -> usize {
         self.requests
     }
 
-    /// Whether nothing waits.
+    /// Whether no request waits.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.requests == 0
--- a/crates/stairward-routing/src/lib.rs
+++ b/crates/stairward-routing/src/lib.rs
@@ -1,9 +1,9 @@
-//! Which back end may answer a request: freshness, roles, retries, deadlines and the hold queue.
+//! Routing of requests to back ends: freshness, roles, retries, deadlines and the hold queue.
 //!
-//! [`RequestMachine`] takes one request from its start to exactly one [`Outcome`]. It shares with
-//! the other requests of its database group a [`GroupRouting`]: what is known of the back ends
-//! ([`GroupView`]), the retry budget and the hold queue. Everything here is pure: time and random
-//! numbers are passed in, and what must be done is returned as [`Effect`]s.
+//! [`RequestMachine`] takes one request from its start to exactly one [`Outcome`]. It shares a
+//! [`GroupRouting`] with the other requests of its database group: the state of the back ends
+//! ([`GroupView`]), the retry budget and the hold queue. The crate does no I/O: time and random
+//! numbers are passed in, and the steps to carry out are returned as [`Effect`]s.
 
 #![forbid(unsafe_code)]
 
@@ -25,14 +25,14 @@
 
 use std::time::Duration;
 
-/// The settings of a group that routing needs.
+/// The settings of a database group that affect routing.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RoutingLimits {
-    /// Bounds of the hold queue.
+    /// Limits of the hold queue.
     pub hold: HoldLimits,
     /// Retries allowed, in thousandths of recent successes.
     pub retry_budget_permille: u32,
-    /// How long an owner may wait for a replica to reach a request's floor.
+    /// How long an owner may wait for a replica to reach the freshness floor of a request.
     pub freshness_wait: Duration,
 }
 
@@ -46,21 +46,21 @@
     }
 }
 
-/// What all requests of one group at one edge share.
+/// State shared by all requests of one database group at one edge.
 #[derive(Debug, Clone, Default)]
 pub struct GroupRouting {
-    /// What is known of the back ends.
+    /// The known state of the back ends.
     pub view: GroupView,
-    /// Pays for retries.
+    /// The budget for retries.
     pub budget: RetryBudget,
-    /// Requests that wait for a primary.
+    /// The queue of requests that wait for a primary.
     pub hold: HoldQueue,
-    /// Settings in force.
+    /// The current settings.
     pub limits: RoutingLimits,
 }
 
 impl GroupRouting {
-    /// Puts changed settings in force.
+    /// Applies changed settings.
     pub fn set_limits(&mut self, limits: RoutingLimits) {
         self.budget.set_share(limits.retry_budget_permille);
         self.limits = limits;
--- a/crates/stairward-routing/src/outcome.rs
+++ b/crates/stairward-routing/src/outcome.rs
@@ -1,20 +1,20 @@
-//! How a request ends.
+//! Outcome of a request.
 
 use std::time::Duration;
 
 use stairward_types::ResultCode;
 
-/// Why a request was not answered, and when to come back.
+/// Why a request was not answered, and when to retry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Failure {
-    /// The result code; its class says whether the request ran.
+    /// The result code; its class says whether the request was executed.
     pub code: ResultCode,
-    /// When the same request may be worth sending again; `None` when waiting doesn't help.
+    /// When a retry of the same request may succeed; `None` if waiting does not help.
     pub retry_after: Option<Duration>,
 }
 
 impl Failure {
-    /// A failure that waiting doesn't mend.
+    /// A failure for which waiting does not help.
     #[must_use]
     pub const fn new(code: ResultCode) -> Self {
         Self {
@@ -23,7 +23,7 @@
         }
     }
 
-    /// A failure after which the caller may come back.
+    /// A failure after which the caller may retry.
     #[must_use]
     pub const fn retry_after(code: ResultCode, delay: Duration) -> Self {
         Self {
@@ -33,11 +33,11 @@
     }
 }
 
-/// How a request ended. Every request has exactly one.
+/// The outcome of a request. Every request has exactly one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// The back end's answer was passed on whole.
+    /// The answer of the back end was forwarded completely.
     Answered,
-    /// stairward answers in the back end's place.
+    /// stairward answered with an error in place of the back end.
     Failed(Failure),
 }
--- a/crates/stairward-routing/src/request.rs
+++ b/crates/stairward-routing/src/request.rs
@@ -1,4 +1,4 @@
-//! One request from its start to its outcome.
+//! State machine of one request, from its start to its outcome.
 
 use std::collections::BTreeSet;
 
@@ -15,17 +15,17 @@
     pub(crate) term: Term,
     pub(crate) use_standby: bool,
     /// Whether the caller has seen part of the answer.
-    pub(crate) answered: bool,
+    pub(crate) answer_started: bool,
 }
 
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct Waiting {
     pub(crate) ticket: Option<HoldTicket>,
-    /// When to give up waiting.
+    /// When to stop waiting.
     pub(crate) until: Time,
-    /// When to go on by itself; `Time::NEVER` when only a primary can help.
+    /// When to try again without an event; `Time::NEVER` if only a new primary can help.
     pub(crate) resume: Time,
-    /// What to answer when nothing helped.
+    /// The result code if waiting ends without success.
     pub(crate) cause: ResultCode,
 }
 
@@ -37,22 +37,22 @@
     Finished,
 }
 
-/// Decides for one request. Feed it events until it returns [`Effect::Finish`].
+/// State machine of one request. Pass it events until it returns [`Effect::Finish`].
 #[derive(Debug)]
 pub struct RequestMachine {
     pub(crate) spec: RequestSpec,
     pub(crate) state: State,
-    /// Replicas that refused or failed since the last pause.
+    /// Replicas that refused or failed since the last wait.
     pub(crate) tried: BTreeSet<BackendId>,
-    /// Set once an attempt of a repeatable request ended with its outcome unknown.
+    /// Set once an attempt of a repeatable request has ended with an unknown outcome.
     pub(crate) unknown: Option<ResultCode>,
-    /// When the request began to wait for a primary, over all waits.
+    /// Time at which the request stops waiting for a primary, over all its waits.
     pub(crate) wait_deadline: Option<Time>,
     pub(crate) cancelled: bool,
 }
 
 impl RequestMachine {
-    /// A machine for a request that has not started.
+    /// Creates the state machine of a request that has not started.
     #[must_use]
     pub fn new(spec: RequestSpec) -> Self {
         Self {
@@ -65,7 +65,7 @@
         }
     }
 
-    /// What is asked for.
+    /// The properties of the request.
     #[must_use]
     pub fn spec(&self) -> &RequestSpec {
         &self.spec
@@ -77,13 +77,13 @@
         self.state == State::Finished
     }
 
-    /// Whether an attempt is under way.
+    /// Whether an attempt is in progress.
     #[must_use]
     pub fn is_sent(&self) -> bool {
         matches!(self.state, State::Sent(_))
     }
 
-    /// Takes an event and says what to do. `random` is used to spread load.
+    /// Handles an event and returns the effects to carry out. `random` is used to spread load.
     pub fn handle(
         &mut self,
         now: Time,
@@ -101,7 +101,7 @@
             random,
             effects: Vec::new(),
         };
-        step.take(event);
+        step.handle(event);
         step.effects
     }
 }
--- a/crates/stairward-routing/src/step.rs
+++ b/crates/stairward-routing/src/step.rs
@@ -1,4 +1,4 @@
-//! What one event does to a request.
+//! Transitions of a request: the handling of one event.
 
 use std::time::Duration;
 
@@ -11,13 +11,13 @@
 use crate::request::{RequestMachine, Sent, State, Waiting};
 use crate::view::Observation;
 
-/// How long after its deadline a request that was sent may still be answered, since the owner keeps
-/// the deadline too and knows better how it ended.
+/// How long after its deadline a request that was sent may still be answered. The owner enforces
+/// the deadline as well and knows better how the request ended.
 const DEADLINE_GRACE: Duration = Duration::from_millis(500);
-/// Pause before an owner is looked for again.
-const OWNER_PAUSE: Duration = Duration::from_millis(50);
-/// Advised to callers whose retries are not paid for.
-const BUDGET_PAUSE: Duration = Duration::from_millis(200);
+/// Delay before the request is sent to an owner again.
+const OWNER_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Retry delay for callers whose retries exceed the retry budget.
+const BUDGET_RETRY_AFTER: Duration = Duration::from_millis(200);
 
 /// The handling of one event.
 pub(crate) struct Step<'a> {
@@ -29,14 +29,14 @@
 }
 
 impl Step<'_> {
-    /// Handles the event, adding to the effects.
-    pub(crate) fn take(&mut self, event: Event) {
+    /// Handles an event and appends to the effects.
+    pub(crate) fn handle(&mut self, event: Event) {
         match event {
             Event::Start => self.start(),
             Event::Tick => self.tick(),
             Event::PrimaryFound => self.primary_found(),
             Event::Cancelled => self.cancelled(),
-            other => self.take_from_owner(other),
+            other => self.handle_owner_event(other),
         }
     }
 
@@ -46,7 +46,7 @@
         self.attempt();
     }
 
-    /// Sends the request to the best back end, or has it wait.
+    /// Sends the request to the best back end, or lets it wait.
     fn attempt(&mut self) {
         if self.now >= self.machine.spec.deadline {
             return self.fail(Failure::new(ResultCode::DeadlineBeforeSend));
@@ -91,11 +91,11 @@
             backend,
             term,
             use_standby,
-            answered: false,
+            answer_started: false,
         }));
     }
 
-    /// Changes the state and gives back a place in the hold queue that the old one had.
+    /// Changes the state and returns the place in the hold queue that the old state held.
     fn set_state(&mut self, state: State) {
         let old = std::mem::replace(&mut self.machine.state, state);
         if let State::Waiting(Waiting {
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Waits in the hold queue until a primary is learnt.
+    /// Waits in the hold queue until a primary is found.
     fn hold(&mut self, cause: ResultCode) {
         self.wait(Time::NEVER, cause);
         if !self.machine.is_finished() {
@@ -193,16 +193,16 @@
         }
     }
 
-    /// Events of the attempt under way; late ones of an earlier attempt can't arrive, since its
-    /// stream is gone.
-    fn take_from_owner(&mut self, event: Event) {
+    /// Handles an event of the attempt in progress. Late events of an earlier attempt can't arrive,
+    /// since its stream is closed.
+    fn handle_owner_event(&mut self, event: Event) {
         let State::Sent(sent) = &mut self.machine.state else {
             return;
         };
         let backend = sent.backend.clone();
         match event {
             Event::Admitted(observation) => self.observe(&backend, observation),
-            Event::AnswerStarted => sent.answered = true,
+            Event::AnswerStarted => sent.answer_started = true,
             Event::Done(observation) => self.done(&backend, observation),
             Event::Refused {
                 code,
@@ -214,13 +214,15 @@
             }
             Event::OutcomeUnknown { code, observation } => {
                 self.observe(&backend, observation);
-                self.lost(code);
+                self.outcome_unknown(code);
             }
             Event::TransactionLost => self.transaction_lost(),
             Event::StreamLost {
                 request_sent: false,
             } => self.owner_refused(ResultCode::NotOwner),
-            Event::StreamLost { request_sent: true } => self.lost(ResultCode::OwnerLostAfterSend),
+            Event::StreamLost { request_sent: true } => {
+                self.outcome_unknown(ResultCode::OwnerLostAfterSend)
+            }
             Event::Start | Event::PrimaryFound | Event::Cancelled | Event::Tick => {}
         }
     }
@@ -241,12 +243,12 @@
     fn refused(&mut self, code: ResultCode, retry_after: Option<Duration>) {
         match code {
             ResultCode::NotFreshEnough => self.not_fresh_enough(),
-            ResultCode::BackendLeaving | ResultCode::PrimaryReplaced => self.go_elsewhere(code),
+            ResultCode::BackendLeaving | ResultCode::PrimaryReplaced => self.try_elsewhere(code),
             ResultCode::BackendUnavailable => {
-                self.mark_failed(retry_after);
+                self.record_failure(retry_after);
                 self.retry_elsewhere(Failure {
                     code,
-                    retry_after: retry_after.or(Some(OWNER_PAUSE)),
+                    retry_after: retry_after.or(Some(OWNER_RETRY_DELAY)),
                 });
             }
             ResultCode::Overloaded => self.overloaded(retry_after),
@@ -258,7 +260,8 @@
         }
     }
 
-    /// Another copy is asked, free of charge: each is asked once at most, so the hops are bounded.
+    /// Tries another copy without charging the retry budget: each copy is tried at most once, so
+    /// the number of hops is bounded.
     fn not_fresh_enough(&mut self) {
         let Some(sent) = self.sent() else { return };
         let (backend, is_primary) = (sent.backend.clone(), self.sent_to_primary());
@@ -270,9 +273,10 @@
         self.attempt();
     }
 
-    /// The back end takes nothing new; free of charge, as above.
-    fn go_elsewhere(&mut self, code: ResultCode) {
-        self.mark_failed(None);
+    /// The back end accepts no new work; tries elsewhere without charging the retry budget, as
+    /// above.
+    fn try_elsewhere(&mut self, code: ResultCode) {
+        self.record_failure(None);
         if self.sent_to_primary() {
             self.suspect_primary();
             return self.hold(code);
@@ -280,20 +284,20 @@
         self.attempt();
     }
 
-    /// A full primary is not asked again: the caller is told at once when to come back.
+    /// An overloaded primary is not tried again: the caller is told at once when to retry.
     fn overloaded(&mut self, retry_after: Option<Duration>) {
         let failure = Failure {
             code: ResultCode::Overloaded,
-            retry_after: retry_after.or(Some(BUDGET_PAUSE)),
+            retry_after: retry_after.or(Some(BUDGET_RETRY_AFTER)),
         };
         if self.sent_to_primary() {
             return self.fail(failure);
         }
-        self.mark_failed(retry_after);
+        self.record_failure(retry_after);
         self.retry(failure);
     }
 
-    /// The node asked does not serve the back end: its standby may, or the next owner soon will.
+    /// The node does not serve the back end: its standby may, or the next owner will soon.
     fn owner_refused(&mut self, code: ResultCode) {
         let Some(sent) = self.sent() else { return };
         let (backend, term, was_standby) = (sent.backend.clone(), sent.term, sent.use_standby);
@@ -301,35 +305,37 @@
             return self.send(backend, term, true);
         }
         if self.sent_to_primary() {
-            return self.wait(self.now + OWNER_PAUSE, code);
+            return self.wait(self.now + OWNER_RETRY_DELAY, code);
         }
-        self.mark_failed(None);
+        self.record_failure(None);
         self.attempt();
     }
 
-    /// An attempt ended without our knowing how.
-    fn lost(&mut self, code: ResultCode) {
+    /// The outcome of an attempt is unknown.
+    fn outcome_unknown(&mut self, code: ResultCode) {
         let spec = &self.machine.spec;
         if spec.access == AccessClass::Write && !spec.may_commit {
             // Its transaction was still open, so all of it is rolled back.
             return self.transaction_lost();
         }
-        let answered = self.sent().is_some_and(|sent| sent.answered);
-        self.mark_failed(None);
-        if answered || !self.machine.spec.repeatable {
+        let answer_started = self.sent().is_some_and(|sent| sent.answer_started);
+        self.record_failure(None);
+        if answer_started || !self.machine.spec.repeatable {
             return self.fail(Failure::new(code));
         }
-        // A read that may have run is no longer "not run" either, though running it harms nobody.
+        // A read that may have run must not be reported as "not run" either, although running it is
+        // harmless.
         self.machine.unknown = Some(code);
         self.retry_elsewhere(Failure::new(code));
     }
 
-    /// The batch is provably rolled back; it may run again unless the caller has seen answers.
+    /// The batch was certainly rolled back; it may run again unless the caller has seen part of the
+    /// answer.
     fn transaction_lost(&mut self) {
-        let answered = self.sent().is_some_and(|sent| sent.answered);
-        self.mark_failed(None);
-        let failure = Failure::retry_after(ResultCode::TransactionLost, OWNER_PAUSE);
-        if answered {
+        let answer_started = self.sent().is_some_and(|sent| sent.answer_started);
+        self.record_failure(None);
+        let failure = Failure::retry_after(ResultCode::TransactionLost, OWNER_RETRY_DELAY);
+        if answer_started {
             return self.fail(failure);
         }
         self.retry_elsewhere(failure);
@@ -342,7 +348,7 @@
         self.retry(failure);
     }
 
-    /// Tries again if the budget pays for it; otherwise the caller gets its answer now.
+    /// Retries if the retry budget allows it; otherwise fails the request now.
     fn retry(&mut self, failure: Failure) {
         if self.group.budget.withdraw() {
             return self.attempt();
@@ -350,7 +356,7 @@
         if failure.code.class() == OutcomeClass::OutcomeUnknown {
             return self.fail(failure);
         }
-        let pause = failure.retry_after.unwrap_or(BUDGET_PAUSE);
+        let pause = failure.retry_after.unwrap_or(BUDGET_RETRY_AFTER);
         self.fail(Failure::retry_after(ResultCode::RetryBudgetSpent, pause));
     }
 
@@ -375,7 +381,7 @@
         self.group.view.suspect_primary(&backend, term);
     }
 
-    fn mark_failed(&mut self, at_least: Option<Duration>) {
+    fn record_failure(&mut self, at_least: Option<Duration>) {
         let Some(sent) = self.sent() else { return };
         let backend = sent.backend.clone();
         self.group.view.record_failure(self.now, &backend, at_least);
--- a/crates/stairward-routing/src/view.rs
+++ b/crates/stairward-routing/src/view.rs
@@ -1,28 +1,28 @@
-//! What an edge knows of the back ends of a group. All of it are hints: a wrong one costs a hop,
-//! never a wrong answer, since the owner of a back end decides.
+//! State of the back ends of a database group as known at an edge. All of it is a hint: wrong
+//! information costs a hop but never gives a wrong answer, since the owner of a back end decides.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
 use stairward_types::{AdminState, BackendId, BackendRole, Freshness, Term, Time};
 
-/// First pause after a back end failed; doubled with each further failure.
-const FIRST_BACK_OFF: Duration = Duration::from_millis(50);
-/// Longest pause after failures.
-const MAXIMUM_BACK_OFF: Duration = Duration::from_secs(2);
-/// Longest time for which a replica that lagged isn't asked to catch up. Short, since asking in vain
-/// costs one hop, while not asking sends reads to the primary.
-const MAXIMUM_LAG_PAUSE: Duration = Duration::from_millis(200);
-/// Doublings until [`MAXIMUM_BACK_OFF`] is certain.
-const MAXIMUM_DOUBLINGS: u32 = 6;
-/// Age from which an observation no longer tells that a replica is behind.
+/// Initial back-off after a back end failed; doubled with each further failure.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
+/// Maximum back-off after failures.
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
+/// Maximum time for which a lagging replica isn't asked to catch up. It is short, since asking in
+/// vain costs one hop, while not asking sends reads to the primary.
+const MAX_LAG_BACKOFF: Duration = Duration::from_millis(200);
+/// Number of doublings that reaches [`MAX_BACKOFF`].
+const MAX_DOUBLINGS: u32 = 6;
+/// Age from which an observation no longer shows that a replica is behind.
 const OBSERVATION_VALIDITY: Duration = Duration::from_millis(100);
-/// Least time between two samples of the group's newest freshness.
+/// Minimum time between two samples of the group's newest freshness.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(50);
-/// Samples kept, which bounds the staleness that can be told apart to 32 s.
-const MAXIMUM_SAMPLES: usize = 640;
+/// Number of samples kept, which limits the staleness that can be distinguished to 32 s.
+const MAX_SAMPLES: usize = 640;
 
-/// How far a back end is from this edge.
+/// Distance of a back end from this edge.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ZoneDistance {
     /// In the same zone.
@@ -33,35 +33,35 @@
     Remote,
 }
 
-/// A back end's state as reported by its owner.
+/// The state of a back end as reported by its owner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Observation {
     /// Its term and position.
     pub freshness: Freshness,
     /// Its role.
     pub role: BackendRole,
-    /// Requests that wait for it.
+    /// Number of requests waiting for it.
     pub waiting: u16,
 }
 
-/// What is known of one back end.
+/// The known state of one back end.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BackendView {
-    /// What operators have said about it.
+    /// Its administrative state, as set by operators.
     pub admin_state: AdminState,
-    /// How far it is.
+    /// Its distance from this edge.
     pub distance: ZoneDistance,
     /// Its last observed state; `None` before the first.
     pub last_observation: Option<Observation>,
-    /// When that was.
+    /// Time of the last observation.
     observed_at: Time,
-    /// Failures since it last answered.
+    /// Number of failures since it last answered.
     failures: u32,
-    /// Not to be tried before this moment, unless it is the only choice.
+    /// Not to be tried before this time, unless it is the only choice.
     avoid_until: Time,
-    /// Refusals as not fresh enough since it last answered.
+    /// Number of refusals as not fresh enough since it last answered.
     lagging_refusals: u32,
-    /// Not to be asked to wait for a floor before this moment.
+    /// Not to be asked to wait for a floor before this time.
     lagging_until: Time,
 }
 
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Whether it may be given new work at all.
+    /// Whether it may receive new work.
     #[must_use]
     pub fn is_usable(&self, now: Time) -> bool {
         self.admin_state == AdminState::Active && now >= self.avoid_until
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Whether it was observed so long ago that it may have reached any floor since.
+    /// Whether its last observation is so old that it may have reached any floor since.
     #[must_use]
     pub fn is_observation_old(&self, now: Time) -> bool {
         now.since(self.observed_at) >= OBSERVATION_VALIDITY
@@ -108,23 +108,23 @@
     }
 }
 
-fn back_off(failures: u32) -> Duration {
-    let doublings = failures.saturating_sub(1).min(MAXIMUM_DOUBLINGS);
-    (FIRST_BACK_OFF * 2_u32.pow(doublings)).min(MAXIMUM_BACK_OFF)
+fn backoff(failures: u32) -> Duration {
+    let doublings = failures.saturating_sub(1).min(MAX_DOUBLINGS);
+    (INITIAL_BACKOFF * 2_u32.pow(doublings)).min(MAX_BACKOFF)
 }
 
-/// The newest primary known of a group.
+/// The newest known primary of a database group.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PrimaryView {
     /// Its term.
     pub term: Term,
-    /// Which back end it is.
+    /// The back end.
     pub backend: BackendId,
     /// Whether it was found unusable since it was last confirmed.
     pub suspected: bool,
 }
 
-/// What is known of a group's back ends.
+/// The known state of the back ends of a database group.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct GroupView {
     backends: BTreeMap<BackendId, BackendView>,
@@ -134,8 +134,8 @@
 }
 
 impl GroupView {
-    /// Replaces the members by those of the settings in force; what is known of those that stay is
-    /// kept.
+    /// Replaces the members by those of the current settings, and keeps the state of those that
+    /// remain.
     pub fn set_backends(
         &mut self,
         backends: impl IntoIterator<Item = (BackendId, AdminState, ZoneDistance)>,
@@ -157,7 +157,7 @@
         &self.backends
     }
 
-    /// The newest primary known.
+    /// The newest known primary.
     #[must_use]
     pub fn primary(&self) -> Option<&PrimaryView> {
         self.primary.as_ref()
@@ -169,7 +169,7 @@
         self.newest
     }
 
-    /// Learns of a primary, or that the one known is alive. Older terms are ignored.
+    /// Records a primary, or that the known one is alive. Older terms are ignored.
     pub fn confirm_primary(&mut self, term: Term, backend: BackendId) {
         let is_older = self.primary.as_ref().is_some_and(|known| term < known.term);
         if is_older {
@@ -186,7 +186,7 @@
         });
     }
 
-    /// Notes that the primary could not be used. Ignored when a newer one is known by now.
+    /// Records that the primary could not be used. Ignored if a newer one is known.
     pub fn suspect_primary(&mut self, backend: &BackendId, term: Term) {
         if let Some(known) = &mut self.primary
             && known.backend == *backend
@@ -196,7 +196,7 @@
         }
     }
 
-    /// Notes a back end's state.
+    /// Records an observation of a back end.
     pub fn observe(&mut self, now: Time, backend: &BackendId, observation: Observation) {
         let Some(view) = self.backends.get_mut(backend) else {
             return;
@@ -211,7 +211,7 @@
         if due {
             self.samples.push_back((now, self.newest));
         }
-        if self.samples.len() > MAXIMUM_SAMPLES {
+        if self.samples.len() > MAX_SAMPLES {
             self.samples.pop_front();
         }
         let is_newer_primary = observation.role == BackendRole::Primary
@@ -224,7 +224,8 @@
         }
     }
 
-    /// What any copy that is at most `staleness` behind must cover, as far as this edge has seen.
+    /// The freshness that any copy at most `staleness` behind must cover, as far as this edge has
+    /// observed.
     #[must_use]
     pub fn staleness_floor(&self, now: Time, staleness: Duration) -> Option<Freshness> {
         let newest_allowed_age = now - staleness;
@@ -235,7 +236,7 @@
             .map(|(_, freshness)| *freshness)
     }
 
-    /// Notes that a back end answered.
+    /// Records that a back end answered.
     pub fn record_success(&mut self, backend: &BackendId) {
         if let Some(view) = self.backends.get_mut(backend) {
             view.failures = 0;
@@ -244,20 +245,20 @@
         }
     }
 
-    /// Notes that a back end could not be used, and for how long to leave it alone at least.
+    /// Records that a back end could not be used, and the minimum time for which to avoid it.
     pub fn record_failure(&mut self, now: Time, backend: &BackendId, at_least: Option<Duration>) {
         if let Some(view) = self.backends.get_mut(backend) {
             view.failures = view.failures.saturating_add(1);
-            let pause = back_off(view.failures).max(at_least.unwrap_or_default());
-            view.avoid_until = now + pause.min(MAXIMUM_BACK_OFF);
+            let pause = backoff(view.failures).max(at_least.unwrap_or_default());
+            view.avoid_until = now + pause.min(MAX_BACKOFF);
         }
     }
 
-    /// Notes that a replica did not reach a floor in time.
+    /// Records that a replica did not reach a floor in time.
     pub fn record_lag(&mut self, now: Time, backend: &BackendId) {
         if let Some(view) = self.backends.get_mut(backend) {
             view.lagging_refusals = view.lagging_refusals.saturating_add(1);
-            view.lagging_until = now + back_off(view.lagging_refusals).min(MAXIMUM_LAG_PAUSE);
+            view.lagging_until = now + backoff(view.lagging_refusals).min(MAX_LAG_BACKOFF);
         }
     }
 }
