--- a/crates/stairward-routing/tests/request.rs
+++ b/crates/stairward-routing/tests/request.rs
@@ -1,4 +1,4 @@
-//! The request machine: choice of back end, retries, deadlines, hold queue and outcome classes.
+//! The request machine: selection of back ends, retries, deadlines, hold queue and outcome classes.
 
 use std::time::Duration;
 
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn a_busy_near_replica_is_passed_over_for_a_farther_one() {
+fn a_busy_near_replica_is_skipped_for_a_farther_one() {
     let mut group = group();
     let busy = observation(BackendRole::Replica, 100, 100);
     group.view.observe(at(0), &backend("b"), busy);
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn a_leaving_back_end_gets_nothing_new() {
+fn a_leaving_back_end_gets_no_new_requests() {
     let mut group = group();
     group.view.set_backends([
         (backend("a"), AdminState::Active, ZoneDistance::SameZone),
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn a_read_that_no_replica_can_answer_yet_ends_at_the_primary() {
+fn a_read_that_no_replica_is_fresh_enough_for_goes_to_the_primary() {
     let mut group = group();
     let floor = Some(freshness(1, 200));
     let mut read = RequestMachine::new(RequestSpec {
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn a_read_that_was_cut_off_runs_again_unless_its_answer_had_begun() {
+fn an_interrupted_read_is_retried_unless_its_answer_had_started() {
     for begun in [false, true] {
         let mut group = group();
         let mut read = RequestMachine::new(read_spec());
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn a_write_that_may_have_run_is_never_sent_again() {
+fn a_write_that_may_have_run_is_never_retried() {
     for event in [unknown(), Event::StreamLost { request_sent: true }] {
         let mut group = group();
         let mut write = RequestMachine::new(write_spec());
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn a_repeatable_write_that_may_have_run_is_never_called_not_run() {
+fn a_repeatable_write_that_may_have_run_is_never_reported_as_not_run() {
     let mut group = group();
     let mut write = RequestMachine::new(RequestSpec {
         repeatable: true,
@@ -206,7 +206,7 @@
 }
 
 #[test]
-fn a_read_that_may_have_run_is_never_called_not_run() {
+fn a_read_that_may_have_run_is_never_reported_as_not_run() {
     let mut group = group();
     let mut read = RequestMachine::new(read_spec());
     read.handle(at(1), Event::Start, &mut group, 7);
@@ -228,7 +228,7 @@
 }
 
 #[test]
-fn the_first_batch_of_a_transaction_runs_again_when_its_stream_is_lost() {
+fn the_first_batch_of_a_transaction_is_retried_when_its_stream_is_lost() {
     let mut group = group();
     let spec = RequestSpec {
         may_commit: false,
@@ -287,7 +287,7 @@
 }
 
 #[test]
-fn a_full_hold_queue_refuses_at_once_and_says_when_to_come_back() {
+fn a_full_hold_queue_refuses_at_once_with_a_retry_time() {
     let mut group = group();
     group.limits.hold.requests = 1;
     group.view.suspect_primary(&backend("a"), Term(1));
@@ -301,7 +301,7 @@
 }
 
 #[test]
-fn waiting_for_a_primary_ends_at_its_bound_or_at_the_deadline() {
+fn waiting_for_a_primary_ends_at_its_limit_or_at_the_deadline() {
     let mut group = group();
     group.limits.hold.time = Duration::from_millis(300);
     group.view.suspect_primary(&backend("a"), Term(1));
@@ -324,7 +324,7 @@
 }
 
 #[test]
-fn an_overloaded_primary_is_not_asked_again() {
+fn an_overloaded_primary_is_not_tried_again() {
     let mut group = group();
     let mut write = RequestMachine::new(write_spec());
     write.handle(at(1), Event::Start, &mut group, 7);
@@ -340,7 +340,7 @@
 }
 
 #[test]
-fn the_standby_owner_is_asked_when_the_owner_is_gone() {
+fn the_standby_owner_is_tried_when_the_owner_is_gone() {
     let mut group = group();
     let mut write = RequestMachine::new(write_spec());
     write.handle(at(1), Event::Start, &mut group, 7);
@@ -360,7 +360,7 @@
 }
 
 #[test]
-fn retries_are_paid_for_out_of_successes() {
+fn retries_are_limited_to_a_share_of_successes() {
     let mut group = group();
     let mut spent = 0;
     while group.budget.withdraw() {
@@ -381,7 +381,10 @@
     for _ in 0..5 {
         group.budget.deposit();
     }
-    assert!(group.budget.withdraw(), "200 of 1000 successes pay for one");
+    assert!(
+        group.budget.withdraw(),
+        "five successes at 200 per thousand allow one retry"
+    );
     assert!(!group.budget.withdraw());
 }
 
@@ -410,7 +413,7 @@
 }
 
 #[test]
-fn staleness_is_measured_by_what_was_seen_then() {
+fn the_staleness_floor_uses_the_observations_of_that_time() {
     let mut group = group();
     let newer = observation(BackendRole::Primary, 300, 0);
     group.view.observe(at(500), &backend("a"), newer);
@@ -422,7 +425,7 @@
     assert_eq!(floor(&group, 800), Some(freshness(1, 100)));
 }
 
-/// An event that an owner or the clock may bring at any moment.
+/// An event that an owner or the clock may cause at any time.
 fn any_event(choice: u8) -> Event {
     match choice % 12 {
         0 => refused(ResultCode::NotFreshEnough),
@@ -443,7 +446,7 @@
 }
 
 #[test]
-fn every_request_ends_once_and_in_the_right_class() {
+fn every_request_has_one_outcome_of_the_right_class() {
     stairward_testing::check!()
         .with_type::<(bool, bool, Vec<(u8, u8, u64)>)>()
         .for_each(|(writes, repeatable, events)| {
