--- a/crates/stairward-failover/src/attempt.rs
+++ b/crates/stairward-failover/src/attempt.rs
@@ -1,70 +1,72 @@
-//! One attempt to replace a service's primary: from the claim to the new primary.
+//! State of one attempt to replace a service's primary, from the claim to the new primary.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use stairward_types::{BackendId, BackendRole, Freshness, MemberStatus, Term, Time};
 
-use crate::ending::Ending;
+use crate::demotion::Demotion;
 use crate::event::{FencingToken, GroupState};
 
-/// How far an attempt has come.
+/// The stage of an attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Stage {
-    /// It waits for its turn to write the record.
+    /// Waiting until `not_before` to write the record.
     Queued,
-    /// The record is being written.
+    /// The record write is in progress.
     Claiming,
-    /// Members are asked.
-    Asking,
-    /// The old primary's lead is being ended.
-    Ending,
-    /// The promotion is under way.
+    /// Status queries to members are in progress.
+    Querying,
+    /// The old primary is being demoted.
+    Demoting,
+    /// The promotion call is in progress.
     Promoting,
-    /// The promotion was accepted; the new primary is waited for.
-    Settling,
+    /// The promotion was accepted; waiting for the new primary to lead.
+    AwaitingNewPrimary,
 }
 
-/// One attempt.
+/// One attempt to replace a primary.
 #[derive(Debug)]
 pub(crate) struct Attempt {
-    /// The primary to be replaced; none where no member calls itself primary.
+    /// The primary to be replaced; `None` if no member reports the primary role.
     pub old: Option<BackendId>,
-    /// Whether the old primary still works and is only about to end.
+    /// Whether the replacement is planned: the old primary may still be working.
     pub is_planned: bool,
     pub stage: Stage,
-    /// Since when it is in its stage.
-    pub since: Time,
-    /// While it is queued: not claimed before this.
+    /// When the current stage was entered.
+    pub stage_since: Time,
+    /// In [`Stage::Queued`], the earliest time to claim the record.
     pub not_before: Time,
     pub token: Option<FencingToken>,
-    /// When the record was written, for the present token.
+    /// When the record was written under the current token.
     pub claimed_at: Time,
-    /// Whether the old primary answered that it follows, before it was asked to give way.
-    pub old_followed: bool,
-    /// The end of the old primary's lead, once that is under way.
-    pub ending: Option<Ending>,
-    /// Members that were asked and have not answered.
-    pub asked: BTreeSet<BackendId>,
+    /// Whether the old primary reported the replica role before it was asked to step down.
+    pub old_was_replica: bool,
+    /// State of the demotion of the old primary, once that has started.
+    pub demotion: Option<Demotion>,
+    /// Members that were queried and have not answered.
+    pub unanswered: BTreeSet<BackendId>,
     pub answers: BTreeMap<BackendId, MemberStatus>,
-    /// The newest term that a node knew to have begun.
+    /// The newest term that any node knew to have started.
     pub known_term: Term,
     /// Replicas that may be on hold.
     pub held: BTreeSet<BackendId>,
     pub target: Option<BackendId>,
-    /// Whether the target led already when it was chosen, so that its lead shows nothing.
-    pub target_led: bool,
-    /// When the nodes were last told that a term may begin.
+    /// Whether the target was already primary when it was chosen, so that its role does not show
+    /// that the promotion took effect.
+    pub target_was_leader: bool,
+    /// When the nodes were last told that a term may start.
     pub announced_at: Time,
-    /// Whether an earlier promotion had no answer, so that it may still be carried out. A decision with a
+    /// Whether an earlier promotion got no answer and may still be carried out. A decision with a
     /// higher token must be answered before this attempt may end.
     pub must_fence: bool,
-    /// Members where less of the service's work is allowed are not chosen: the leader moves for more.
-    pub least_work: u64,
+    /// Lower bound on [`crate::Placement::allowed_work`] of the target, used when the leader moves
+    /// to a region where more work is allowed.
+    pub min_allowed_work: u64,
 }
 
-/// A replica chosen for promotion.
+/// The replica chosen for promotion.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Chosen {
+pub(crate) struct PromotionTarget {
     pub target: BackendId,
     pub received: Option<Freshness>,
 }
@@ -75,30 +77,30 @@
             old,
             is_planned,
             stage: Stage::Queued,
-            since: now,
+            stage_since: now,
             not_before: now,
             token: None,
             claimed_at: now,
-            old_followed: false,
-            ending: None,
-            asked: BTreeSet::new(),
+            old_was_replica: false,
+            demotion: None,
+            unanswered: BTreeSet::new(),
             answers: BTreeMap::new(),
             known_term: Term::default(),
             held: BTreeSet::new(),
             target: None,
-            target_led: false,
+            target_was_leader: false,
             announced_at: now,
             must_fence: false,
-            least_work: 0,
+            min_allowed_work: 0,
         }
     }
 
-    pub fn enter(&mut self, stage: Stage, now: Time) {
+    pub fn enter_stage(&mut self, stage: Stage, now: Time) {
         self.stage = stage;
-        self.since = now;
+        self.stage_since = now;
     }
 
-    /// Whether the old primary answered that it leads, in a term no other answer exceeds.
+    /// Whether the old primary reported the primary role in a term that no other answer exceeds.
     pub fn old_still_leads(&self) -> bool {
         let Some(old) = &self.old else {
             return false;
@@ -109,9 +111,9 @@
         status.role == BackendRole::Primary && status.term >= self.newest_term()
     }
 
-    /// Whether a replica holds more than the old primary says that it does. A primary's replicas never do, unless it has
-    /// lost its log.
-    pub fn old_holds_less(&self) -> bool {
+    /// Whether a replica has received more than the old primary reports to have. This only happens
+    /// if the old primary has lost its log.
+    pub fn old_is_behind(&self) -> bool {
         let Some(old) = self.old.as_ref().and_then(|old| self.answers.get(old)) else {
             return false;
         };
@@ -124,7 +126,7 @@
         most > Some(order(old))
     }
 
-    /// A member other than the old one that already leads.
+    /// A member other than the old primary that already leads.
     pub fn other_leader(&self) -> Option<&BackendId> {
         let mut others = self
             .answers
@@ -136,28 +138,29 @@
             .map(|(id, _)| id)
     }
 
-    /// The member that leads, by the answers.
-    pub fn present_leader(&self) -> Option<&BackendId> {
+    /// The member that leads according to the answers.
+    pub fn current_leader(&self) -> Option<&BackendId> {
         let old = self.old.as_ref().filter(|_| self.old_still_leads());
         self.other_leader().or(old)
     }
 
-    /// The newest term that any member follows.
+    /// The newest term that any member reported.
     pub fn newest_term(&self) -> Term {
         let terms = self.answers.values().map(|status| status.term);
         terms.max().unwrap_or_default()
     }
 
-    /// A term above any that members follow or wait for.
+    /// A term above any that members have reported or are on hold for.
     pub fn next_term(&self) -> Term {
         let terms = self.answers.values().map(MemberStatus::awaited_term);
         let newest = terms.max().unwrap_or_default().max(self.known_term);
         Term(newest.0.saturating_add(1))
     }
 
-    /// Whether the old primary, and no other member, can lead: each other one that is listed says that it
-    /// follows, the old one has not said so before it was asked to give way, and no earlier promotion is without
-    /// an answer. Where nobody leads, an earlier promotion may be about to take effect.
+    /// Whether the old primary is the only member that can be leading: every other listed member
+    /// reports the replica role, the old primary did not do so before it was asked to step down,
+    /// and no earlier promotion is unanswered. If no member leads, an earlier promotion may be
+    /// about to take effect.
     pub fn is_old_sole_leader(&self, group: &GroupState) -> bool {
         let others = group
             .members
@@ -167,19 +170,23 @@
         let follows = |status: Option<&MemberStatus>| {
             status.is_some_and(|status| status.role == BackendRole::Replica)
         };
-        let old_may_lead = self.old.is_some() && !self.old_followed;
+        let old_may_lead = self.old.is_some() && !self.old_was_replica;
         old_may_lead && !self.must_fence && answers.all(follows)
     }
 
-    /// Whether every replica that can be asked has answered.
-    pub fn is_asked_out(&self) -> bool {
-        let waits_for_replica = self.asked.iter().any(|id| Some(id) != self.old.as_ref());
-        !waits_for_replica
+    /// Whether every replica that was queried has answered.
+    pub fn has_all_replica_answers(&self) -> bool {
+        let awaits_replica = self
+            .unanswered
+            .iter()
+            .any(|id| Some(id) != self.old.as_ref());
+        !awaits_replica
     }
 
-    /// Whether the replica that would be chosen holds every commit that was acknowledged: so many replicas
-    /// answered that one of them has each, and none of them has more than the chosen one.
-    pub fn covers_acknowledged(&self, group: &GroupState) -> bool {
+    /// Whether the replica that would be chosen holds every acknowledged commit: enough replicas
+    /// answered that each acknowledged commit is on one of them, and none of them is ahead of the
+    /// chosen one.
+    pub fn covers_acknowledged_commits(&self, group: &GroupState) -> bool {
         let is_replica = |id: &&BackendId| Some(*id) != self.old.as_ref();
         let replicas = group.members.keys().filter(is_replica).count();
         let answered = self.answers.keys().filter(is_replica).count();
@@ -191,26 +198,26 @@
             .filter(|(id, _)| is_replica(id))
             .map(|(_, status)| (status.received.term, status.received.position))
             .max();
-        let chosen = self.choose(group).and_then(|chosen| chosen.received);
+        let chosen = self.choose_target(group).and_then(|chosen| chosen.received);
         let chosen = chosen.map(|received| (received.term, received.position));
         answered.saturating_add(synchronous) >= needed && chosen == most
     }
 
-    /// The replica that has received most of those that answered and may lead; of several, a warm one, then one where
-    /// more of the work is allowed.
-    pub fn choose(&self, group: &GroupState) -> Option<Chosen> {
-        let stays = |id: &BackendId| {
+    /// Chooses among the replicas that answered and may lead the one that has received most of the
+    /// log. Ties are broken in favour of a warm replica, then of one where more work is allowed.
+    pub fn choose_target(&self, group: &GroupState) -> Option<PromotionTarget> {
+        let may_be_chosen = |id: &BackendId| {
             let member = group.members.get(id);
             Some(id) != self.old.as_ref()
                 && member.is_some_and(|member| {
-                    member.may_lead() && member.placement.allowed_work >= self.least_work
+                    member.may_lead() && member.placement.allowed_work >= self.min_allowed_work
                 })
         };
         let placement = |id: &BackendId| {
             let member = group.members.get(id);
             member.map(|member| member.placement).unwrap_or_default()
         };
-        let answered = self.answers.iter().filter(|(id, _)| stays(id));
+        let answered = self.answers.iter().filter(|(id, _)| may_be_chosen(id));
         let best = answered.max_by_key(|(id, status)| {
             (
                 status.received.term,
@@ -220,7 +227,7 @@
                 std::cmp::Reverse(*id),
             )
         });
-        best.map(|(id, status)| Chosen {
+        best.map(|(id, status)| PromotionTarget {
             target: id.clone(),
             received: Some(status.received),
         })
--- a/crates/stairward-failover/src/duty/claim.rs
+++ b/crates/stairward-failover/src/controller/claim.rs
@@ -1,4 +1,4 @@
-//! Taking the duty for a service: from the reason to the written record.
+//! Claims the right to act on a service: from the trigger to the written record.
 
 use std::collections::BTreeMap;
 
@@ -8,32 +8,38 @@
 use super::trigger::Trigger;
 use crate::attempt::{Attempt, Stage};
 use crate::event::{Effect, FailoverRecord, FailoverStep, FencingToken, RecordVersion};
-use crate::turn::turn;
+use crate::start_delay::start_delay;
 
 impl FailoverController {
-    /// How many nodes most likely have the same reason. Who finds a leader silent by use tells a few others, so the
-    /// reports that reach this node tell how many there are; what others found when they looked makes them no
-    /// contenders. With all nodes for contenders, a leader that one node uses waited 1.2 s longer among 100.
+    /// Estimates how many nodes have the same reason to act. A node that finds a leader silent
+    /// reports this to a few peers, so the reports that reach this node indicate how many nodes
+    /// there are; nodes that only probed the leader do not compete. Counting every node as a
+    /// contender delayed the replacement of a leader that only one node uses by 1.2 s in a fleet of
+    /// 100.
     fn contenders(&self, now: Time, trigger: Trigger, service: &ServiceName) -> u32 {
         let leader = self.groups.get(service).and_then(Self::announced_leader);
         let (Trigger::Silent, Some(leader)) = (trigger, leader) else {
-            return self.nodes;
+            return self.node_count;
         };
         let count = |length: usize| u32::try_from(length).unwrap_or(u32::MAX);
-        let reports = count(self.evidence.reports_of(now, leader));
-        let told_by_each = count(self.peers.len()).max(1);
-        let others = reports.saturating_mul(self.nodes) / told_by_each;
-        others.saturating_add(1).min(self.nodes)
+        let reports = count(self.evidence.report_count(now, leader));
+        let reported_to = count(self.relay_peers.len()).max(1);
+        let others = reports.saturating_mul(self.node_count) / reported_to;
+        others.saturating_add(1).min(self.node_count)
     }
 
-    pub(super) fn maybe_begin(&mut self, now: Time, service: &ServiceName) {
-        if self.pauses.get(service).is_some_and(|until| now < *until) {
+    pub(super) fn begin_if_due(&mut self, now: Time, service: &ServiceName) {
+        if self
+            .retry_after
+            .get(service)
+            .is_some_and(|until| now < *until)
+        {
             return;
         }
         let may_be_held = self.records.is_held_by_another(now, service)
             || self.records.lost_lease_ends_at(now).is_some();
         if may_be_held {
-            // All who wait for the lease to lapse take turns from then on.
+            // Nodes waiting for the lease to expire spread their claims from that moment on.
             self.triggered_since.remove(service);
             return;
         }
@@ -43,7 +49,7 @@
         };
         let since = *self.triggered_since.entry(service.clone()).or_insert(now);
         let contenders = self.contenders(now, trigger, service);
-        if now < since + turn(&self.options.node, service, contenders) {
+        if now < since + start_delay(&self.options.node, service, contenders) {
             return;
         }
         if self.records.version(service).is_none() {
@@ -64,7 +70,7 @@
         if trigger == Trigger::Misplaced {
             let leader = old.as_ref().and_then(|old| group.members.get(old));
             let allowed = leader.map_or(0, |leader| leader.placement.allowed_work);
-            attempt.least_work = allowed.saturating_add(1);
+            attempt.min_allowed_work = allowed.saturating_add(1);
         }
         self.attempts.insert(service.clone(), attempt);
         let reason = trigger.reason();
@@ -72,10 +78,10 @@
         self.claim(now, service);
     }
 
-    /// Writes the service's record.
+    /// Claims the service by writing its record.
     pub(super) fn claim(&mut self, now: Time, service: &ServiceName) {
         if self.records.is_held_by_another(now, service) {
-            return self.give_up(now, service, "another node holds the duty");
+            return self.give_up(now, service, "another node holds the failover lease");
         }
         if let Some(ends_at) = self.records.lost_lease_ends_at(now) {
             return self.wait_for_lost_lease(now, service, ends_at);
@@ -86,22 +92,23 @@
         let Some(attempt) = self.attempts.get_mut(service) else {
             return;
         };
-        attempt.enter(Stage::Claiming, now);
+        attempt.enter_stage(Stage::Claiming, now);
         attempt.token = None;
         self.write_record(service, self.records.term(service));
     }
 
-    /// An attempt that has promoted goes on once that is over, any other one begins anew.
+    /// Queues an attempt with an unanswered promotion until the lost lease has expired; gives up
+    /// any other attempt.
     fn wait_for_lost_lease(&mut self, now: Time, service: &ServiceName, ends_at: Time) {
         let attempt = self.attempts.get_mut(service);
         let Some(attempt) = attempt.filter(|attempt| attempt.must_fence) else {
-            return self.give_up(now, service, "the store has come back from an older copy");
+            return self.give_up(now, service, "the store was restored to an older state");
         };
-        attempt.enter(Stage::Queued, now);
+        attempt.enter_stage(Stage::Queued, now);
         attempt.not_before = ends_at;
     }
 
-    /// Claims that were sent to a copy of the store that is gone are waited for no longer: what comes of them is no answer.
+    /// Abandons claims that were sent before the store was restored: their answers no longer count.
     fn abandon_claims(&mut self, now: Time) {
         let is_claiming = |attempt: &Attempt| attempt.stage == Stage::Claiming;
         let claiming = self
@@ -114,7 +121,7 @@
         }
     }
 
-    /// Writes a service's record over the version that is known.
+    /// Writes a service's record, conditional on the known version.
     pub(super) fn write_record(&mut self, service: &ServiceName, term: Term) {
         let Some(version) = self.records.version(service) else {
             return;
@@ -127,29 +134,29 @@
             .push(Effect::WriteRecord(service.clone(), version, record));
     }
 
-    /// Takes in all records, as a watch shows them. One of this node's own that it has not seen yet is the answer
-    /// to its claim: the store's own was lost, or is late.
-    pub(super) fn learn_records(
+    /// Applies all records from a watch of the store. A new record written by this node counts as
+    /// the answer to its claim, since the store's own answer may be late or lost.
+    pub(super) fn apply_records(
         &mut self,
         now: Time,
         era: u64,
         records: BTreeMap<ServiceName, (RecordVersion, FailoverRecord)>,
     ) {
-        if self.records.listed(now, era) {
+        if self.records.record_listing(now, era) {
             self.abandon_claims(now);
         }
         for (service, (version, record)) in records {
             let (is_own, noted) = (record.holder == self.options.node, record.term);
             let is_new = self
                 .records
-                .learn(now, service.clone(), version, Some(record));
+                .update(now, service.clone(), version, Some(record));
             if is_new && is_own {
-                self.claimed(now, &service, version, noted);
+                self.claim_confirmed(now, &service, version, noted);
             }
         }
     }
 
-    pub(super) fn record_written(
+    pub(super) fn handle_record_written(
         &mut self,
         now: Time,
         service: &ServiceName,
@@ -159,34 +166,40 @@
         let noted = record.term;
         let is_new = self
             .records
-            .learn(now, service.clone(), version, Some(record));
+            .update(now, service.clone(), version, Some(record));
         if is_new {
-            self.claimed(now, service, version, noted);
+            self.claim_confirmed(now, service, version, noted);
         }
     }
 
-    /// This node's own write of a service's record is known to be done. Its version is the token of one decision:
-    /// it is taken when it is first seen, and never again.
-    fn claimed(&mut self, now: Time, service: &ServiceName, version: RecordVersion, noted: Term) {
+    /// Handles confirmation that this node wrote the service's record. The record's version is the
+    /// fencing token of one decision, so it is used when first seen and never again.
+    fn claim_confirmed(
+        &mut self,
+        now: Time,
+        service: &ServiceName,
+        version: RecordVersion,
+        noted: Term,
+    ) {
         let Some(attempt) = self.attempts.get_mut(service) else {
             return;
         };
         if attempt.stage != Stage::Claiming {
-            // A term was noted, or the claim was given up before its answer came.
+            // The write recorded a term, or the claim was given up before its answer arrived.
             return;
         }
-        if now.since(attempt.since) > self.options.lease / 2 {
+        if now.since(attempt.stage_since) > self.options.lease / 2 {
             return self.give_up(now, service, "the claim took too long");
         }
         attempt.token = Some(FencingToken(version.0.number()));
         attempt.claimed_at = now;
-        attempt.ending = None;
+        attempt.demotion = None;
         attempt.known_term = attempt.known_term.max(noted);
-        attempt.enter(Stage::Asking, now);
-        self.ask_members(service);
+        attempt.enter_stage(Stage::Querying, now);
+        self.query_members(service);
     }
 
-    pub(super) fn record_failed(&mut self, now: Time, service: &ServiceName) {
+    pub(super) fn handle_record_failed(&mut self, now: Time, service: &ServiceName) {
         let is_claiming = self
             .attempts
             .get(service)
@@ -210,15 +223,15 @@
         let is_late = self
             .attempts
             .get(service)
-            .is_some_and(|attempt| now.since(attempt.since) > self.options.call_timeout);
+            .is_some_and(|attempt| now.since(attempt.stage_since) > self.options.call_timeout);
         if is_late {
             self.give_up(now, service, "the store does not answer");
         }
     }
 
-    /// While a promotion without an answer may still be carried out, no leader of a lower term is to be
-    /// believed, however long the store keeps this node from fencing it off.
-    pub(super) fn announce_pending(&mut self, now: Time, service: &ServiceName) {
+    /// Repeats the revocation of older leaders while an unanswered promotion may still be carried
+    /// out, however long the store prevents this node from fencing it.
+    pub(super) fn announce_pending_term(&mut self, now: Time, service: &ServiceName) {
         let Some(lease) = self.options.leadership_lease else {
             return;
         };
@@ -229,7 +242,7 @@
         let is_due = attempt.must_fence && now >= attempt.announced_at + lease;
         if is_due && term > Term::default() {
             attempt.announced_at = now;
-            let revoke = Effect::Revoke(service.clone(), term, self.users.clone());
+            let revoke = Effect::Revoke(service.clone(), term, self.leader_users.clone());
             self.effects.push(revoke);
         }
     }
