--- a/crates/stairward-engine/src/confirmation.rs
+++ b/crates/stairward-engine/src/confirmation.rs
@@ -9,7 +9,7 @@
 use crate::choice::Wanted;
 use crate::connection::User;
 use crate::engine::Engine;
-use crate::event::{BackendCommand, Effect, LeadChange};
+use crate::event::{BackendCommand, Effect, LeadershipChange};
 use crate::group::Group;
 use crate::identifiers::ConnectionId;
 use crate::lead::Word;
@@ -116,7 +116,7 @@
     fn ask_source(&mut self, now: Time, service: &ServiceName) -> bool {
         let (Some(lease), Some(source)) = (
             self.options.leadership_lease,
-            self.holders.lead_source(service),
+            self.holders.leadership_source(service),
         ) else {
             return false;
         };
@@ -131,7 +131,8 @@
         if may_be_enough && group.lead.ask_source(now, pause) {
             let service = service.clone();
             let holder = source;
-            self.effects.push(Effect::AskLead { holder, service });
+            self.effects
+                .push(Effect::QueryLeadership { holder, service });
         }
         if may_be_enough {
             self.ask_again_soon(now, service);
@@ -165,7 +166,7 @@
         &mut self,
         now: Time,
         service: &ServiceName,
-        possible: Term,
+        possible_term: Term,
         asked_at: Time,
         age: Duration,
     ) {
@@ -174,7 +175,7 @@
             return;
         }
         if let Some(group) = self.groups.get_mut(service) {
-            group.lead.take_known(possible, asked_at - age);
+            group.lead.take_known(possible_term, asked_at - age);
         }
         self.lead_changed(now, service);
     }
@@ -218,9 +219,9 @@
     /// What is known of a service's lead: the newest term that may have begun, and how long ago that was
     /// asked.
     #[must_use]
-    pub fn known_lead(&self, now: Time, service: &ServiceName) -> Option<(Term, Duration)> {
-        let (possible, asked_at) = self.groups.get(service)?.lead.known()?;
-        Some((possible, now.since(asked_at)))
+    pub fn known_leadership(&self, now: Time, service: &ServiceName) -> Option<(Term, Duration)> {
+        let (possible_term, asked_at) = self.groups.get(service)?.lead.known()?;
+        Some((possible_term, now.since(asked_at)))
     }
 
     /// Asks the members of a group themselves.
@@ -294,7 +295,7 @@
             group.lead.ask(now, id);
         }
         self.use_connection(connection, User::Question);
-        self.send(now, connection, BackendCommand::AskStatus);
+        self.send(now, connection, BackendCommand::QueryStatus);
         if let Some(lease) = self.options.leadership_lease {
             let late = now + lease / PATIENCE_DIVISOR;
             self.timers.set(late, Timer::Lead(service.clone()));
@@ -451,7 +452,7 @@
     /// Whether the last that was told of a lead is that it was revoked.
     fn is_told_revoked(&self, service: &ServiceName) -> bool {
         let group = self.groups.get(service);
-        group.is_some_and(|group| group.lead.told == Some(LeadChange::Revoked))
+        group.is_some_and(|group| group.lead.told == Some(LeadershipChange::Revoked))
     }
 
     /// Tells of a change in what is believed of a service's lead.
@@ -471,18 +472,18 @@
         let is_known = backend.term > Term::default();
         let is_outdated = group.newest_term > backend.term;
         let change = if is_known && (is_outdated || group.lead.is_revoked(backend.term)) {
-            LeadChange::Revoked
+            LeadershipChange::Revoked
         } else if group.lead.is_confirmed(now, backend.term, lease) {
-            LeadChange::Confirmed
+            LeadershipChange::Confirmed
         } else {
-            LeadChange::Lapsed
+            LeadershipChange::Lapsed
         };
         group.lead.told = Some(change);
-        let is_usual = was_told.is_none() && change == LeadChange::Confirmed;
+        let is_usual = was_told.is_none() && change == LeadershipChange::Confirmed;
         if was_told == Some(change) || is_usual {
             return;
         }
-        if change == LeadChange::Revoked {
+        if change == LeadershipChange::Revoked {
             self.timers
                 .set(now + lease / RENEWAL_DIVISOR, Timer::Lead(service.clone()));
         }
@@ -493,12 +494,12 @@
             return;
         };
         let known = group.lead.known();
-        self.effects.push(Effect::LeadObserved {
+        self.effects.push(Effect::LeadershipObserved {
             service: service.clone(),
             leader,
             change,
             term: backend.term,
-            awaited: known.map(|(possible, _)| possible),
+            awaited: known.map(|(possible_term, _)| possible_term),
             age: known.map(|(_, asked_at)| now.since(asked_at)),
         });
     }
--- a/crates/stairward-engine/src/connection.rs
+++ b/crates/stairward-engine/src/connection.rs
@@ -179,7 +179,7 @@
             read_only: *read_only,
         },
         BackendCommand::Rollback => Step::Rollback,
-        BackendCommand::AskStatus => Step::Status,
+        BackendCommand::QueryStatus => Step::Status,
         BackendCommand::Run { .. } | BackendCommand::Execute { .. } => Step::Statement,
     }
 }
--- a/crates/stairward-engine/src/engine.rs
+++ b/crates/stairward-engine/src/engine.rs
@@ -209,15 +209,15 @@
                 asked_at,
                 age,
             } => self.take_peer_position(&service, freshness, asked_at, age),
-            Event::LeadRevoked(service, term) => self.revoke_lead(now, &service, term),
-            Event::LeadSettled(service) => self.settle_lead(now, &service),
-            Event::LeadAsked(service) => self.lead_asked(now, &service),
-            Event::PeerLead {
+            Event::LeadershipRevoked(service, term) => self.revoke_lead(now, &service, term),
+            Event::PromotionEnded(service) => self.settle_lead(now, &service),
+            Event::LeadershipQueried(service) => self.lead_asked(now, &service),
+            Event::PeerLeadership {
                 service,
-                possible,
+                possible_term,
                 asked_at,
                 age,
-            } => self.take_peer_lead(now, &service, possible, asked_at, age),
+            } => self.take_peer_lead(now, &service, possible_term, asked_at, age),
             Event::HolderHeard(holder) => self.holder_heard(now, holder),
             Event::HolderLost(holder) => {
                 self.holder_lost(now, holder);
--- a/crates/stairward-engine/src/event.rs
+++ b/crates/stairward-engine/src/event.rs
@@ -148,17 +148,17 @@
         age: Duration,
     },
     /// A replica is about to be promoted in this term: no leader of a lower one is to be believed any more.
-    LeadRevoked(ServiceName, Term),
+    LeadershipRevoked(ServiceName, Term),
     /// Whoever was about to have a replica promoted is done, with or without a promotion.
-    LeadSettled(ServiceName),
-    /// Another node asks for what is known of a service's lead; see [`crate::Engine::known_lead`].
-    LeadAsked(ServiceName),
+    PromotionEnded(ServiceName),
+    /// Another node asks for what is known of a service's lead; see [`crate::Engine::known_leadership`].
+    LeadershipQueried(ServiceName),
     /// Another node said what it knows of a service's lead.
-    PeerLead {
+    PeerLeadership {
         /// The service.
         service: ServiceName,
         /// The newest term that may have begun.
-        possible: Term,
+        possible_term: Term,
         /// When this node asked.
         asked_at: Time,
         /// How old the other's knowledge was when it answered, by its own clock.
@@ -211,7 +211,7 @@
     /// Undo the transaction.
     Rollback,
     /// Say what it is, for [`BackendReply::member`].
-    AskStatus,
+    QueryStatus,
     /// Run a caller's statement, its text unchanged.
     Run {
         /// The caller's id.
@@ -253,7 +253,7 @@
 
 /// What a node believes of a service's lead.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LeadChange {
+pub enum LeadershipChange {
     /// A replica confirmed the leader.
     Confirmed,
     /// A replica waits for a later term than the leader's.
@@ -381,20 +381,20 @@
         evidence: Evidence,
     },
     /// Ask another node what it knows of a service's lead.
-    AskLead {
+    QueryLeadership {
         /// The node.
         holder: NodeId,
         /// The service.
         service: ServiceName,
     },
     /// What this node believes of a service's lead has changed.
-    LeadObserved {
+    LeadershipObserved {
         /// The service.
         service: ServiceName,
         /// The leader.
         leader: BackendId,
         /// What is believed now.
-        change: LeadChange,
+        change: LeadershipChange,
         /// The leader's term.
         term: Term,
         /// The newest term that the replica asked last follows or waits for.
@@ -403,7 +403,7 @@
         age: Option<Duration>,
     },
     /// Ask peers how far the leader's log had come.
-    AskPosition {
+    QueryPosition {
         /// The service.
         service: ServiceName,
     },
--- a/crates/stairward-engine/src/holder_directory.rs
+++ b/crates/stairward-engine/src/holder_directory.rs
@@ -21,7 +21,7 @@
     /// The one that ranks first: it alone sends to the service's cold back ends. None where no node was named.
     pub first: Option<NodeId>,
     /// The node of the own region that is asked about the service's lead; none where this node asks itself.
-    pub lead_source: Option<NodeId>,
+    pub leadership_source: Option<NodeId>,
     /// All of them; empty where every node holds connections.
     pub places: Vec<Holder>,
     /// All of them, nearest first, where this node is none of them; empty otherwise.
@@ -79,7 +79,7 @@
     }
 
     /// The node that is asked about a service's lead; none where this node asks itself.
-    pub fn lead_source(&self, service: &ServiceName) -> Option<NodeId> {
-        self.services.get(service)?.lead_source
+    pub fn leadership_source(&self, service: &ServiceName) -> Option<NodeId> {
+        self.services.get(service)?.leadership_source
     }
 }
--- a/crates/stairward-engine/src/lead.rs
+++ b/crates/stairward-engine/src/lead.rs
@@ -13,7 +13,7 @@
 
 use stairward_types::{BackendId, Term, Time};
 
-use crate::event::LeadChange;
+use crate::event::LeadershipChange;
 
 /// How long an attempt to replace a leader may take, in leases.
 const ATTEMPT_IN_LEASES: u32 = 3;
@@ -43,8 +43,8 @@
 #[derive(Debug, Default)]
 pub(crate) struct Lead {
     /// The newest term that may have begun; none when that is not known.
-    possible: Option<Term>,
-    /// When the word was asked for by which `possible` was last known.
+    possible_term: Option<Term>,
+    /// When the word was asked for by which `possible_term` was last known.
     known_at: Time,
     /// The newest term that was ever said to be about to begin. It may have begun, and whoever led it may be out
     /// of reach since: only words of all who may have led it show that it did not.
@@ -62,7 +62,7 @@
     /// When it was last asked.
     source_asked_at: Option<Time>,
     /// What was last told of it.
-    pub told: Option<LeadChange>,
+    pub told: Option<LeadershipChange>,
 }
 
 impl Lead {
@@ -83,12 +83,12 @@
         self.words.insert(member.clone(), word);
         self.note_announced(now, lease, word.awaited, others);
         let is_linked = now < self.known_at + lease;
-        self.possible = self.possible.filter(|_| is_linked);
-        if let Some(possible) = self.possible
+        self.possible_term = self.possible_term.filter(|_| is_linked);
+        if let Some(possible_term) = self.possible_term
             && word.can_be_held
             && others.contains(member)
         {
-            self.possible = Some(possible.max(word.awaited));
+            self.possible_term = Some(possible_term.max(word.awaited));
             self.known_at = self.known_at.max(word.asked_at);
         }
         self.take_all_words(now, lease, others);
@@ -137,28 +137,36 @@
             }
         }
         self.review_announced(now, lease, awaited);
-        let tells_more = self.possible.is_none_or(|possible| awaited < possible);
+        let tells_more = self
+            .possible_term
+            .is_none_or(|possible_term| awaited < possible_term);
         if tells_more || asked_at > self.known_at {
-            self.possible = Some(awaited);
+            self.possible_term = Some(awaited);
             self.known_at = asked_at;
         }
     }
 
     /// Whether a later term than this may have begun, as far as is known.
     pub fn is_revoked(&self, term: Term) -> bool {
-        self.announced > term || self.possible.is_some_and(|possible| possible > term)
+        self.announced > term
+            || self
+                .possible_term
+                .is_some_and(|possible_term| possible_term > term)
     }
 
     /// Whether no later term than this can have begun, by words that were asked for less than `age` ago.
     pub fn is_confirmed(&self, now: Time, term: Term, age: Duration) -> bool {
         let is_young = now < self.known_at + age && self.announced <= term;
-        is_young && self.possible.is_some_and(|possible| possible <= term)
+        is_young
+            && self
+                .possible_term
+                .is_some_and(|possible_term| possible_term <= term)
     }
 
     /// The newest term that may have begun, and when that was asked.
     pub fn known(&self) -> Option<(Term, Time)> {
-        let possible = self.possible?;
-        Some((possible.max(self.announced), self.known_at))
+        let possible_term = self.possible_term?;
+        Some((possible_term.max(self.announced), self.known_at))
     }
 
     /// A later term may begin from now on, led by one of these.
@@ -167,7 +175,9 @@
         if term == self.announced {
             self.announced_until = now + lease * ATTEMPT_IN_LEASES;
         }
-        self.possible = self.possible.map(|possible| possible.max(term));
+        self.possible_term = self
+            .possible_term
+            .map(|possible_term| possible_term.max(term));
     }
 
     /// Whoever announced a term is done, with or without a promotion.
@@ -176,9 +186,9 @@
     }
 
     /// Takes in what another node knows, if it was asked later than what is known here.
-    pub fn take_known(&mut self, possible: Term, asked_at: Time) {
-        if asked_at > self.known_at || self.possible.is_none() {
-            self.possible = Some(possible);
+    pub fn take_known(&mut self, possible_term: Term, asked_at: Time) {
+        if asked_at > self.known_at || self.possible_term.is_none() {
+            self.possible_term = Some(possible_term);
             self.known_at = asked_at;
         }
     }
--- a/crates/stairward-engine/src/lib.rs
+++ b/crates/stairward-engine/src/lib.rs
@@ -49,7 +49,7 @@
 pub use engine::{Engine, EngineStatistics};
 pub use evacuation::ZoneWork;
 pub use event::{
-    BackendCommand, Decision, Effect, Event, Evidence, LeadChange, OpenFailure, OpenTarget,
+    BackendCommand, Decision, Effect, Event, Evidence, LeadershipChange, OpenFailure, OpenTarget,
     RequestMeasure, RequestRecord,
 };
 pub use holder_demand::{HolderDemand, share_of};
--- a/crates/stairward-engine/src/probes.rs
+++ b/crates/stairward-engine/src/probes.rs
@@ -58,7 +58,7 @@
         if !was_asked {
             group.asked_peers_at = Some(now);
             let service = service.clone();
-            self.effects.push(Effect::AskPosition { service });
+            self.effects.push(Effect::QueryPosition { service });
         }
     }
 
--- a/crates/stairward-engine/tests/lead.rs
+++ b/crates/stairward-engine/tests/lead.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use stairward_engine::{
-    BackendCommand, BackendReply, Engine, EngineOptions, Event, LeadChange, ResponseResult,
+    BackendCommand, BackendReply, Engine, EngineOptions, Event, LeadershipChange, ResponseResult,
     ServiceHolders, StatementKind, TransactionStatus,
 };
 use stairward_types::{BackendRole, MemberStatus, NodeId, ResultCode, Term};
@@ -49,7 +49,7 @@
 /// The oldest question for a status to a back end, taken.
 fn question_to(world: &mut World, name: &str) -> Option<Sent> {
     let place = world.sent.iter().position(|sent| {
-        sent.command == BackendCommand::AskStatus && sent.backend.as_str() == name
+        sent.command == BackendCommand::QueryStatus && sent.backend.as_str() == name
     })?;
     Some(world.sent.remove(place))
 }
@@ -62,7 +62,7 @@
 
 /// Answers the oldest command that is not a question for a status.
 fn answer_work(world: &mut World, reply: BackendReply) {
-    let is_work = |sent: &Sent| sent.command != BackendCommand::AskStatus;
+    let is_work = |sent: &Sent| sent.command != BackendCommand::QueryStatus;
     let place = world.sent.iter().position(is_work).expect("a command");
     let connection = world.sent.remove(place).connection;
     world.tell(Event::Reply { connection, reply });
@@ -148,10 +148,10 @@
     answer_work(&mut world, done(TransactionStatus::Idle, at(1, 12)));
     world.response();
     answer_question(&mut world, NEAR_REPLICA, word(BackendRole::Replica, 1, 2));
-    assert_eq!(world.lead_changes.last(), Some(&LeadChange::Revoked));
+    assert_eq!(world.lead_changes.last(), Some(&LeadershipChange::Revoked));
     let before = world.sent.len();
     write(&mut world);
-    let is_work = |sent: &&Sent| sent.command != BackendCommand::AskStatus;
+    let is_work = |sent: &&Sent| sent.command != BackendCommand::QueryStatus;
     assert_eq!(world.sent[before..].iter().filter(is_work).count(), 0);
 }
 
@@ -172,7 +172,7 @@
     world.pass(LEASE / 2);
     write(&mut world);
     answer_question(&mut world, NEAR_REPLICA, follows(1));
-    assert_eq!(world.lead_changes.last(), Some(&LeadChange::Revoked));
+    assert_eq!(world.lead_changes.last(), Some(&LeadershipChange::Revoked));
 }
 
 #[test]
@@ -180,12 +180,12 @@
     let mut world = world();
     write(&mut world);
     confirm(&mut world);
-    world.tell(Event::LeadRevoked(service(), Term(2)));
+    world.tell(Event::LeadershipRevoked(service(), Term(2)));
     answer_work(&mut world, done(TransactionStatus::Idle, at(1, 11)));
     assert!(world.responses.is_empty());
     let before = world.sent.len();
     write(&mut world);
-    let is_work = |sent: &&Sent| sent.command != BackendCommand::AskStatus;
+    let is_work = |sent: &&Sent| sent.command != BackendCommand::QueryStatus;
     assert_eq!(world.sent[before..].iter().filter(is_work).count(), 0);
 }
 
@@ -197,7 +197,7 @@
     confirm(&mut world);
     answer_work(&mut world, done(TransactionStatus::Idle, at(1, 11)));
     world.response();
-    world.tell(Event::LeadRevoked(service(), Term(2)));
+    world.tell(Event::LeadershipRevoked(service(), Term(2)));
     world.tell(listed(vec![
         usual_backends()[0].clone(),
         usual_backends()[2].clone(),
@@ -210,7 +210,7 @@
         let reply = follows(1);
         world.tell(Event::Reply { connection, reply });
     }
-    let is_work = |sent: &Sent| sent.command != BackendCommand::AskStatus;
+    let is_work = |sent: &Sent| sent.command != BackendCommand::QueryStatus;
     assert!(!world.sent.iter().any(is_work), "{:?}", world.sent);
 }
 
@@ -286,16 +286,16 @@
     let mut world = world();
     let source = NodeId(5);
     world.tell(held_by(ServiceHolders {
-        lead_source: Some(source),
+        leadership_source: Some(source),
         ..ServiceHolders::default()
     }));
     write(&mut world);
     assert_eq!(world.asked_leads, [(source, service())]);
     assert!(question_to(&mut world, NEAR_REPLICA).is_none());
     answer_work(&mut world, done(TransactionStatus::Idle, at(1, 11)));
-    world.tell(Event::PeerLead {
+    world.tell(Event::PeerLeadership {
         service: service(),
-        possible: Term(1),
+        possible_term: Term(1),
         asked_at: world.now,
         age: Duration::from_millis(300),
     });
@@ -311,14 +311,14 @@
 fn a_peer_s_word_is_as_old_as_it_says() {
     let mut world = world();
     world.tell(held_by(ServiceHolders {
-        lead_source: Some(NodeId(5)),
+        leadership_source: Some(NodeId(5)),
         ..ServiceHolders::default()
     }));
     write(&mut world);
     answer_work(&mut world, done(TransactionStatus::Idle, at(1, 11)));
-    world.tell(Event::PeerLead {
+    world.tell(Event::PeerLeadership {
         service: service(),
-        possible: Term(1),
+        possible_term: Term(1),
         asked_at: world.now,
         age: LEASE,
     });
@@ -349,6 +349,6 @@
     answer_question(&mut world, NEAR_REPLICA, follows(2));
     answer_question(&mut world, FAR_REPLICA, follows(2));
     let revoked = world.lead_changes.iter();
-    let revoked = revoked.filter(|change| **change == LeadChange::Revoked);
+    let revoked = revoked.filter(|change| **change == LeadershipChange::Revoked);
     assert!(revoked.count() <= 1);
 }
--- a/crates/stairward-engine/tests/support/mod.rs
+++ b/crates/stairward-engine/tests/support/mod.rs
@@ -10,7 +10,7 @@
 
 use stairward_engine::{
     BackendCommand, BackendDescription, BackendError, BackendErrorCode, BackendReply, ConnectionId,
-    Consistency, Effect, Engine, EngineOptions, Event, Evidence, Forwarded, LeadChange,
+    Consistency, Effect, Engine, EngineOptions, Event, Evidence, Forwarded, LeadershipChange,
     LeavingChange, OpenFailure, OpenTarget, Residency, Response, ResponseResult, Route,
     RoutingTable, ServiceHolders, ServiceLimits, SessionId, Statement, StatementKind,
     TransactionStatus, ZoneDistance,
@@ -189,7 +189,7 @@
     pub asked_peers: Vec<ServiceName>,
     pub asked_holders: Vec<NodeId>,
     pub asked_leads: Vec<(NodeId, ServiceName)>,
-    pub lead_changes: Vec<LeadChange>,
+    pub lead_changes: Vec<LeadershipChange>,
     pub leaving: Vec<LeavingChange>,
     pub starts: Vec<BackendId>,
     pub closed_forwarded: Vec<(NodeId, SessionId)>,
@@ -298,9 +298,11 @@
                     self.closed_forwarded.push((holder, session));
                 }
                 Effect::AskHolder { holder } => self.asked_holders.push(holder),
-                Effect::AskPosition { service } => self.asked_peers.push(service),
-                Effect::AskLead { holder, service } => self.asked_leads.push((holder, service)),
-                Effect::LeadObserved { change, .. } => self.lead_changes.push(change),
+                Effect::QueryPosition { service } => self.asked_peers.push(service),
+                Effect::QueryLeadership { holder, service } => {
+                    self.asked_leads.push((holder, service))
+                }
+                Effect::LeadershipObserved { change, .. } => self.lead_changes.push(change),
                 Effect::LeavingObserved { change, .. } => self.leaving.push(change),
                 Effect::StartObserved { backend } => self.starts.push(backend),
                 Effect::AcceptSession { session } => self.accepted_sessions.push(session),
--- a/crates/stairward-runtime/src/holders.rs
+++ b/crates/stairward-runtime/src/holders.rs
@@ -129,7 +129,7 @@
         let source = holders.iter().find(|holder| is_near(holder));
         let mut found = ServiceHolders {
             first: holders.first().map(|first| first.node),
-            lead_source: source
+            leadership_source: source
                 .map(|source| source.node)
                 .filter(|source| *source != own.node),
             ..ServiceHolders::default()
--- a/crates/stairward-runtime/src/log.rs
+++ b/crates/stairward-runtime/src/log.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use stairward_engine::{
-    Decision, EngineStatistics, LeadChange, LeavingChange, RequestRecord, SessionId,
+    Decision, EngineStatistics, LeadershipChange, LeavingChange, RequestRecord, SessionId,
 };
 use stairward_failover::{Action, Reach, Via};
 use stairward_limits::Shard;
@@ -31,7 +31,7 @@
 pub(crate) struct LeadLine<'a> {
     pub service: &'a ServiceName,
     pub leader: &'a BackendId,
-    pub change: LeadChange,
+    pub change: LeadershipChange,
     pub term: Term,
     pub awaited: Option<Term>,
     pub age: Option<Duration>,
@@ -264,9 +264,9 @@
     /// A change of what is believed of a service's lead.
     pub fn lead(&self, now: Time, lead: &LeadLine<'_>) {
         let event = match lead.change {
-            LeadChange::Confirmed => LogEvent::LeadConfirmed,
-            LeadChange::Revoked => LogEvent::LeadRevoked,
-            LeadChange::Lapsed => LogEvent::LeaseLapsed,
+            LeadershipChange::Confirmed => LogEvent::LeadConfirmed,
+            LeadershipChange::Revoked => LogEvent::LeadRevoked,
+            LeadershipChange::Lapsed => LogEvent::LeaseLapsed,
         };
         if let Some(left_out) = self.admit(now, event) {
             tracing::info!(
--- a/crates/stairward-runtime/src/neighbours.rs
+++ b/crates/stairward-runtime/src/neighbours.rs
@@ -159,7 +159,7 @@
             }
             NeighbourMessage::SettleLead { service } => {
                 if let Ok(service) = ServiceName::new(service.as_str()) {
-                    self.handle(Event::LeadSettled(service));
+                    self.handle(Event::PromotionEnded(service));
                 }
                 None
             }
@@ -367,9 +367,9 @@
                     age_microseconds,
                 } => {
                     if let Ok(service) = ServiceName::new(service.as_str()) {
-                        self.handle(Event::PeerLead {
+                        self.handle(Event::PeerLeadership {
                             service,
-                            possible: Term(possible_term),
+                            possible_term: Term(possible_term),
                             asked_at: Time(asked_at_microseconds),
                             age: Duration::from_micros(age_microseconds),
                         });
@@ -448,7 +448,7 @@
         asked_at_microseconds: u64,
     ) -> Option<NeighbourMessage> {
         let name = ServiceName::new(service.as_str()).ok()?;
-        self.handle(Event::LeadAsked(name.clone()));
+        self.handle(Event::LeadershipQueried(name.clone()));
         let (possible, age) = self.known_lead(&name)?;
         Some(NeighbourMessage::Lead {
             service,
--- a/crates/stairward-runtime/src/node.rs
+++ b/crates/stairward-runtime/src/node.rs
@@ -9,7 +9,7 @@
 use bytes::BytesMut;
 use stairward_engine::{
     ConnectionId, DiscoveryChange, Effect, Engine, EngineOptions, EngineStatistics, Event,
-    Evidence, LeadChange, LeavingChange, RoutingTable, SessionId, ZoneWork,
+    Evidence, LeadershipChange, LeavingChange, RoutingTable, SessionId, ZoneWork,
 };
 use stairward_failover::{
     FailoverDuty, FailoverOptions, LeaderEvidence, LeaderMemory, RecordVersion,
@@ -270,7 +270,7 @@
     /// What is known of a service's lead: the newest term that may have begun, and the age of that.
     pub(crate) fn known_lead(&self, service: &ServiceName) -> Option<(Term, Duration)> {
         let now = self.now();
-        self.engine.borrow().known_lead(now, service)
+        self.engine.borrow().known_leadership(now, service)
     }
 
     /// The newest term of a service that was seen in any answer.
@@ -362,7 +362,7 @@
                 self.tell_neighbour(holder, &NeighbourMessage::AskAlive);
             }
             Effect::HolderObserved { holder, is_silent } => self.log.holder(now, holder, is_silent),
-            Effect::LeadObserved {
+            Effect::LeadershipObserved {
                 service,
                 leader,
                 change,
@@ -379,10 +379,10 @@
                     age,
                 };
                 self.log.lead(now, &lead);
-                let is_revoked = change == LeadChange::Revoked;
+                let is_revoked = change == LeadershipChange::Revoked;
                 self.tell_duty(stairward_failover::Event::Lead(service, is_revoked));
             }
-            Effect::AskLead { holder, service } => self.ask_lead(holder, &service),
+            Effect::QueryLeadership { holder, service } => self.ask_lead(holder, &service),
             Effect::AskLimit(node, ask) => {
                 let message = ask_message(self.peer.node, ask);
                 self.tell_neighbour(node, &NeighbourMessage::AskLimit(message));
@@ -395,7 +395,7 @@
             } => {
                 self.log.coordinator(now, shard, silent, coordinator);
             }
-            Effect::AskPosition { service } => self.ask_peers_for_position(&service),
+            Effect::QueryPosition { service } => self.ask_peers_for_position(&service),
             Effect::CloseForwarded { holder, session } => self.close_forwarded(holder, session),
             Effect::RefuseSession { session, code } => {
                 self.log.session_refused(now, session, code);
--- a/crates/stairward-runtime/src/relayed_questions.rs
+++ b/crates/stairward-runtime/src/relayed_questions.rs
@@ -102,7 +102,7 @@
 
     /// Tells these nodes, and this one, that no promotion that they were told of is under way any more.
     pub(crate) fn settle(self: &Rc<Self>, service: &ServiceName, users: BTreeSet<NodeId>) {
-        self.handle(Event::LeadSettled(service.clone()));
+        self.handle(Event::PromotionEnded(service.clone()));
         // A node that misses it believes the new leader a little later.
         self.tell_once(
             users,
@@ -172,7 +172,7 @@
 
     /// Believes no leader of a lower term any more; returns the newest term known to have begun.
     pub(crate) fn believe_from(self: &Rc<Self>, service: &ServiceName, term: Term) -> Term {
-        self.handle(Event::LeadRevoked(service.clone(), term));
+        self.handle(Event::LeadershipRevoked(service.clone(), term));
         self.newest_term(service)
     }
 
--- a/crates/stairward-simulation/src/database.rs
+++ b/crates/stairward-simulation/src/database.rs
@@ -285,7 +285,7 @@
                 state.transaction = None;
                 done(&state, position)
             }
-            BackendCommand::AskStatus => {
+            BackendCommand::QueryStatus => {
                 let mut outcome = done(&state, position);
                 outcome.reply.member = Some(self.status());
                 outcome
--- a/crates/stairward-simulation/src/world_databases.rs
+++ b/crates/stairward-simulation/src/world_databases.rs
@@ -356,11 +356,12 @@
         }
         let service = crate::group::service();
         let peer_life = asked.life;
-        self.tell_engine(peer, peer_life, Event::LeadAsked(service.clone()));
-        if let Some((possible, age)) = self.nodes[peer].engine.known_lead(now, &service) {
-            let event = Event::PeerLead {
+        self.tell_engine(peer, peer_life, Event::LeadershipQueried(service.clone()));
+        if let Some((possible_term, age)) = self.nodes[peer].engine.known_leadership(now, &service)
+        {
+            let event = Event::PeerLeadership {
                 service,
-                possible,
+                possible_term,
                 asked_at,
                 age,
             };
--- a/crates/stairward-simulation/src/world_nodes.rs
+++ b/crates/stairward-simulation/src/world_nodes.rs
@@ -4,7 +4,7 @@
 
 use rand::RngExt as _;
 use stairward_engine::{
-    BackendCommand, ConnectionId, Effect, Event, Evidence, LeadChange, Response,
+    BackendCommand, ConnectionId, Effect, Event, Evidence, LeadershipChange, Response,
 };
 use stairward_failover::{Event as DutyEvent, LeaderEvidence};
 use stairward_limits::Ask;
@@ -115,7 +115,7 @@
             Effect::CloseForwarded { holder, session } => {
                 self.close_forwarded(index, life, holder, session);
             }
-            Effect::LeadObserved {
+            Effect::LeadershipObserved {
                 service,
                 leader,
                 change,
@@ -127,10 +127,10 @@
                 let seen =
                     format!("{now:?} node-{index}: {leader} of {term:?} {change:?}, {awaited:?}");
                 self.decisions.push(seen);
-                let is_revoked = change == LeadChange::Revoked;
+                let is_revoked = change == LeadershipChange::Revoked;
                 self.tell_duty(index, life, DutyEvent::Lead(service, is_revoked));
             }
-            Effect::AskLead { holder, .. } => {
+            Effect::QueryLeadership { holder, .. } => {
                 let asked_at = self.now();
                 let peer = usize::try_from(holder.0).unwrap_or(0);
                 let ask = Happening::AskLeadAt(index, life, peer, asked_at);
@@ -141,7 +141,7 @@
                 let ask = Happening::AskLimitAt(index, life, peer, Box::new(ask));
                 self.queue.plan(FAR_DELAY, ask);
             }
-            Effect::AskPosition { .. } => {
+            Effect::QueryPosition { .. } => {
                 let asked_at = self.now();
                 let peer = (index + 1) % self.nodes.len();
                 let ask = Happening::AskPeerAt(index, life, peer, asked_at);
--- a/crates/stairward-simulation/src/world_store.rs
+++ b/crates/stairward-simulation/src/world_store.rs
@@ -82,7 +82,7 @@
         self.tell_engine(node, life, Event::Nodes(nodes));
         let holders = ServiceHolders {
             first: self.first_holder_for(node),
-            lead_source: self.lead_source_for(node),
+            leadership_source: self.lead_source_for(node),
             elsewhere: self.holders_for(node),
             ..ServiceHolders::default()
         };
@@ -221,7 +221,7 @@
                 for user in users.into_iter().chain([own]) {
                     let place = usize::try_from(user.0).unwrap_or(0);
                     let told = self.nodes[place].life;
-                    let event = Event::LeadSettled(service.clone());
+                    let event = Event::PromotionEnded(service.clone());
                     let settle = Happening::Engine(place, told, Box::new(event));
                     self.queue.plan(FAR_DELAY * 3, settle);
                 }
@@ -257,7 +257,7 @@
             // The node answers but goes on as before.
             Some(BrokenVariant::Revocation) => {}
             _ => {
-                let event = Event::LeadRevoked(service.clone(), term);
+                let event = Event::LeadershipRevoked(service.clone(), term);
                 self.tell_engine(place, told_life, event);
             }
         }
