--- a/crates/stairward-engine/src/engine.rs
+++ b/crates/stairward-engine/src/engine.rs
@@ -12,7 +12,7 @@
 use crate::evacuation::Evacuations;
 use crate::event::{Effect, Event, Evidence};
 use crate::group::Group;
-use crate::holder_demand::{HolderDemand, share_of};
+use crate::holder_demand::{HolderSizing, connections_per_holder};
 use crate::holder_directory::HolderDirectory;
 use crate::holder_watch::HolderWatch;
 use crate::identifiers::{ConnectionId, RequestNumber, SessionId};
@@ -218,7 +218,7 @@
                 asked_at,
                 age,
             } => self.take_peer_lead(now, &service, possible_term, asked_at, age),
-            Event::HolderHeard(holder) => self.holder_heard(now, holder),
+            Event::HolderAlive(holder) => self.holder_heard(now, holder),
             Event::HolderLost(holder) => {
                 self.holder_lost(now, holder);
                 self.tell_limits(now, LimitEvent::PeerLost(holder));
@@ -321,7 +321,7 @@
         for backend in self.backends.values() {
             let mut idle = self.idle_connections_of(&backend.connections);
             let is_any_in_use = idle.len() < backend.connections.len();
-            let is_held_here = !self.holders.is_elsewhere(&backend.description.service);
+            let is_held_here = !self.holders.is_held_by_others(&backend.description.service);
             if is_held_here && !is_any_in_use && !idle.is_empty() {
                 idle.remove(0);
             }
@@ -368,17 +368,20 @@
         if let Some(share) = self.share_beside(id, available) {
             return usize::try_from(share).unwrap_or(1);
         }
-        let (nodes, holders) = (self.nodes.most(), self.holder_demand(service).holders());
+        let (nodes, holders) = (
+            self.nodes.most(),
+            self.holder_demand(service).holder_count(),
+        );
         let share = if nodes <= holders {
             (available / nodes).max(1)
         } else {
-            share_of(available, holders)
+            connections_per_holder(available, holders)
         };
         usize::try_from(share).unwrap_or(1)
     }
 
     /// What decides how many nodes hold connections to a service's back ends.
-    fn holder_demand(&self, service: &ServiceName) -> HolderDemand {
+    fn holder_demand(&self, service: &ServiceName) -> HolderSizing {
         let limits = self
             .table
             .as_ref()
@@ -389,7 +392,7 @@
             .into_iter()
             .flat_map(|group| &group.members);
         let slots = members.filter_map(|id| self.backends.get(id)?.description.slots);
-        HolderDemand {
+        HolderSizing {
             connections: limits.map_or(1, |limits| limits.connections),
             slots: slots.max(),
             zones: self.options.zone_count(),
@@ -408,7 +411,7 @@
         if !self.nodes.is_known() {
             return;
         }
-        let is_held_here = |service: &&ServiceName| !self.holders.is_elsewhere(service);
+        let is_held_here = |service: &&ServiceName| !self.holders.is_held_by_others(service);
         let held: Vec<&ServiceName> = services.iter().filter(is_held_here).collect();
         let Some(table) = self.table.as_ref().filter(|_| !held.is_empty()) else {
             return;
--- a/crates/stairward-engine/src/event.rs
+++ b/crates/stairward-engine/src/event.rs
@@ -165,7 +165,7 @@
         age: Duration,
     },
     /// A node that statements were forwarded to gave a sign of life.
-    HolderHeard(NodeId),
+    HolderAlive(NodeId),
     /// The connection to a node that statements were forwarded to has ended.
     HolderLost(NodeId),
     /// A node that statements were to be forwarded to can't be reached: none of them was sent.
@@ -419,12 +419,12 @@
         forwarded: Forwarded,
     },
     /// Ask a node that statements were forwarded to for a sign of life.
-    AskHolder {
+    PingHolder {
         /// The node.
         holder: NodeId,
     },
     /// A node that statements were forwarded to gives no sign of life, or gives one again.
-    HolderObserved {
+    HolderLivenessChanged {
         /// The node.
         holder: NodeId,
         /// Whether it gives none.
--- a/crates/stairward-engine/src/holder_demand.rs
+++ b/crates/stairward-engine/src/holder_demand.rs
@@ -15,7 +15,7 @@
 
 /// What decides how many nodes hold connections to the back ends of a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct HolderDemand {
+pub struct HolderSizing {
     /// Connections that each back end takes from all nodes together.
     pub connections: u32,
     /// Statements that each back end runs at once; none where that is not known.
@@ -24,10 +24,10 @@
     pub zones: u32,
 }
 
-impl HolderDemand {
+impl HolderSizing {
     /// How many nodes hold connections to the service's back ends at most.
     #[must_use]
-    pub fn holders(self) -> u32 {
+    pub fn holder_count(self) -> u32 {
         let allowed = (self.connections.saturating_sub(1) / SMALLEST_SHARE).max(1);
         let Some(slots) = self.slots else {
             return allowed;
@@ -41,7 +41,7 @@
 /// How many of a back end's `available` connections each of its holders may hold, where not all nodes are among them.
 /// Where it leaves a useful share, two sets of holders without a common node hold no more than `available` together.
 #[must_use]
-pub fn share_of(available: u32, holders: u32) -> u32 {
+pub fn connections_per_holder(available: u32, holders: u32) -> u32 {
     let holders = holders.max(1);
     let shared = available / holders;
     let shared_by_views = available / holders.saturating_mul(VIEWS_AT_ONCE);
--- a/crates/stairward-engine/src/holder_directory.rs
+++ b/crates/stairward-engine/src/holder_directory.rs
@@ -10,7 +10,7 @@
     /// The node.
     pub node: NodeId,
     /// Whether it is in the region of this node.
-    pub is_near: bool,
+    pub is_same_region: bool,
     /// Its zone.
     pub zone: ZoneName,
 }
@@ -19,21 +19,21 @@
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct ServiceHolders {
     /// The one that ranks first: it alone sends to the service's cold back ends. None where no node was named.
-    pub first: Option<NodeId>,
+    pub first_ranked: Option<NodeId>,
     /// The node of the own region that is asked about the service's lead; none where this node asks itself.
     pub leadership_source: Option<NodeId>,
     /// All of them; empty where every node holds connections.
-    pub places: Vec<Holder>,
+    pub holders: Vec<Holder>,
     /// All of them, nearest first, where this node is none of them; empty otherwise.
-    pub elsewhere: Vec<NodeId>,
+    pub forward_targets: Vec<NodeId>,
 }
 
 impl ServiceHolders {
     /// Whether statements may go to a node.
     fn names(&self, node: NodeId) -> bool {
-        self.first == Some(node)
-            || self.elsewhere.contains(&node)
-            || self.places.iter().any(|holder| holder.node == node)
+        self.first_ranked == Some(node)
+            || self.forward_targets.contains(&node)
+            || self.holders.iter().any(|holder| holder.node == node)
     }
 }
 
@@ -46,9 +46,9 @@
 impl HolderDirectory {
     /// Takes in the holders of a service. Returns whether this node has ceased to be one of them.
     pub fn set(&mut self, service: ServiceName, holders: ServiceHolders) -> bool {
-        let is_elsewhere = !holders.elsewhere.is_empty();
+        let is_held_by_others = !holders.forward_targets.is_empty();
         let before = self.services.insert(service, holders);
-        is_elsewhere && before.is_none_or(|before| before.elsewhere.is_empty())
+        is_held_by_others && before.is_none_or(|before| before.forward_targets.is_empty())
     }
 
     /// Whether statements may be forwarded to a node. Looks at all services: for what is asked seldom.
@@ -57,25 +57,25 @@
     }
 
     /// Whether only other nodes hold a service's connections.
-    pub fn is_elsewhere(&self, service: &ServiceName) -> bool {
-        !self.elsewhere(service).is_empty()
+    pub fn is_held_by_others(&self, service: &ServiceName) -> bool {
+        !self.forward_targets(service).is_empty()
     }
 
     /// The other nodes that alone hold a service's connections, nearest first; empty where this node is a holder.
-    pub fn elsewhere(&self, service: &ServiceName) -> &[NodeId] {
+    pub fn forward_targets(&self, service: &ServiceName) -> &[NodeId] {
         let holders = self.services.get(service);
-        holders.map_or(&[], |holders| &holders.elsewhere)
+        holders.map_or(&[], |holders| &holders.forward_targets)
     }
 
     /// All holders of a service; none where every node holds its connections.
-    pub fn places(&self, service: &ServiceName) -> Option<&[Holder]> {
-        let places = &self.services.get(service)?.places;
-        (!places.is_empty()).then_some(places)
+    pub fn holders_of(&self, service: &ServiceName) -> Option<&[Holder]> {
+        let holders = &self.services.get(service)?.holders;
+        (!holders.is_empty()).then_some(holders)
     }
 
     /// The holder of a service that ranks first.
     pub fn first(&self, service: &ServiceName) -> Option<NodeId> {
-        self.services.get(service)?.first
+        self.services.get(service)?.first_ranked
     }
 
     /// The node that is asked about a service's lead; none where this node asks itself.
--- a/crates/stairward-engine/src/holder_watch.rs
+++ b/crates/stairward-engine/src/holder_watch.rs
@@ -49,7 +49,7 @@
         watch.heard_at = now;
         watch.asked_at = None;
         if std::mem::replace(&mut watch.is_silent, false) {
-            self.effects.push(Effect::HolderObserved {
+            self.effects.push(Effect::HolderLivenessChanged {
                 holder,
                 is_silent: false,
             });
@@ -110,7 +110,7 @@
             }
             (is_silent, _, _) => {
                 watch.asked_at = Some(now);
-                self.effects.push(Effect::AskHolder { holder });
+                self.effects.push(Effect::PingHolder { holder });
                 let pause = if is_silent { ASK_AGAIN } else { SIGN_PATIENCE };
                 self.set_holder_timer(holder, now + pause);
             }
@@ -177,7 +177,7 @@
             self.set_holder_timer(holder, now + ASK_AGAIN);
         }
         if !was_silent {
-            self.effects.push(Effect::HolderObserved {
+            self.effects.push(Effect::HolderLivenessChanged {
                 holder,
                 is_silent: true,
             });
--- a/crates/stairward-engine/src/lib.rs
+++ b/crates/stairward-engine/src/lib.rs
@@ -52,7 +52,7 @@
     BackendCommand, Decision, Effect, Event, Evidence, LeadershipChange, OpenFailure, OpenTarget,
     RequestMeasure, RequestRecord,
 };
-pub use holder_demand::{HolderDemand, share_of};
+pub use holder_demand::{HolderSizing, connections_per_holder};
 pub use holder_directory::{Holder, ServiceHolders};
 pub use identifiers::{ConnectionId, SessionId};
 pub use leaving::{LeavingChange, UseLimit};
--- a/crates/stairward-engine/src/placement.rs
+++ b/crates/stairward-engine/src/placement.rs
@@ -42,13 +42,13 @@
 
     fn ranked_holders(&self, now: Time, session: &Session, request: &Request) -> Vec<NodeId> {
         let service = &request.route.service;
-        let places = self.holders.places(service);
+        let places = self.holders.holders_of(service);
         let is_by_tenant = self
             .table
             .as_ref()
             .is_some_and(|table| table.tenants.is_some());
         let Some(places) = places.filter(|_| is_by_tenant) else {
-            return self.holders.elsewhere(service).to_vec();
+            return self.holders.forward_targets(service).to_vec();
         };
         // Clients without a key share the connections of nobody: those of one database meet.
         let database = session.database.as_str();
@@ -65,7 +65,7 @@
                 let is_beside = zone == Some(&holder.zone);
                 let is_in_region =
                     region.is_some() && self.options.regions.get(&holder.zone) == region;
-                let distance = (!is_beside, !is_in_region, !holder.is_near);
+                let distance = (!is_beside, !is_in_region, !holder.is_same_region);
                 (distance, score(tenant, holder.node), holder.node)
             })
             .collect();
@@ -104,7 +104,7 @@
             .table
             .as_ref()
             .is_some_and(|table| table.tenants.is_some())
-            && self.holders.places(service).is_some();
+            && self.holders.holders_of(service).is_some();
         let mut untried = group
             .members
             .iter()
@@ -123,7 +123,7 @@
     pub(crate) fn share_beside(&self, id: &BackendId, limit: u32) -> Option<u32> {
         self.table.as_ref()?.tenants.as_ref()?;
         let backend = self.backends.get(id)?;
-        let places = self.holders.places(&backend.description.service)?;
+        let places = self.holders.holders_of(&backend.description.service)?;
         let is_beside = |holder: &&Holder| holder.zone == backend.description.zone;
         let beside = u32::try_from(places.iter().filter(is_beside).count()).unwrap_or(u32::MAX);
         let all = u32::try_from(places.len()).unwrap_or(u32::MAX);
--- a/crates/stairward-engine/tests/holder_demand.rs
+++ b/crates/stairward-engine/tests/holder_demand.rs
@@ -1,11 +1,11 @@
 //! How many nodes hold connections to a service's back ends: no more than they can use, and together never more than a
 //! back end takes, also while nodes see different fleets.
 
-use stairward_engine::{HolderDemand, share_of};
+use stairward_engine::{HolderSizing, connections_per_holder};
 use stairward_testing::check;
 
-const fn demand(connections: u32, slots: u32, zones: u32) -> HolderDemand {
-    HolderDemand {
+const fn demand(connections: u32, slots: u32, zones: u32) -> HolderSizing {
+    HolderSizing {
         connections,
         slots: Some(slots),
         zones,
@@ -14,31 +14,31 @@
 
 #[test]
 fn a_small_limit_decides() {
-    assert_eq!(demand(36, 3, 3).holders(), 11);
-    assert_eq!(demand(50, 5, 3).holders(), 16);
-    assert_eq!(demand(2, 3, 3).holders(), 1);
-    assert_eq!(demand(0, 3, 3).holders(), 1);
+    assert_eq!(demand(36, 3, 3).holder_count(), 11);
+    assert_eq!(demand(50, 5, 3).holder_count(), 16);
+    assert_eq!(demand(2, 3, 3).holder_count(), 1);
+    assert_eq!(demand(0, 3, 3).holder_count(), 1);
 }
 
 #[test]
 fn a_large_limit_brings_no_more_holders_than_the_slots_can_occupy() {
-    let holders = demand(428, 3, 6).holders();
-    assert_eq!(holders, demand(1_000_000, 3, 6).holders());
+    let holders = demand(428, 3, 6).holder_count();
+    assert_eq!(holders, demand(1_000_000, 3, 6).holder_count());
     assert!(holders < 20, "{holders}");
 }
 
 #[test]
 fn each_zone_has_a_second_holder() {
-    assert!(demand(428, 1, 14).holders() >= 28);
+    assert!(demand(428, 1, 14).holder_count() >= 28);
 }
 
 #[test]
 fn where_the_slots_are_not_known_the_limit_decides() {
-    let unknown = HolderDemand {
+    let unknown = HolderSizing {
         slots: None,
         ..demand(428, 1, 6)
     };
-    assert_eq!(unknown.holders(), 142);
+    assert_eq!(unknown.holder_count(), 142);
 }
 
 /// Connections that a back end keeps back.
@@ -56,14 +56,14 @@
             );
             let available = demand.connections.saturating_sub(RESERVED);
             // Fewer nodes than holders: all of them hold.
-            let holders = demand.holders().min(u32::from(*nodes).max(1));
-            let held = holders * share_of(available, holders);
+            let holders = demand.holder_count().min(u32::from(*nodes).max(1));
+            let held = holders * connections_per_holder(available, holders);
             assert!(held <= available.max(holders), "{demand:?}: {held}");
-            let allowed = HolderDemand {
+            let allowed = HolderSizing {
                 slots: None,
                 ..demand
             };
-            if 2 * holders <= allowed.holders() {
+            if 2 * holders <= allowed.holder_count() {
                 assert!(2 * held <= available, "{demand:?}: twice {held}");
             }
         });
--- a/crates/stairward-engine/tests/relays.rs
+++ b/crates/stairward-engine/tests/relays.rs
@@ -234,7 +234,7 @@
         world.say(session, kind.clone());
         let end = world.now + support::TIMEOUT;
         while world.now < end {
-            world.tell(Event::HolderHeard(FIRST));
+            world.tell(Event::HolderAlive(FIRST));
             world.pass(Duration::from_millis(50));
         }
         world.response();
@@ -387,7 +387,7 @@
     world.say(reader, StatementKind::Read);
     for _ in 0..3 {
         world.pass(Duration::from_millis(200));
-        world.tell(Event::HolderHeard(FIRST));
+        world.tell(Event::HolderAlive(FIRST));
     }
     assert_eq!(world.forwarded.len(), 1);
     assert!(world.asked_holders.len() >= 2, "{:?}", world.asked_holders);
@@ -408,7 +408,7 @@
     let asked = world.asked_holders.len();
     world.pass(Duration::from_secs(2));
     assert!(world.asked_holders.len() >= asked + 3);
-    world.tell(Event::HolderHeard(FIRST));
+    world.tell(Event::HolderAlive(FIRST));
     world.say(reader, StatementKind::Write);
     assert_eq!(world.forwarded.last().unwrap().0, FIRST);
 }
--- a/crates/stairward-engine/tests/residency.rs
+++ b/crates/stairward-engine/tests/residency.rs
@@ -166,14 +166,14 @@
     ])));
     let holders = vec![NEAR_HOLDER, FAR_HOLDER];
     let places = [(NEAR_HOLDER, true, "zone-a"), (FAR_HOLDER, false, "zone-b")];
-    let places = places.map(|(node, is_near, zone)| Holder {
+    let places = places.map(|(node, is_same_region, zone)| Holder {
         node,
-        is_near,
+        is_same_region,
         zone: ZoneName::new(zone).unwrap(),
     });
     world.tell(held_by(ServiceHolders {
-        places: places.to_vec(),
-        elsewhere: holders,
+        holders: places.to_vec(),
+        forward_targets: holders,
         ..ServiceHolders::default()
     }));
     world.sent.clear();
--- a/crates/stairward-engine/tests/support/mod.rs
+++ b/crates/stairward-engine/tests/support/mod.rs
@@ -140,7 +140,7 @@
 /// Only these nodes hold the service's connections, nearest first.
 pub fn held_elsewhere(nodes: &[NodeId]) -> Event {
     held_by(ServiceHolders {
-        elsewhere: nodes.to_vec(),
+        forward_targets: nodes.to_vec(),
         ..ServiceHolders::default()
     })
 }
@@ -297,7 +297,7 @@
                 Effect::CloseForwarded { holder, session } => {
                     self.closed_forwarded.push((holder, session));
                 }
-                Effect::AskHolder { holder } => self.asked_holders.push(holder),
+                Effect::PingHolder { holder } => self.asked_holders.push(holder),
                 Effect::QueryPosition { service } => self.asked_peers.push(service),
                 Effect::QueryLeadership { holder, service } => {
                     self.asked_leads.push((holder, service))
@@ -309,7 +309,7 @@
                 Effect::AskLimit(..)
                 | Effect::RecordFleet(_)
                 | Effect::CoordinatorChanged { .. }
-                | Effect::HolderObserved { .. }
+                | Effect::HolderLivenessChanged { .. }
                 | Effect::EvacuationObserved { .. }
                 | Effect::WarmUpObserved { .. }
                 | Effect::Record(_)
--- a/crates/stairward-engine/tests/tenant_holders.rs
+++ b/crates/stairward-engine/tests/tenant_holders.rs
@@ -21,25 +21,25 @@
 const OWN: NodeId = NodeId(0);
 
 fn places(world: &mut World, near: &[NodeId], far: &[NodeId]) {
-    let place = |nodes: &[NodeId], is_near| -> Vec<Holder> {
+    let place = |nodes: &[NodeId], is_same_region| -> Vec<Holder> {
         let nodes = nodes.iter();
         nodes
             .map(|node| Holder {
                 node: *node,
-                is_near,
-                zone: ZoneName::new(if is_near { "zone-a" } else { "zone-b" }).unwrap(),
+                is_same_region,
+                zone: ZoneName::new(if is_same_region { "zone-a" } else { "zone-b" }).unwrap(),
             })
             .collect()
     };
     let all = [place(near, true), place(far, false)].concat();
     let others: Vec<_> = all.iter().map(|holder| holder.node).collect();
     world.tell(held_by(ServiceHolders {
-        elsewhere: if others.contains(&OWN) {
+        forward_targets: if others.contains(&OWN) {
             Vec::new()
         } else {
             others
         },
-        places: all,
+        holders: all,
         ..ServiceHolders::default()
     }));
 }
--- a/crates/stairward-engine/tests/warm_up.rs
+++ b/crates/stairward-engine/tests/warm_up.rs
@@ -54,7 +54,7 @@
     world.pass(Duration::from_secs(2));
     world.tell(Event::Configured(Arc::new(limited(2))));
     world.tell(held_by(ServiceHolders {
-        first: Some(OWN),
+        first_ranked: Some(OWN),
         ..ServiceHolders::default()
     }));
     world.prove(at(1, 5));
@@ -132,7 +132,7 @@
 fn others_forward_to_the_first_holder() {
     let mut world = world(&[PRIMARY]);
     world.tell(held_by(ServiceHolders {
-        first: Some(OTHER),
+        first_ranked: Some(OTHER),
         ..ServiceHolders::default()
     }));
     let session = world.open(LEADER_READS);
@@ -149,7 +149,7 @@
 fn a_node_that_is_not_the_first_holder_sends_nothing_for_others() {
     let mut world = world(&[PRIMARY]);
     world.tell(held_by(ServiceHolders {
-        first: Some(OTHER),
+        first_ranked: Some(OTHER),
         ..ServiceHolders::default()
     }));
     world.tell(forwarded(LEADER_READS, None, StatementKind::Write));
@@ -175,7 +175,7 @@
     world.tell(listed(backends(&[PRIMARY], COLD)));
     world.tell(Event::Nodes(3));
     world.tell(held_by(ServiceHolders {
-        first: Some(OWN),
+        first_ranked: Some(OWN),
         ..ServiceHolders::default()
     }));
     let refused = write(&mut world).expect("answered");
--- a/crates/stairward-runtime/src/holders.rs
+++ b/crates/stairward-runtime/src/holders.rs
@@ -125,10 +125,10 @@
         let count = self.counts.get(service).copied().unwrap_or(1);
         let of_holder = |node: &NodeId| members.get(node).copied();
         let holders: Vec<&Profile> = holders.iter().filter_map(of_holder).collect();
-        let is_near = |holder: &Profile| own.distance(holder) < Distance::Elsewhere;
-        let source = holders.iter().find(|holder| is_near(holder));
+        let is_same_region = |holder: &Profile| own.distance(holder) < Distance::Elsewhere;
+        let source = holders.iter().find(|holder| is_same_region(holder));
         let mut found = ServiceHolders {
-            first: holders.first().map(|first| first.node),
+            first_ranked: holders.first().map(|first| first.node),
             leadership_source: source
                 .map(|source| source.node)
                 .filter(|source| *source != own.node),
@@ -139,12 +139,12 @@
         }
         let place = |holder: &&Profile| Holder {
             node: holder.node,
-            is_near: is_near(holder),
+            is_same_region: is_same_region(holder),
             zone: holder.zone.clone(),
         };
-        found.places = holders.iter().map(place).collect();
+        found.holders = holders.iter().map(place).collect();
         if !holders.iter().any(|holder| holder.node == own.node) {
-            found.elsewhere = by_nearness(own, &holders);
+            found.forward_targets = by_nearness(own, &holders);
         }
         found
     }
--- a/crates/stairward-runtime/src/membership.rs
+++ b/crates/stairward-runtime/src/membership.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use rand::rngs::StdRng;
-use stairward_engine::{HolderDemand, RoutingTable, ServiceHolders, ServiceLimits};
+use stairward_engine::{HolderSizing, RoutingTable, ServiceHolders, ServiceLimits};
 use stairward_membership::{
     Effect, Event, MemberChange, Profile, SwimConfig, SwimMember, Version, decode, encode,
 };
@@ -170,7 +170,7 @@
     /// Takes a configuration's services in: how many nodes hold connections to each.
     pub(crate) fn set_services(self: &Rc<Self>, table: &RoutingTable) {
         let counts = table.services.iter().map(|(service, limits)| {
-            let count = self.holder_demand(service, limits).holders();
+            let count = self.holder_demand(service, limits).holder_count();
             (
                 service.clone(),
                 usize::try_from(count).unwrap_or(usize::MAX),
@@ -195,7 +195,7 @@
             .filter_map(|service| Some((service, table.services.get(service)?)));
         let counts: Vec<(ServiceName, usize)> = configured
             .map(|(service, limits)| {
-                let count = self.holder_demand(service, limits).holders();
+                let count = self.holder_demand(service, limits).holder_count();
                 (
                     service.clone(),
                     usize::try_from(count).unwrap_or(usize::MAX),
@@ -210,8 +210,8 @@
         self.show_holders(changes);
     }
 
-    fn holder_demand(&self, service: &ServiceName, limits: &ServiceLimits) -> HolderDemand {
-        HolderDemand {
+    fn holder_demand(&self, service: &ServiceName, limits: &ServiceLimits) -> HolderSizing {
+        HolderSizing {
             connections: limits.connections,
             slots: self.discovered.borrow().slots(service),
             zones: u32::try_from(self.zone_regions.len()).unwrap_or(u32::MAX),
--- a/crates/stairward-runtime/src/neighbours.rs
+++ b/crates/stairward-runtime/src/neighbours.rs
@@ -381,7 +381,7 @@
                     };
                     self.handle(Event::LimitGranted(holder, grant));
                 }
-                NeighbourMessage::Alive => self.handle(Event::HolderHeard(holder)),
+                NeighbourMessage::Alive => self.handle(Event::HolderAlive(holder)),
                 NeighbourMessage::Clock {
                     asked_at_microseconds,
                     told_at_microseconds,
--- a/crates/stairward-runtime/src/node.rs
+++ b/crates/stairward-runtime/src/node.rs
@@ -358,10 +358,12 @@
                 request,
                 forwarded,
             } => self.forward(holder, session, request, forwarded),
-            Effect::AskHolder { holder } => {
+            Effect::PingHolder { holder } => {
                 self.tell_neighbour(holder, &NeighbourMessage::AskAlive);
             }
-            Effect::HolderObserved { holder, is_silent } => self.log.holder(now, holder, is_silent),
+            Effect::HolderLivenessChanged { holder, is_silent } => {
+                self.log.holder(now, holder, is_silent)
+            }
             Effect::LeadershipObserved {
                 service,
                 leader,
--- a/crates/stairward-runtime/tests/holders.rs
+++ b/crates/stairward-runtime/tests/holders.rs
@@ -74,7 +74,7 @@
     view.set_members(&own(), &members);
     let mut told: Told = view.set_services(&own(), &members, counts(3));
     assert_eq!(told.len(), 2);
-    assert!(told.values().all(|holders| !holders.places.is_empty()));
+    assert!(told.values().all(|holders| !holders.holders.is_empty()));
     told.extend(view.set_services(&own(), &members, BTreeMap::new()));
     assert_eq!(told.len(), 2);
     assert!(
--- a/crates/stairward-simulation/src/guests.rs
+++ b/crates/stairward-simulation/src/guests.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use rand::RngExt as _;
-use stairward_engine::{Event, Forwarded, HolderDemand, Response, SessionId};
+use stairward_engine::{Event, Forwarded, HolderSizing, Response, SessionId};
 use stairward_types::NodeId;
 
 use crate::world::{FAR_DELAY, Happening, World};
@@ -35,12 +35,12 @@
 impl World {
     /// The holders that a node must forward to; none where it holds connections itself.
     pub(crate) fn holders_for(&self, node: usize) -> Vec<NodeId> {
-        let demand = HolderDemand {
+        let demand = HolderSizing {
             connections: self.options.connections,
             slots: None,
             zones: 0,
         };
-        let count = usize::try_from(demand.holders()).unwrap_or(1);
+        let count = usize::try_from(demand.holder_count()).unwrap_or(1);
         if self.nodes.len() <= count || node < count {
             return Vec::new();
         }
@@ -131,7 +131,7 @@
         let place = usize::try_from(holder.0).unwrap_or(0);
         // One that does not run is silent; that its connection has ended is told by `links_lost`.
         if self.nodes[place].is_running && self.random.random_range(0..SIGNS_LOST_ONE_IN) > 0 {
-            let event = Event::HolderHeard(holder);
+            let event = Event::HolderAlive(holder);
             let sign = Happening::Engine(node, life, Box::new(event));
             self.queue.plan(FAR_DELAY * 2, sign);
         }
--- a/crates/stairward-simulation/src/world_nodes.rs
+++ b/crates/stairward-simulation/src/world_nodes.rs
@@ -97,7 +97,7 @@
             Effect::AcceptSession { .. }
             | Effect::Record(_)
             | Effect::Measured(_)
-            | Effect::HolderObserved { .. }
+            | Effect::HolderLivenessChanged { .. }
             | Effect::EvacuationObserved { .. }
             | Effect::LeavingObserved { .. }
             | Effect::StartObserved { .. }
@@ -105,7 +105,7 @@
             | Effect::RecordFleet(_)
             | Effect::CoordinatorChanged { .. }
             | Effect::Stopped => {}
-            Effect::AskHolder { holder } => self.ask_holder(index, life, holder),
+            Effect::PingHolder { holder } => self.ask_holder(index, life, holder),
             Effect::Forward {
                 holder,
                 session,
--- a/crates/stairward-simulation/src/world_store.rs
+++ b/crates/stairward-simulation/src/world_store.rs
@@ -81,9 +81,9 @@
         let nodes = u32::try_from(self.nodes.len()).unwrap_or(1);
         self.tell_engine(node, life, Event::Nodes(nodes));
         let holders = ServiceHolders {
-            first: self.first_holder_for(node),
+            first_ranked: self.first_holder_for(node),
             leadership_source: self.lead_source_for(node),
-            elsewhere: self.holders_for(node),
+            forward_targets: self.holders_for(node),
             ..ServiceHolders::default()
         };
         let holders = BTreeMap::from([(crate::group::service(), holders)]);
