--- a/crates/stairward-engine/src/discovery.rs
+++ b/crates/stairward-engine/src/discovery.rs
@@ -132,7 +132,7 @@
         };
         let ends_at = limit.ends_at(now, since);
         backend.leaving = Some(Leaving::new(now, ends_at));
-        let change = LeavingChange::Began {
+        let change = LeavingChange::Started {
             age: since.map(|since| now.since(since)),
             used_for: ends_at.since(now),
         };
@@ -152,7 +152,7 @@
             return;
         };
         if backend.leaving.take().is_some() {
-            self.leaving_observed(id, LeavingChange::TakenBack);
+            self.leaving_observed(id, LeavingChange::Cancelled);
         }
     }
 
@@ -204,7 +204,7 @@
         if std::mem::replace(&mut leaving.is_over_told, true) {
             return;
         }
-        let change = LeavingChange::Over {
+        let change = LeavingChange::Expired {
             sent: leaving.sent,
             last_after: leaving.last_sent_at.since(leaving.heard_at),
         };
--- a/crates/stairward-engine/src/leaving.rs
+++ b/crates/stairward-engine/src/leaving.rs
@@ -6,20 +6,20 @@
 
 /// For how long something that is to be left may still be used by this node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct UseLimit {
+pub struct DrainLimit {
     /// From when this node heard of it.
-    pub after_hearing: Duration,
+    pub after_notice: Duration,
     /// From the earliest moment at which it can have been said.
-    pub after_begin: Duration,
+    pub after_announcement: Duration,
 }
 
-impl UseLimit {
+impl DrainLimit {
     /// When the use ends of what was heard of now, and was said after `since` or at any time.
     ///
     /// Who hears late has no time left: others count from when it was said.
     pub(crate) fn ends_at(&self, now: Time, since: Option<Time>) -> Time {
-        let by_begin = since.map_or(now, |since| since.min(now) + self.after_begin);
-        by_begin.min(now + self.after_hearing)
+        let by_begin = since.map_or(now, |since| since.min(now) + self.after_announcement);
+        by_begin.min(now + self.after_notice)
     }
 }
 
@@ -55,16 +55,16 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeavingChange {
     /// It leaves, or has gone from discovery.
-    Began {
+    Started {
         /// How long ago it can have said so at the most; none where that is not known.
         age: Option<Duration>,
         /// For how much longer it gets work.
         used_for: Duration,
     },
     /// It is there to stay again.
-    TakenBack,
+    Cancelled,
     /// It gets no more work.
-    Over {
+    Expired {
         /// Statements that this node sent to it since it had heard.
         sent: u64,
         /// From hearing to the last of them.
--- a/crates/stairward-engine/src/settings.rs
+++ b/crates/stairward-engine/src/settings.rs
@@ -11,7 +11,7 @@
     StoreRevision, ZoneName,
 };
 
-use crate::leaving::UseLimit;
+use crate::leaving::DrainLimit;
 use crate::residency::Residency;
 use crate::tenants::TenantDirectory;
 use crate::warm_up::ColdBound;
@@ -155,9 +155,9 @@
     /// The region of each zone.
     pub regions: BTreeMap<ZoneName, RegionName>,
     /// For how long new work may still be sent to a back end that leaves.
-    pub leaving_limit: UseLimit,
+    pub leaving_limit: DrainLimit,
     /// For how long the leaders and open transactions of an evacuated zone may still be used.
-    pub evacuation_limit: UseLimit,
+    pub evacuation_limit: DrainLimit,
     /// How much cold back ends may get beside their service's rate.
     pub cold_bound: ColdBound,
     /// How long a leader's lead counts as confirmed after a replica was asked. None where a leader that was
@@ -194,13 +194,13 @@
         Self {
             distances: BTreeMap::new(),
             regions: BTreeMap::new(),
-            leaving_limit: UseLimit {
-                after_hearing: Duration::from_secs(4),
-                after_begin: Duration::from_secs(6),
+            leaving_limit: DrainLimit {
+                after_notice: Duration::from_secs(4),
+                after_announcement: Duration::from_secs(6),
             },
-            evacuation_limit: UseLimit {
-                after_hearing: Duration::from_secs(1),
-                after_begin: Duration::from_secs(4),
+            evacuation_limit: DrainLimit {
+                after_notice: Duration::from_secs(1),
+                after_announcement: Duration::from_secs(4),
             },
             cold_bound: ColdBound::default(),
             leadership_lease: None,
--- a/crates/stairward-engine/tests/leaving.rs
+++ b/crates/stairward-engine/tests/leaving.rs
@@ -172,11 +172,11 @@
     world.tell(primary_leaves(Some(since)));
     assert!(is_used(&mut world));
     world.pass(AFTER_HEARING + Duration::from_secs(1));
-    let began = LeavingChange::Began {
+    let began = LeavingChange::Started {
         age: Some(Duration::from_secs(1)),
         used_for: AFTER_HEARING,
     };
-    let over = LeavingChange::Over {
+    let over = LeavingChange::Expired {
         sent: 1,
         last_after: Duration::ZERO,
     };
@@ -185,7 +185,7 @@
         list: usual_backends(),
         since: Some(world.now),
     });
-    assert_eq!(world.leaving[2..], [LeavingChange::TakenBack]);
+    assert_eq!(world.leaving[2..], [LeavingChange::Cancelled]);
 }
 
 #[test]
--- a/crates/stairward-engine/tests/starts.rs
+++ b/crates/stairward-engine/tests/starts.rs
@@ -58,7 +58,7 @@
     list[0].is_leaving = true;
     list[0].revision = StoreRevision::new(0, 7);
     world.tell(listed(list.clone()));
-    let limit = EngineOptions::default().leaving_limit.after_hearing;
+    let limit = EngineOptions::default().leaving_limit.after_notice;
     world.pass(limit + Duration::from_secs(1));
     // The new one leaves as well, and has its own time.
     list[0].incarnation = Some(Incarnation(2));
--- a/crates/stairward-runtime/src/log.rs
+++ b/crates/stairward-runtime/src/log.rs
@@ -140,25 +140,25 @@
     /// What is known of a back end that leaves.
     pub fn leaving(&self, now: Time, backend: &BackendId, change: LeavingChange) {
         let event = match change {
-            LeavingChange::Began { .. } => LogEvent::BackendLeaving,
-            LeavingChange::Over { .. } => LogEvent::BackendLeft,
-            LeavingChange::TakenBack => LogEvent::BackendStays,
+            LeavingChange::Started { .. } => LogEvent::BackendLeaving,
+            LeavingChange::Expired { .. } => LogEvent::BackendLeft,
+            LeavingChange::Cancelled => LogEvent::BackendStays,
         };
         let Some(left_out) = self.admit(now, event) else {
             return;
         };
         let (number, name, backend) = (event.number(), event.name(), backend.as_str());
         match change {
-            LeavingChange::Began { age, used_for } => {
+            LeavingChange::Started { age, used_for } => {
                 let age_ms = age.map(|age| age.as_millis());
                 let used_for_ms = used_for.as_millis();
                 tracing::info!(event = number, name, backend, age_ms, used_for_ms, left_out);
             }
-            LeavingChange::Over { sent, last_after } => {
+            LeavingChange::Expired { sent, last_after } => {
                 let last_after_ms = last_after.as_millis();
                 tracing::info!(event = number, name, backend, sent, last_after_ms, left_out);
             }
-            LeavingChange::TakenBack => {
+            LeavingChange::Cancelled => {
                 tracing::info!(event = number, name, backend, left_out);
             }
         }
--- a/crates/stairward-runtime/src/node.rs
+++ b/crates/stairward-runtime/src/node.rs
@@ -431,7 +431,7 @@
                 self.evacuation_observed(now, &zone, is_evacuated);
             }
             Effect::LeavingObserved { backend, change } => {
-                if let LeavingChange::Over { sent, .. } = change {
+                if let LeavingChange::Expired { sent, .. } = change {
                     figures::count_sent_to_leaving(sent);
                 }
                 self.log.leaving(now, &backend, change);
--- a/crates/stairward-simulation/src/nodes.rs
+++ b/crates/stairward-simulation/src/nodes.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use stairward_engine::{
-    BackendDescription, ColdBound, ConnectionId, Consistency, Engine, EngineOptions, Residency,
-    Route, RoutingTable, ServiceLimits, TenantDirectory, UseLimit, ZoneDistance,
+    BackendDescription, ColdBound, ConnectionId, Consistency, DrainLimit, Engine, EngineOptions,
+    Residency, Route, RoutingTable, ServiceLimits, TenantDirectory, ZoneDistance,
 };
 use stairward_failover::{
     FailoverDuty, FailoverOptions, GroupState, LEADERSHIP_LEASE, LeaderMemory, MemberState,
@@ -107,9 +107,9 @@
         let options = EngineOptions {
             distances: distances.collect(),
             leadership_lease: leases.engine,
-            leaving_limit: UseLimit {
-                after_hearing: run.drain_limit.saturating_sub(HEARING_MARGIN),
-                after_begin: run.drain_limit.saturating_sub(SEND_MARGIN),
+            leaving_limit: DrainLimit {
+                after_notice: run.drain_limit.saturating_sub(HEARING_MARGIN),
+                after_announcement: run.drain_limit.saturating_sub(SEND_MARGIN),
             },
             cold_bound: ColdBound {
                 excess: EXCESS,
