--- a/crates/stairward-engine/src/discovery.rs
+++ b/crates/stairward-engine/src/discovery.rs
@@ -102,7 +102,7 @@
         if is_new_start {
             backend.start_again();
             let backend = id.clone();
-            self.effects.push(Effect::StartObserved { backend });
+            self.effects.push(Effect::RestartObserved { backend });
         }
         if let Some(backend) = self.backends.get_mut(&id)
             && (has_moved || is_new_start)
--- a/crates/stairward-engine/src/engine.rs
+++ b/crates/stairward-engine/src/engine.rs
@@ -10,7 +10,7 @@
 use crate::backend::Backend;
 use crate::connection::Connection;
 use crate::evacuation::Evacuations;
-use crate::event::{Effect, Event, Evidence};
+use crate::event::{BackendEvidence, Effect, Event};
 use crate::group::Group;
 use crate::holder_demand::{HolderSizing, connections_per_holder};
 use crate::holder_directory::HolderDirectory;
@@ -273,8 +273,8 @@
         RequestNumber(self.last_request)
     }
 
-    pub(crate) fn observe(&mut self, backend: &BackendId, evidence: Evidence) {
-        self.effects.push(Effect::Observed {
+    pub(crate) fn observe(&mut self, backend: &BackendId, evidence: BackendEvidence) {
+        self.effects.push(Effect::BackendObserved {
             backend: backend.clone(),
             evidence,
         });
--- a/crates/stairward-engine/src/evacuation.rs
+++ b/crates/stairward-engine/src/evacuation.rs
@@ -46,7 +46,7 @@
 
 /// What is still going on in an evacuated zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct ZoneWork {
+pub struct ZoneActivity {
     /// Connections to its back ends.
     pub connections: usize,
     /// Statements under way there.
@@ -133,10 +133,10 @@
 
     /// What still goes on in each evacuated zone.
     #[must_use]
-    pub fn work_in_evacuated(&self) -> BTreeMap<ZoneName, ZoneWork> {
+    pub fn evacuated_zone_activity(&self) -> BTreeMap<ZoneName, ZoneActivity> {
         let zones = self.evacuations.ends_at.keys();
-        let mut work: BTreeMap<_, ZoneWork> = zones
-            .map(|zone| (zone.clone(), ZoneWork::default()))
+        let mut work: BTreeMap<_, ZoneActivity> = zones
+            .map(|zone| (zone.clone(), ZoneActivity::default()))
             .collect();
         for backend in self.backends.values() {
             if let Some(work) = work.get_mut(&backend.description.zone) {
--- a/crates/stairward-engine/src/event.rs
+++ b/crates/stairward-engine/src/event.rs
@@ -25,7 +25,7 @@
     /// Nothing listens there.
     Refused,
     /// No answer came in time.
-    Silent,
+    TimedOut,
     /// The back end has too many connections.
     ConnectionLimit,
     /// Another back end answers at this address.
@@ -236,19 +236,19 @@
 
 /// What use of a back end shows about it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Evidence {
+pub enum BackendEvidence {
     /// It answered.
     Answered,
     /// Nothing listens at its address.
     Refused,
     /// It has left a command or an opening without an answer for long.
-    Silent,
+    Unresponsive,
     /// It said that it does not lead.
     NotLeader,
     /// It calls itself primary and lacks commits that it had answered with.
     LostLog,
     /// It takes no more connections.
-    Full,
+    ConnectionLimitReached,
 }
 
 /// What a node believes of a service's lead.
@@ -314,7 +314,7 @@
 
 /// How a request ended, for metrics.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct RequestMeasure {
+pub struct RequestMeasurement {
     /// What reads of its route must see.
     pub consistency: Consistency,
     /// Whether it could write.
@@ -374,11 +374,11 @@
         connection: ConnectionId,
     },
     /// Use of a back end showed something about it.
-    Observed {
+    BackendObserved {
         /// The back end.
         backend: BackendId,
         /// What was shown.
-        evidence: Evidence,
+        evidence: BackendEvidence,
     },
     /// Ask another node what it knows of a service's lead.
     QueryLeadership {
@@ -465,7 +465,7 @@
         change: LeavingChange,
     },
     /// A back end's process has started again under its id.
-    StartObserved {
+    RestartObserved {
         /// The back end.
         backend: BackendId,
     },
@@ -479,7 +479,7 @@
     /// A decision for the log.
     Record(RequestRecord),
     /// A request has ended.
-    Measured(RequestMeasure),
+    Measured(RequestMeasurement),
     /// The planned stop is complete.
     Stopped,
 }
--- a/crates/stairward-engine/src/lib.rs
+++ b/crates/stairward-engine/src/lib.rs
@@ -47,10 +47,10 @@
 mod withholding;
 
 pub use engine::{Engine, EngineStatistics};
-pub use evacuation::ZoneWork;
+pub use evacuation::ZoneActivity;
 pub use event::{
-    BackendCommand, Decision, Effect, Event, Evidence, LeadershipChange, OpenFailure, OpenTarget,
-    RequestMeasure, RequestRecord,
+    BackendCommand, BackendEvidence, Decision, Effect, Event, LeadershipChange, OpenFailure,
+    OpenTarget, RequestMeasurement, RequestRecord,
 };
 pub use holder_demand::{HolderSizing, connections_per_holder};
 pub use holder_directory::{Holder, ServiceHolders};
--- a/crates/stairward-engine/src/openings.rs
+++ b/crates/stairward-engine/src/openings.rs
@@ -3,7 +3,7 @@
 use stairward_types::{BackendId, Freshness, Time};
 
 use crate::engine::Engine;
-use crate::event::{Effect, Evidence, OpenFailure};
+use crate::event::{BackendEvidence, Effect, OpenFailure};
 use crate::identifiers::ConnectionId;
 
 impl Engine {
@@ -25,7 +25,7 @@
         let backend_id = connection.backend.clone();
         let backend = self.backends.get_mut(&backend_id);
         if backend.is_some_and(|backend| backend.judge_log(log_floor, position)) {
-            self.observe(&backend_id, Evidence::LostLog);
+            self.observe(&backend_id, BackendEvidence::LostLog);
         }
         self.backend_answered(now, &backend_id, position);
         self.changed.insert(service);
@@ -40,21 +40,23 @@
         self.remove_connection(id);
         if let Some(backend) = self.backends.get_mut(&backend_id) {
             backend.opening_failed(now, failure == OpenFailure::ConnectionLimit);
-            if matches!(failure, OpenFailure::Refused | OpenFailure::Silent) {
+            if matches!(failure, OpenFailure::Refused | OpenFailure::TimedOut) {
                 backend.is_silent = true;
             }
         }
         match failure {
             OpenFailure::Refused => {
-                self.observe(&backend_id, Evidence::Refused);
+                self.observe(&backend_id, BackendEvidence::Refused);
                 self.take_refusal(now, &service, &backend_id);
             }
-            OpenFailure::Silent => self.observe(&backend_id, Evidence::Silent),
+            OpenFailure::TimedOut => self.observe(&backend_id, BackendEvidence::Unresponsive),
             OpenFailure::WrongBackend => {
                 // Another one answers there: what discovery told is over.
                 self.leaves(now, &backend_id, Some(now));
             }
-            OpenFailure::ConnectionLimit => self.observe(&backend_id, Evidence::Full),
+            OpenFailure::ConnectionLimit => {
+                self.observe(&backend_id, BackendEvidence::ConnectionLimitReached)
+            }
             OpenFailure::Other => {}
         }
         self.changed.insert(service);
@@ -76,7 +78,7 @@
         }
         if was_silent {
             self.changed.insert(service);
-            self.observe(id, Evidence::Answered);
+            self.observe(id, BackendEvidence::Answered);
         }
     }
 }
--- a/crates/stairward-engine/src/replies.rs
+++ b/crates/stairward-engine/src/replies.rs
@@ -6,7 +6,7 @@
 
 use crate::connection::{SentStep, Step, User};
 use crate::engine::Engine;
-use crate::event::{BackendCommand, Decision, Evidence};
+use crate::event::{BackendCommand, BackendEvidence, Decision};
 use crate::identifiers::{ConnectionId, SessionId};
 use crate::proofs::Proof;
 use crate::reply::TransactionStatus;
@@ -259,7 +259,7 @@
                 if let Some(group) = self.groups.get_mut(&service) {
                     group.denied.insert(backend_id.clone(), revision);
                 }
-                self.observe(&backend_id, Evidence::NotLeader);
+                self.observe(&backend_id, BackendEvidence::NotLeader);
             }
             _ => {}
         }
--- a/crates/stairward-engine/src/requests.rs
+++ b/crates/stairward-engine/src/requests.rs
@@ -6,7 +6,9 @@
 
 use crate::connection::{SentStep, User, step_of};
 use crate::engine::{Engine, WaitingKey};
-use crate::event::{BackendCommand, Decision, Effect, Evidence, RequestMeasure, RequestRecord};
+use crate::event::{
+    BackendCommand, BackendEvidence, Decision, Effect, RequestMeasurement, RequestRecord,
+};
 use crate::identifiers::{ConnectionId, RequestNumber, SessionId};
 use crate::reply::{Response, ResponseResult};
 use crate::session::{Need, Request, Stage, Transaction, WaitReason};
@@ -190,7 +192,7 @@
         let served_by = backend
             .filter(|_| outcome == OutcomeClass::Answered)
             .map(|backend| backend.description.role);
-        self.effects.push(Effect::Measured(RequestMeasure {
+        self.effects.push(Effect::Measured(RequestMeasurement {
             consistency: request.route.consistency,
             access,
             outcome,
@@ -527,7 +529,7 @@
         if !has_answered_since {
             backend.is_silent = true;
             self.changed.insert(backend.description.service.clone());
-            self.observe(&backend_id, Evidence::Silent);
+            self.observe(&backend_id, BackendEvidence::Unresponsive);
         }
         let patience = if has_answered_since || !has_user {
             LOST_ANSWER
--- a/crates/stairward-engine/tests/evacuation.rs
+++ b/crates/stairward-engine/tests/evacuation.rs
@@ -257,7 +257,7 @@
     evacuate(&mut world, &[NEAR]);
     let session = world.open(LEADER_READS);
     world.say(session, StatementKind::Write);
-    let work = world.engine.work_in_evacuated();
+    let work = world.engine.evacuated_zone_activity();
     let zones: BTreeSet<_> = work.keys().map(ZoneName::as_str).collect();
     assert_eq!(zones, BTreeSet::from([NEAR]));
     let near = work.values().next().unwrap();
--- a/crates/stairward-engine/tests/starts.rs
+++ b/crates/stairward-engine/tests/starts.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use stairward_engine::{BackendDescription, EngineOptions, Evidence, StatementKind};
+use stairward_engine::{BackendDescription, BackendEvidence, EngineOptions, StatementKind};
 use stairward_types::{BackendRole, Freshness, Incarnation, ResultCode, StoreRevision};
 use support::{LEADER_READS, NEAR_REPLICA, PRIMARY, World, at, backend, listed, usual_backends};
 
@@ -121,7 +121,7 @@
         assert!(
             !world
                 .observed
-                .contains(&(backend(PRIMARY), Evidence::LostLog))
+                .contains(&(backend(PRIMARY), BackendEvidence::LostLog))
         );
     }
 }
@@ -134,7 +134,7 @@
             restart_primary(&mut world, position);
             world.tell(listed(list));
             assert!(!is_written_at_primary(&mut world), "{position:?}");
-            let lost = (backend(PRIMARY), Evidence::LostLog);
+            let lost = (backend(PRIMARY), BackendEvidence::LostLog);
             assert!(world.observed.contains(&lost), "{position:?}");
         }
     }
--- a/crates/stairward-engine/tests/support/mod.rs
+++ b/crates/stairward-engine/tests/support/mod.rs
@@ -9,10 +9,10 @@
 use std::time::Duration;
 
 use stairward_engine::{
-    BackendCommand, BackendDescription, BackendError, BackendErrorCode, BackendReply, ConnectionId,
-    Consistency, Effect, Engine, EngineOptions, Event, Evidence, Forwarded, LeadershipChange,
-    LeavingChange, OpenFailure, OpenTarget, Residency, Response, ResponseResult, Route,
-    RoutingTable, ServiceHolders, ServiceLimits, SessionId, Statement, StatementKind,
+    BackendCommand, BackendDescription, BackendError, BackendErrorCode, BackendEvidence,
+    BackendReply, ConnectionId, Consistency, Effect, Engine, EngineOptions, Event, Forwarded,
+    LeadershipChange, LeavingChange, OpenFailure, OpenTarget, Residency, Response, ResponseResult,
+    Route, RoutingTable, ServiceHolders, ServiceLimits, SessionId, Statement, StatementKind,
     TransactionStatus, ZoneDistance,
 };
 use stairward_types::{
@@ -193,7 +193,7 @@
     pub leaving: Vec<LeavingChange>,
     pub starts: Vec<BackendId>,
     pub closed_forwarded: Vec<(NodeId, SessionId)>,
-    pub observed: Vec<(BackendId, Evidence)>,
+    pub observed: Vec<(BackendId, BackendEvidence)>,
     pub is_stopped: bool,
     connections: BTreeMap<ConnectionId, BackendId>,
     /// What each connection was opened to.
@@ -287,7 +287,9 @@
                     self.sent.retain(|sent| sent.connection != connection);
                 }
                 Effect::Stopped => self.is_stopped = true,
-                Effect::Observed { backend, evidence } => self.observed.push((backend, evidence)),
+                Effect::BackendObserved { backend, evidence } => {
+                    self.observed.push((backend, evidence))
+                }
                 Effect::Forward {
                     holder,
                     session,
@@ -304,7 +306,7 @@
                 }
                 Effect::LeadershipObserved { change, .. } => self.lead_changes.push(change),
                 Effect::LeavingObserved { change, .. } => self.leaving.push(change),
-                Effect::StartObserved { backend } => self.starts.push(backend),
+                Effect::RestartObserved { backend } => self.starts.push(backend),
                 Effect::AcceptSession { session } => self.accepted_sessions.push(session),
                 Effect::AskLimit(..)
                 | Effect::RecordFleet(_)
--- a/crates/stairward-runtime/src/backends.rs
+++ b/crates/stairward-runtime/src/backends.rs
@@ -33,7 +33,7 @@
     let opening = open_without_limit::<W>(target);
     match tokio::time::timeout(OPEN_PATIENCE, opening).await {
         Ok(opened) => opened,
-        Err(_) => Err(OpenFailure::Silent),
+        Err(_) => Err(OpenFailure::TimedOut),
     }
 }
 
@@ -42,7 +42,7 @@
         .await
         .map_err(|error| match error.kind() {
             std::io::ErrorKind::ConnectionRefused => OpenFailure::Refused,
-            std::io::ErrorKind::TimedOut => OpenFailure::Silent,
+            std::io::ErrorKind::TimedOut => OpenFailure::TimedOut,
             _ => OpenFailure::Other,
         })?;
     let (mut reading, outgoing) = Outgoing::split(stream);
--- a/crates/stairward-runtime/src/duty.rs
+++ b/crates/stairward-runtime/src/duty.rs
@@ -49,7 +49,7 @@
             self.tell_duty(Event::Tick);
             figures::show(self.statistics());
             self.show_traffic();
-            for (zone, work) in self.engine.borrow().work_in_evacuated() {
+            for (zone, work) in self.engine.borrow().evacuated_zone_activity() {
                 figures::show_evacuated(&zone, work);
             }
         }
--- a/crates/stairward-runtime/src/figures.rs
+++ b/crates/stairward-runtime/src/figures.rs
@@ -1,7 +1,7 @@
 //! The node's figures: counters and latency histograms, shown as text for Prometheus.
 
 use metrics_exporter_prometheus::{BuildError, PrometheusBuilder, PrometheusHandle};
-use stairward_engine::{Consistency, EngineStatistics, RequestMeasure, ZoneWork};
+use stairward_engine::{Consistency, EngineStatistics, RequestMeasurement, ZoneActivity};
 use stairward_failover::Action;
 use stairward_types::{
     AccessClass, BackendRole, OutcomeClass, ServiceName, StoreRevision, ZoneName,
@@ -109,7 +109,7 @@
 }
 
 /// Counts a request that ended.
-pub(crate) fn count(measure: &RequestMeasure) {
+pub(crate) fn count(measure: &RequestMeasurement) {
     let consistency = consistency_name(measure.consistency);
     let access = access_name(measure.access);
     let outcome = outcome_name(measure.outcome);
@@ -154,7 +154,7 @@
 }
 
 /// Shows what still goes on in an evacuated zone; nothing once it is taken back.
-pub(crate) fn show_evacuated(zone: &ZoneName, work: ZoneWork) {
+pub(crate) fn show_evacuated(zone: &ZoneName, work: ZoneActivity) {
     let zone = zone.as_str().to_owned();
     metrics::gauge!(EVACUATED_CONNECTIONS, "zone" => zone.clone()).set(gauge(work.connections));
     metrics::gauge!(EVACUATED_STATEMENTS, "zone" => zone).set(gauge(work.statements));
--- a/crates/stairward-runtime/src/node.rs
+++ b/crates/stairward-runtime/src/node.rs
@@ -8,8 +8,9 @@
 
 use bytes::BytesMut;
 use stairward_engine::{
-    ConnectionId, DiscoveryChange, Effect, Engine, EngineOptions, EngineStatistics, Event,
-    Evidence, LeadershipChange, LeavingChange, RoutingTable, SessionId, ZoneWork,
+    BackendEvidence, ConnectionId, DiscoveryChange, Effect, Engine, EngineOptions,
+    EngineStatistics, Event, LeadershipChange, LeavingChange, RoutingTable, SessionId,
+    ZoneActivity,
 };
 use stairward_failover::{
     FailoverDuty, FailoverOptions, LeaderEvidence, LeaderMemory, RecordVersion,
@@ -426,7 +427,7 @@
                     outgoing.close();
                 }
             }
-            Effect::Observed { backend, evidence } => self.observed(now, backend, evidence),
+            Effect::BackendObserved { backend, evidence } => self.observed(now, backend, evidence),
             Effect::EvacuationObserved { zone, is_evacuated } => {
                 self.evacuation_observed(now, &zone, is_evacuated);
             }
@@ -436,7 +437,7 @@
                 }
                 self.log.leaving(now, &backend, change);
             }
-            Effect::StartObserved { backend } => {
+            Effect::RestartObserved { backend } => {
                 if let Some(backend) = self.discovered.borrow().get(&backend) {
                     figures::count_start(&backend.service);
                 }
@@ -522,18 +523,24 @@
         };
         self.log.evacuation(now, &line);
         if !is_evacuated {
-            figures::show_evacuated(zone, ZoneWork::default());
+            figures::show_evacuated(zone, ZoneActivity::default());
         }
     }
 
-    fn observed(self: &Rc<Self>, now: Time, backend: BackendId, evidence: Evidence) {
+    fn observed(self: &Rc<Self>, now: Time, backend: BackendId, evidence: BackendEvidence) {
         let (event, evidence) = match evidence {
-            Evidence::Answered => (LogEvent::BackendReachable, Some(LeaderEvidence::Answered)),
-            Evidence::Refused => (LogEvent::BackendUnreachable, Some(LeaderEvidence::Refused)),
-            Evidence::Silent => (LogEvent::BackendUnreachable, Some(LeaderEvidence::Silent)),
-            Evidence::NotLeader => (LogEvent::LeadershipDenied, None),
-            Evidence::LostLog => (LogEvent::LogLost, Some(LeaderEvidence::LostLog)),
-            Evidence::Full => (LogEvent::BackendFull, None),
+            BackendEvidence::Answered => {
+                (LogEvent::BackendReachable, Some(LeaderEvidence::Answered))
+            }
+            BackendEvidence::Refused => {
+                (LogEvent::BackendUnreachable, Some(LeaderEvidence::Refused))
+            }
+            BackendEvidence::Unresponsive => {
+                (LogEvent::BackendUnreachable, Some(LeaderEvidence::Silent))
+            }
+            BackendEvidence::NotLeader => (LogEvent::LeadershipDenied, None),
+            BackendEvidence::LostLog => (LogEvent::LogLost, Some(LeaderEvidence::LostLog)),
+            BackendEvidence::ConnectionLimitReached => (LogEvent::BackendFull, None),
         };
         self.log.backend(now, event, backend.as_str());
         if let Some(evidence) = evidence {
--- a/crates/stairward-runtime/src/relayed_questions.rs
+++ b/crates/stairward-runtime/src/relayed_questions.rs
@@ -134,7 +134,7 @@
         let node = Rc::clone(self);
         tokio::task::spawn_local(async move {
             let opened = open_connection::<W>(&target).await;
-            let is_silent = matches!(opened, Err(OpenFailure::Silent));
+            let is_silent = matches!(opened, Err(OpenFailure::TimedOut));
             node.log.verified(node.now(), &backend, asker, is_silent);
             if let Ok(opened) = opened {
                 opened.outgoing.close();
--- a/crates/stairward-simulation/src/world_databases.rs
+++ b/crates/stairward-simulation/src/world_databases.rs
@@ -56,7 +56,7 @@
         if !self.reaches(node, backend) {
             let failed = Event::OpenFailed {
                 connection,
-                failure: OpenFailure::Silent,
+                failure: OpenFailure::TimedOut,
             };
             let failed = Happening::Engine(node, life, Box::new(failed));
             return self.queue.plan(Duration::from_secs(1), failed);
--- a/crates/stairward-simulation/src/world_nodes.rs
+++ b/crates/stairward-simulation/src/world_nodes.rs
@@ -4,7 +4,7 @@
 
 use rand::RngExt as _;
 use stairward_engine::{
-    BackendCommand, ConnectionId, Effect, Event, Evidence, LeadershipChange, Response,
+    BackendCommand, BackendEvidence, ConnectionId, Effect, Event, LeadershipChange, Response,
 };
 use stairward_failover::{Event as DutyEvent, LeaderEvidence};
 use stairward_limits::Ask;
@@ -100,7 +100,7 @@
             | Effect::HolderLivenessChanged { .. }
             | Effect::EvacuationObserved { .. }
             | Effect::LeavingObserved { .. }
-            | Effect::StartObserved { .. }
+            | Effect::RestartObserved { .. }
             | Effect::WarmUpObserved { .. }
             | Effect::RecordFleet(_)
             | Effect::CoordinatorChanged { .. }
@@ -186,13 +186,13 @@
                     self.queue.plan(delay, Happening::CloseAt(link, backend));
                 }
             }
-            Effect::Observed { backend, evidence } => {
+            Effect::BackendObserved { backend, evidence } => {
                 let evidence = match evidence {
-                    Evidence::Answered => LeaderEvidence::Answered,
-                    Evidence::Refused => LeaderEvidence::Refused,
-                    Evidence::Silent => LeaderEvidence::Silent,
-                    Evidence::LostLog => LeaderEvidence::LostLog,
-                    Evidence::NotLeader | Evidence::Full => return,
+                    BackendEvidence::Answered => LeaderEvidence::Answered,
+                    BackendEvidence::Refused => LeaderEvidence::Refused,
+                    BackendEvidence::Unresponsive => LeaderEvidence::Silent,
+                    BackendEvidence::LostLog => LeaderEvidence::LostLog,
+                    BackendEvidence::NotLeader | BackendEvidence::ConnectionLimitReached => return,
                 };
                 self.tell_duty(index, life, DutyEvent::Evidence(backend, evidence));
             }
