--- a/crates/stairward-engine/src/admission.rs
+++ b/crates/stairward-engine/src/admission.rs
@@ -108,8 +108,10 @@
         let mut effects = VecDeque::from(self.limits.take_effects());
         while let Some(effect) = effects.pop_front() {
             match effect {
-                LimitEffect::Ask(node, ask) => self.effects.push(Effect::AskLimit(node, ask)),
-                LimitEffect::Record(nodes) => self.effects.push(Effect::RecordFleet(nodes)),
+                LimitEffect::Ask(node, ask) => {
+                    self.effects.push(Effect::RequestLimitGrant(node, ask))
+                }
+                LimitEffect::Record(nodes) => self.effects.push(Effect::RecordFleetSize(nodes)),
                 LimitEffect::CoordinatorChanged { shard, silent, now } => {
                     self.effects
                         .push(Effect::CoordinatorChanged { shard, silent, now });
--- a/crates/stairward-engine/src/engine.rs
+++ b/crates/stairward-engine/src/engine.rs
@@ -175,7 +175,7 @@
             Event::Statement { session, statement } => {
                 self.take_statement(now, session, Some(statement));
             }
-            Event::BadStatement { session } => self.take_statement(now, session, None),
+            Event::InvalidStatement { session } => self.take_statement(now, session, None),
             Event::SessionClosed { session } => self.session_closed(now, session),
             Event::ConnectionOpened {
                 connection,
@@ -187,14 +187,14 @@
             } => self.open_failed(now, connection, failure),
             Event::Reply { connection, reply } => self.take_reply(now, connection, reply),
             Event::ConnectionLost { connection } => self.connection_lost(now, connection),
-            Event::Configured(table) => self.configure(now, table),
-            Event::Backends { list, since } => self.take_backends(now, list, since),
+            Event::ConfigurationChanged(table) => self.configure(now, table),
+            Event::BackendsListed { list, since } => self.take_backends(now, list, since),
             Event::BackendsChanged { change, since } => self.change_backends(now, change, since),
-            Event::Nodes(nodes) => self.note_nodes(now, nodes),
+            Event::NodeCountChanged(nodes) => self.note_nodes(now, nodes),
             Event::HoldersChanged(holders) => self.change_holders(holders),
             Event::NodeRegions(regions) => self.node_regions = regions,
-            Event::Evacuated { zones, since } => self.set_evacuated(now, &zones, since),
-            Event::Forwarded { session, forwarded } => {
+            Event::EvacuatedZonesChanged { zones, since } => self.set_evacuated(now, &zones, since),
+            Event::ForwardedRequest { session, forwarded } => {
                 self.take_forwarded(now, session, *forwarded);
             }
             Event::ForwardAnswered {
@@ -230,7 +230,7 @@
             Event::Members { live, leaving } => {
                 self.tell_limits(now, LimitEvent::Members { live, leaving });
             }
-            Event::FleetRecorded(nodes) => self.tell_limits(now, LimitEvent::Recorded(nodes)),
+            Event::FleetSizeRecorded(nodes) => self.tell_limits(now, LimitEvent::Recorded(nodes)),
             Event::LimitGranted(node, grant) => {
                 self.tell_limits(now, LimitEvent::Granted(node, grant));
             }
--- a/crates/stairward-engine/src/event.rs
+++ b/crates/stairward-engine/src/event.rs
@@ -14,7 +14,7 @@
 use crate::holder_directory::ServiceHolders;
 use crate::identifiers::{ConnectionId, SessionId};
 use crate::leaving::LeavingChange;
-use crate::relay::Forwarded;
+use crate::relay::ForwardedRequest;
 use crate::reply::{BackendReply, Response};
 use crate::settings::{BackendDescription, Consistency, DiscoveryChange, RoutingTable};
 use crate::statement::{PreparedStatement, Statement};
@@ -54,7 +54,7 @@
         statement: Statement,
     },
     /// A caller sent something that is not a statement; the session goes on.
-    BadStatement {
+    InvalidStatement {
         /// Its session.
         session: SessionId,
     },
@@ -90,9 +90,9 @@
         connection: ConnectionId,
     },
     /// A configuration was learnt.
-    Configured(Arc<RoutingTable>),
+    ConfigurationChanged(Arc<RoutingTable>),
     /// Discovery's whole present list.
-    Backends {
+    BackendsListed {
         /// The list.
         list: Vec<BackendDescription>,
         /// What differs from the last list came about after this moment; none where that is not known.
@@ -106,24 +106,24 @@
         since: Option<Time>,
     },
     /// How many nodes share the back ends' connections.
-    Nodes(u32),
+    NodeCountChanged(u32),
     /// Who holds the connections of these services now; all others are as they were.
     HoldersChanged(BTreeMap<ServiceName, ServiceHolders>),
     /// The region of each node that is seen.
     NodeRegions(BTreeMap<NodeId, RegionName>),
     /// The zones to whose back ends nothing is to be sent.
-    Evacuated {
+    EvacuatedZonesChanged {
         /// All of them.
         zones: BTreeSet<ZoneName>,
         /// What differs from the last such word came about after this moment; none where that is not known.
         since: Option<Time>,
     },
     /// Another node forwards a statement of one of its sessions.
-    Forwarded {
+    ForwardedRequest {
         /// The session, by a number of this node.
         session: SessionId,
         /// The statement, with all of the session that it needs.
-        forwarded: Box<Forwarded>,
+        forwarded: Box<ForwardedRequest>,
     },
     /// A holder answered a statement that was forwarded to it.
     ForwardAnswered {
@@ -178,8 +178,8 @@
         leaving: BTreeSet<NodeId>,
     },
     /// How many nodes are on record; 0 where there is no record yet.
-    FleetRecorded(u32),
-    /// A coordinator answered [`Effect::AskLimit`].
+    FleetSizeRecorded(u32),
+    /// A coordinator answered [`Effect::RequestLimitGrant`].
     LimitGranted(NodeId, Grant),
     /// The process is to stop.
     StopRequested,
@@ -416,7 +416,7 @@
         /// The request's number.
         request: u64,
         /// The statement.
-        forwarded: Forwarded,
+        forwarded: ForwardedRequest,
     },
     /// Ask a node that statements were forwarded to for a sign of life.
     PingHolder {
@@ -431,16 +431,16 @@
         is_silent: bool,
     },
     /// Tell a node that a session has ended whose statements were forwarded to it.
-    CloseForwarded {
+    CloseForwardedSession {
         /// The node.
         holder: NodeId,
         /// The session.
         session: SessionId,
     },
     /// Ask a coordinator for operations of tenants with a limit.
-    AskLimit(NodeId, Ask),
+    RequestLimitGrant(NodeId, Ask),
     /// Record how many nodes there may be, where all nodes read it.
-    RecordFleet(u32),
+    RecordFleetSize(u32),
     /// A coordinator of tenants' limits did not answer: another is asked from now on.
     CoordinatorChanged {
         /// The group of tenants.
--- a/crates/stairward-engine/src/lib.rs
+++ b/crates/stairward-engine/src/lib.rs
@@ -56,7 +56,7 @@
 pub use holder_directory::{Holder, ServiceHolders};
 pub use identifiers::{ConnectionId, SessionId};
 pub use leaving::{DrainLimit, LeavingChange};
-pub use relay::Forwarded;
+pub use relay::ForwardedRequest;
 pub use reply::{
     BackendError, BackendErrorCode, BackendReply, Response, ResponseResult, TransactionStatus,
 };
--- a/crates/stairward-engine/src/relay.rs
+++ b/crates/stairward-engine/src/relay.rs
@@ -31,7 +31,7 @@
 
 /// A statement for another node to run, with all of the session that it needs.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Forwarded {
+pub struct ForwardedRequest {
     /// The database that the session asked for.
     pub database: GroupId,
     /// The revision of the configuration in force where the session is.
@@ -110,7 +110,7 @@
             StatementKind::Execute { name, .. } => session.prepared.get(name).cloned(),
             _ => None,
         };
-        let forwarded = Forwarded {
+        let forwarded = ForwardedRequest {
             database: session.database.clone(),
             revision,
             tenant: session.identity.tenant().cloned(),
@@ -149,7 +149,7 @@
     }
 
     /// A statement comes from another node, for a session that it numbers anew here.
-    pub(crate) fn take_forwarded(&mut self, now: Time, id: SessionId, forwarded: Forwarded) {
+    pub(crate) fn take_forwarded(&mut self, now: Time, id: SessionId, forwarded: ForwardedRequest) {
         let route = self
             .table
             .as_ref()
@@ -342,7 +342,7 @@
     pub(crate) fn close_forwarded(&mut self, id: SessionId, holders: &BTreeSet<NodeId>) {
         for holder in holders {
             self.holder_settled(*holder, id);
-            self.effects.push(Effect::CloseForwarded {
+            self.effects.push(Effect::CloseForwardedSession {
                 holder: *holder,
                 session: id,
             });
--- a/crates/stairward-engine/tests/lead.rs
+++ b/crates/stairward-engine/tests/lead.rs
@@ -26,7 +26,7 @@
         ..world.engine_options()
     };
     world.engine = Engine::new(options);
-    world.tell(Event::Configured(Arc::new(table(1))));
+    world.tell(Event::ConfigurationChanged(Arc::new(table(1))));
     world.tell(listed(usual_backends()));
     world
 }
--- a/crates/stairward-engine/tests/leaving.rs
+++ b/crates/stairward-engine/tests/leaving.rs
@@ -28,7 +28,7 @@
     let mut list = usual_backends();
     list[0].is_leaving = true;
     list[0].revision = StoreRevision::new(0, 9);
-    Event::Backends { list, since }
+    Event::BackendsListed { list, since }
 }
 
 fn proved() -> World {
@@ -88,7 +88,7 @@
     let since = world.now;
     world.pass(Duration::from_secs(5));
     let list = usual_backends()[1..].to_vec();
-    world.tell(Event::Backends {
+    world.tell(Event::BackendsListed {
         list,
         since: Some(since),
     });
@@ -104,7 +104,7 @@
     list.truncate(1);
     list.push(leaving(describe("db-4", BackendRole::Replica, 9)));
     let since = Some(world.now);
-    world.tell(Event::Backends { list, since });
+    world.tell(Event::BackendsListed { list, since });
     world.pass(Duration::from_millis(100));
     let opened: Vec<_> = world.opened.iter().map(|(_, backend)| backend).collect();
     assert!(!opened.contains(&&backend("db-4")), "{opened:?}");
@@ -181,7 +181,7 @@
         last_after: Duration::ZERO,
     };
     assert_eq!(world.leaving, [began, over]);
-    world.tell(Event::Backends {
+    world.tell(Event::BackendsListed {
         list: usual_backends(),
         since: Some(world.now),
     });
@@ -195,7 +195,7 @@
     list[1].is_leaving = true;
     list[1].revision = StoreRevision::new(0, 9);
     let since = Some(world.now);
-    world.tell(Event::Backends { list, since });
+    world.tell(Event::BackendsListed { list, since });
     let session = world.open(BOUNDED);
     world.say(session, StatementKind::Read);
     let used = world.sent[0].backend.as_str();
--- a/crates/stairward-engine/tests/outcomes.rs
+++ b/crates/stairward-engine/tests/outcomes.rs
@@ -97,7 +97,9 @@
 fn a_request_that_cannot_be_sent_is_refused_early_with_word_of_when_to_come_back() {
     let mut world = World::empty();
     world.opens = false;
-    world.tell(Event::Configured(std::sync::Arc::new(support::table(1))));
+    world.tell(Event::ConfigurationChanged(std::sync::Arc::new(
+        support::table(1),
+    )));
     world.tell(listed(support::usual_backends()));
     let session = world.open(LEADER_READS);
     world.say(session, StatementKind::Write);
@@ -213,7 +215,7 @@
 fn statements_that_make_no_sense_are_answered_and_the_session_goes_on() {
     let mut world = World::new();
     let session = world.open(BOUNDED);
-    world.tell(Event::BadStatement { session });
+    world.tell(Event::InvalidStatement { session });
     assert_eq!(world.refusal(), ResultCode::ProtocolViolation);
     world.say(session, StatementKind::Commit);
     assert_eq!(world.refusal(), ResultCode::ProtocolViolation);
--- a/crates/stairward-engine/tests/relays.rs
+++ b/crates/stairward-engine/tests/relays.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use stairward_engine::{
-    Event, Forwarded, PreparedStatement, Response, ResponseResult, SessionId, Statement,
+    Event, ForwardedRequest, PreparedStatement, Response, ResponseResult, SessionId, Statement,
     StatementKind, TransactionStatus,
 };
 use stairward_types::{
@@ -39,8 +39,8 @@
 }
 
 /// A statement as another node forwards it.
-fn forwarded(revision: u64, in_transaction: bool, kind: StatementKind) -> Forwarded {
-    Forwarded {
+fn forwarded(revision: u64, in_transaction: bool, kind: StatementKind) -> ForwardedRequest {
+    ForwardedRequest {
         database: GroupId::new(LEADER_READS).unwrap(),
         revision: Revision(revision),
         tenant: None,
@@ -59,15 +59,15 @@
 
 impl World {
     /// Another node forwards a statement of its only session here.
-    fn take_forwarded(&mut self, forwarded: Forwarded) {
-        self.tell(Event::Forwarded {
+    fn take_forwarded(&mut self, forwarded: ForwardedRequest) {
+        self.tell(Event::ForwardedRequest {
             session: GUEST,
             forwarded: Box::new(forwarded),
         });
     }
 
     /// Answers the statement that was forwarded last.
-    fn holder_answers(&mut self, response: Response) -> Forwarded {
+    fn holder_answers(&mut self, response: Response) -> ForwardedRequest {
         let (holder, session, request, forwarded) = self.forwarded.pop().unwrap();
         self.tell(Event::ForwardAnswered {
             holder,
@@ -205,7 +205,7 @@
         name: "s1".to_owned(),
         arguments: "a".to_owned(),
     };
-    world.take_forwarded(Forwarded {
+    world.take_forwarded(ForwardedRequest {
         values: BTreeMap::from([("lang".to_owned(), "sk".to_owned())]),
         prepared: Some(PreparedStatement {
             access: AccessClass::Write,
@@ -458,7 +458,7 @@
     world.tell(listed(replicas.collect()));
     world.pass(Duration::from_secs(20));
     world.sent.clear();
-    world.take_forwarded(Forwarded {
+    world.take_forwarded(ForwardedRequest {
         time_left: Duration::from_millis(100),
         ..forwarded(1, false, StatementKind::Write)
     });
@@ -486,7 +486,7 @@
 fn a_holder_lets_a_statement_that_was_sent_run_on_and_keeps_its_connection() {
     let mut world = World::new();
     world.sent.clear();
-    world.take_forwarded(Forwarded {
+    world.take_forwarded(ForwardedRequest {
         time_left: Duration::from_millis(100),
         ..forwarded(1, false, StatementKind::Write)
     });
--- a/crates/stairward-engine/tests/residency.rs
+++ b/crates/stairward-engine/tests/residency.rs
@@ -51,7 +51,7 @@
     let mut world = World::new();
     world.prove(at(1, 5));
     world.sent.clear();
-    world.tell(Event::Configured(Arc::new(bound(2, residency))));
+    world.tell(Event::ConfigurationChanged(Arc::new(bound(2, residency))));
     world
 }
 
@@ -122,7 +122,7 @@
         tenants: Some(tenant(within(&[FAR_REGION]))),
         ..bound(3, &within(&[NEAR_REGION, FAR_REGION]))
     };
-    world.tell(Event::Configured(Arc::new(both)));
+    world.tell(Event::ConfigurationChanged(Arc::new(both)));
     let session = open_with_key(&mut world);
     world.say(session, StatementKind::Read);
     assert_eq!(world.sent[0].backend.as_str(), FAR_REPLICA);
@@ -135,7 +135,7 @@
         tenants: Some(tenant(within(&[FAR_REGION]))),
         ..bound(3, &within(&[NEAR_REGION]))
     };
-    world.tell(Event::Configured(Arc::new(apart)));
+    world.tell(Event::ConfigurationChanged(Arc::new(apart)));
     let session = open_with_key(&mut world);
     world.say(session, StatementKind::Read);
     let refused = world.response().result;
--- a/crates/stairward-engine/tests/sessions.rs
+++ b/crates/stairward-engine/tests/sessions.rs
@@ -126,7 +126,7 @@
     let unknown = world.open("nothing");
     let gone = world.open(BOUNDED);
     world.tell(Event::SessionClosed { session: gone });
-    world.tell(Event::Configured(Arc::new(table(1))));
+    world.tell(Event::ConfigurationChanged(Arc::new(table(1))));
     assert_eq!(world.accepted_sessions, [served]);
     assert_eq!(
         world.refused_sessions,
@@ -141,8 +141,8 @@
     let mut world = World::new();
     let mut newer = table(5);
     newer.routes.remove(&GroupId::new(BOUNDED).unwrap());
-    world.tell(Event::Configured(Arc::new(newer)));
-    world.tell(Event::Configured(Arc::new(table(4))));
+    world.tell(Event::ConfigurationChanged(Arc::new(newer)));
+    world.tell(Event::ConfigurationChanged(Arc::new(table(4))));
     world.open(BOUNDED);
     assert_eq!(
         world.refused_sessions.pop().unwrap().1,
@@ -153,7 +153,7 @@
 #[test]
 fn a_node_opens_no_more_than_its_share_of_connections() {
     let mut world = World::new();
-    world.tell(Event::Nodes(3));
+    world.tell(Event::NodeCountChanged(3));
     for _ in 0..20 {
         let session = world.open(LEADER_READS);
         world.say(session, StatementKind::Write);
@@ -257,9 +257,9 @@
     for limits in wide.services.values_mut() {
         limits.connections = 41;
     }
-    world.tell(Event::Configured(Arc::new(wide)));
+    world.tell(Event::ConfigurationChanged(Arc::new(wide)));
     world.tell(listed(usual_backends()));
-    world.tell(Event::Nodes(1));
+    world.tell(Event::NodeCountChanged(1));
     for _ in 0..40 {
         let session = world.open(LEADER_READS);
         world.say(session, StatementKind::Write);
@@ -270,7 +270,7 @@
     };
     assert_eq!(count(&world), 5);
     world.pass(Duration::from_secs(31));
-    world.tell(Event::Nodes(1));
+    world.tell(Event::NodeCountChanged(1));
     for _ in 0..40 {
         let session = world.open(LEADER_READS);
         world.say(session, StatementKind::Write);
@@ -283,7 +283,7 @@
 #[test]
 fn a_node_that_has_not_seen_the_others_opens_only_what_it_needs() {
     let mut world = World::empty();
-    world.tell(Event::Configured(Arc::new(table(1))));
+    world.tell(Event::ConfigurationChanged(Arc::new(table(1))));
     world.tell(listed(usual_backends()));
     assert!(world.opened.is_empty(), "{:?}", world.opened);
     for _ in 0..5 {
@@ -295,7 +295,7 @@
         opened.filter(|(_, id)| *id == backend(PRIMARY)).count()
     };
     assert_eq!(to_primary(&world), 1);
-    world.tell(Event::Nodes(3));
+    world.tell(Event::NodeCountChanged(3));
     let connected: std::collections::BTreeSet<_> =
         world.opened.iter().map(|(_, id)| id.clone()).collect();
     assert_eq!(connected.len(), usual_backends().len());
--- a/crates/stairward-engine/tests/support/mod.rs
+++ b/crates/stairward-engine/tests/support/mod.rs
@@ -10,10 +10,10 @@
 
 use stairward_engine::{
     BackendCommand, BackendDescription, BackendError, BackendErrorCode, BackendEvidence,
-    BackendReply, ConnectionId, Consistency, Effect, Engine, EngineOptions, Event, Forwarded,
-    LeadershipChange, LeavingChange, OpenFailure, OpenTarget, Residency, Response, ResponseResult,
-    Route, RoutingTable, ServiceHolders, ServiceLimits, SessionId, Statement, StatementKind,
-    TransactionStatus, ZoneDistance,
+    BackendReply, ConnectionId, Consistency, Effect, Engine, EngineOptions, Event,
+    ForwardedRequest, LeadershipChange, LeavingChange, OpenFailure, OpenTarget, Residency,
+    Response, ResponseResult, Route, RoutingTable, ServiceHolders, ServiceLimits, SessionId,
+    Statement, StatementKind, TransactionStatus, ZoneDistance,
 };
 use stairward_types::{
     BackendId, BackendRole, Freshness, GroupId, LogPosition, NodeId, RegionName, ResultCode,
@@ -126,7 +126,7 @@
 
 /// Discovery's list, of which all that is new has just come about.
 pub fn listed(list: Vec<BackendDescription>) -> Event {
-    Event::Backends {
+    Event::BackendsListed {
         list,
         since: Some(Time::NEVER),
     }
@@ -147,7 +147,7 @@
 
 /// The evacuated zones, of which all that is new has just come about.
 pub fn evacuated(zones: BTreeSet<ZoneName>) -> Event {
-    Event::Evacuated {
+    Event::EvacuatedZonesChanged {
         zones,
         since: Some(Time::NEVER),
     }
@@ -185,7 +185,7 @@
     pub closed_sessions: Vec<SessionId>,
     pub closed_connections: Vec<ConnectionId>,
     pub opened: Vec<(ConnectionId, BackendId)>,
-    pub forwarded: Vec<(NodeId, SessionId, u64, Forwarded)>,
+    pub forwarded: Vec<(NodeId, SessionId, u64, ForwardedRequest)>,
     pub asked_peers: Vec<ServiceName>,
     pub asked_holders: Vec<NodeId>,
     pub asked_leads: Vec<(NodeId, ServiceName)>,
@@ -249,9 +249,9 @@
     /// An engine with a configuration, three back ends and a connection to each.
     pub fn new() -> Self {
         let mut world = Self::empty();
-        world.tell(Event::Configured(Arc::new(table(1))));
+        world.tell(Event::ConfigurationChanged(Arc::new(table(1))));
         world.tell(listed(usual_backends()));
-        world.tell(Event::Nodes(1));
+        world.tell(Event::NodeCountChanged(1));
         world
     }
 
@@ -296,7 +296,7 @@
                     request,
                     forwarded,
                 } => self.forwarded.push((holder, session, request, forwarded)),
-                Effect::CloseForwarded { holder, session } => {
+                Effect::CloseForwardedSession { holder, session } => {
                     self.closed_forwarded.push((holder, session));
                 }
                 Effect::PingHolder { holder } => self.asked_holders.push(holder),
@@ -308,8 +308,8 @@
                 Effect::LeavingObserved { change, .. } => self.leaving.push(change),
                 Effect::RestartObserved { backend } => self.starts.push(backend),
                 Effect::AcceptSession { session } => self.accepted_sessions.push(session),
-                Effect::AskLimit(..)
-                | Effect::RecordFleet(_)
+                Effect::RequestLimitGrant(..)
+                | Effect::RecordFleetSize(_)
                 | Effect::CoordinatorChanged { .. }
                 | Effect::HolderLivenessChanged { .. }
                 | Effect::EvacuationObserved { .. }
@@ -439,7 +439,7 @@
         text: format!("{kind:?}"),
         kind,
     };
-    let forwarded = Forwarded {
+    let forwarded = ForwardedRequest {
         database: GroupId::new(database).unwrap(),
         revision: Revision(1),
         tenant,
@@ -450,7 +450,7 @@
         statement,
         time_left: TIMEOUT,
     };
-    Event::Forwarded {
+    Event::ForwardedRequest {
         session: SessionId(900),
         forwarded: Box::new(forwarded),
     }
--- a/crates/stairward-engine/tests/support/tenants.rs
+++ b/crates/stairward-engine/tests/support/tenants.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use stairward_engine::{
-    ConnectionId, Event, Forwarded, Residency, RoutingTable, SessionId, Statement, StatementKind,
-    Tenant, TenantDirectory,
+    ConnectionId, Event, ForwardedRequest, Residency, RoutingTable, SessionId, Statement,
+    StatementKind, Tenant, TenantDirectory,
 };
 use stairward_types::{ApiKey, GroupId, Revision, TenantName};
 
@@ -44,7 +44,7 @@
 
 pub fn world() -> World {
     let mut world = World::new();
-    world.tell(Event::Configured(Arc::new(table_of(2, both()))));
+    world.tell(Event::ConfigurationChanged(Arc::new(table_of(2, both()))));
     world
 }
 
@@ -68,8 +68,8 @@
     }
 }
 
-pub fn forwarded(by: Option<&str>) -> Forwarded {
-    Forwarded {
+pub fn forwarded(by: Option<&str>) -> ForwardedRequest {
+    ForwardedRequest {
         database: GroupId::new(LEADER_READS).unwrap(),
         revision: Revision(2),
         tenant: by.map(name),
--- a/crates/stairward-engine/tests/tenant_holders.rs
+++ b/crates/stairward-engine/tests/tenant_holders.rs
@@ -48,7 +48,10 @@
 fn destinations(near: &[NodeId], far: &[NodeId]) -> Vec<NodeId> {
     let tenants = (0..24).map(|n| tenant(&format!("t{n}"), &[&format!("k{n}")]));
     let mut world = World::new();
-    world.tell(Event::Configured(Arc::new(table_of(2, tenants.collect()))));
+    world.tell(Event::ConfigurationChanged(Arc::new(table_of(
+        2,
+        tenants.collect(),
+    ))));
     places(&mut world, near, far);
     let destination = |n: u64| {
         let session = world.open_with(n + 1, LEADER_READS, Some(&format!("k{n}")));
@@ -218,7 +221,7 @@
     for route in open.routes.values_mut() {
         Arc::make_mut(route).is_public = true;
     }
-    world.tell(Event::Configured(Arc::new(open)));
+    world.tell(Event::ConfigurationChanged(Arc::new(open)));
     places(&mut world, &[NodeId(7)], &[NodeId(20)]);
     let session = world.open_with(1, LEADER_READS, None);
     world.say(session, StatementKind::Write);
--- a/crates/stairward-engine/tests/tenant_limits.rs
+++ b/crates/stairward-engine/tests/tenant_limits.rs
@@ -28,12 +28,15 @@
 /// A world whose engine knows that it is the only node.
 fn alone(rate: u64) -> World {
     let mut world = World::new();
-    world.tell(Event::FleetRecorded(1));
+    world.tell(Event::FleetSizeRecorded(1));
     world.tell(Event::Members {
         live: BTreeSet::from([EngineOptions::default().limits.node]),
         leaving: BTreeSet::new(),
     });
-    world.tell(Event::Configured(Arc::new(table_of(2, limited(rate)))));
+    world.tell(Event::ConfigurationChanged(Arc::new(table_of(
+        2,
+        limited(rate),
+    ))));
     world.pass(Duration::from_secs(4));
     world
 }
@@ -93,7 +96,10 @@
 #[test]
 fn a_client_that_leaves_while_it_waits_for_its_limit_leaves_nothing_behind() {
     let mut world = World::new();
-    world.tell(Event::Configured(Arc::new(table_of(2, limited(5)))));
+    world.tell(Event::ConfigurationChanged(Arc::new(table_of(
+        2,
+        limited(5),
+    ))));
     let session = world.open_with(1, LEADER_READS, Some("key-1"));
     world.say(session, StatementKind::Write);
     world.tell(Event::SessionClosed { session });
--- a/crates/stairward-engine/tests/tenants.rs
+++ b/crates/stairward-engine/tests/tenants.rs
@@ -40,7 +40,7 @@
     for route in table.routes.values_mut() {
         Arc::make_mut(route).is_public = true;
     }
-    world.tell(Event::Configured(Arc::new(table)));
+    world.tell(Event::ConfigurationChanged(Arc::new(table)));
     let session = world.open_with(1, LEADER_READS, None);
     world.say(session, StatementKind::Write);
     let sent = world.answer(done(TransactionStatus::Idle, at(1, 1)));
@@ -82,7 +82,10 @@
     check!().with_type::<Vec<(u8, u8)>>().for_each(|steps| {
         let tenants = (0..8).map(|n| tenant(&format!("t{n}"), &[&format!("k{n}")]));
         let mut world = World::new();
-        world.tell(Event::Configured(Arc::new(table_of(2, tenants.collect()))));
+        world.tell(Event::ConfigurationChanged(Arc::new(table_of(
+            2,
+            tenants.collect(),
+        ))));
         let sessions: Vec<_> = (0..8)
             .map(|n| world.open_with(n + 1, LEADER_READS, Some(&format!("k{n}"))))
             .collect();
@@ -127,7 +130,7 @@
     let tenants = (0..9).map(|n| tenant(&format!("t{n}"), &[&format!("k{n}")]));
     let mut table = table_of(2, tenants.collect());
     table.services.get_mut(&service()).unwrap().connections = 4;
-    world.tell(Event::Configured(Arc::new(table)));
+    world.tell(Event::ConfigurationChanged(Arc::new(table)));
     for n in 0..9 {
         let session = world.open_with(n + 1, LEADER_READS, Some(&format!("k{n}")));
         world.say(session, StatementKind::Write);
@@ -148,7 +151,7 @@
     let other_key = world.open_with(3, LEADER_READS, Some("key-1b"));
     world.begin(open, false, at(1, 1));
     let left = vec![tenant(FIRST, &["key-1b"]), tenant(SECOND, &["key-2"])];
-    world.tell(Event::Configured(Arc::new(table_of(3, left))));
+    world.tell(Event::ConfigurationChanged(Arc::new(table_of(3, left))));
     assert_eq!(world.closed_sessions, [idle, open]);
     let commands: Vec<_> = world.sent.iter().map(|sent| &sent.command).collect();
     assert_eq!(commands, [&BackendCommand::Rollback]);
@@ -168,7 +171,7 @@
     let mut world = world();
     let session = world.open_with(1, LEADER_READS, Some("key-1"));
     world.say(session, StatementKind::Write);
-    world.tell(Event::Configured(Arc::new(table_of(
+    world.tell(Event::ConfigurationChanged(Arc::new(table_of(
         3,
         vec![tenant(SECOND, &["key-2"])],
     ))));
@@ -188,7 +191,7 @@
     let session = world.open_with(1, LEADER_READS, Some("key-1"));
     world.say(session, StatementKind::Write);
     assert!(world.sent.is_empty());
-    world.tell(Event::Configured(Arc::new(table_of(
+    world.tell(Event::ConfigurationChanged(Arc::new(table_of(
         3,
         vec![tenant(SECOND, &["key-2"])],
     ))));
@@ -200,13 +203,13 @@
 fn a_holder_runs_forwarded_statements_only_for_tenants_that_it_knows() {
     let mut world = world();
     for (session, by) in [(1_001, None), (1_002, Some("tenant-9"))] {
-        world.tell(Event::Forwarded {
+        world.tell(Event::ForwardedRequest {
             session: SessionId(session),
             forwarded: Box::new(forwarded(by)),
         });
         assert_eq!(world.refusal(), ResultCode::NotAuthenticated);
     }
-    world.tell(Event::Forwarded {
+    world.tell(Event::ForwardedRequest {
         session: SessionId(1_003),
         forwarded: Box::new(forwarded(Some(SECOND))),
     });
--- a/crates/stairward-engine/tests/warm_up.rs
+++ b/crates/stairward-engine/tests/warm_up.rs
@@ -50,9 +50,9 @@
 /// A settled node, the first holder, whose service has these cold members.
 fn world(cold: &[&str]) -> World {
     let mut world = World::new();
-    world.tell(Event::Nodes(3));
+    world.tell(Event::NodeCountChanged(3));
     world.pass(Duration::from_secs(2));
-    world.tell(Event::Configured(Arc::new(limited(2))));
+    world.tell(Event::ConfigurationChanged(Arc::new(limited(2))));
     world.tell(held_by(ServiceHolders {
         first_ranked: Some(OWN),
         ..ServiceHolders::default()
@@ -92,7 +92,7 @@
 #[test]
 fn a_service_without_a_rate_has_no_cold_back_ends() {
     let mut world = world(&[PRIMARY, NEAR_REPLICA]);
-    world.tell(Event::Configured(Arc::new(table(3))));
+    world.tell(Event::ConfigurationChanged(Arc::new(table(3))));
     for _ in 0..20 {
         assert!(is_done(write(&mut world)));
     }
@@ -160,10 +160,10 @@
 #[test]
 fn a_node_that_has_lost_sight_of_half_the_others_sends_nothing() {
     let mut world = world(&[PRIMARY]);
-    world.tell(Event::Nodes(1));
+    world.tell(Event::NodeCountChanged(1));
     let refused = write(&mut world).expect("answered");
     assert!(matches!(refused.result, ResponseResult::Refused { .. }));
-    world.tell(Event::Nodes(2));
+    world.tell(Event::NodeCountChanged(2));
     assert!(is_done(write(&mut world)));
 }
 
@@ -171,9 +171,9 @@
 fn a_node_sends_nothing_to_a_cold_back_end_in_its_first_second() {
     let mut world = World::empty();
     world.now = Time::from_millis(10);
-    world.tell(Event::Configured(Arc::new(limited(1))));
+    world.tell(Event::ConfigurationChanged(Arc::new(limited(1))));
     world.tell(listed(backends(&[PRIMARY], COLD)));
-    world.tell(Event::Nodes(3));
+    world.tell(Event::NodeCountChanged(3));
     world.tell(held_by(ServiceHolders {
         first_ranked: Some(OWN),
         ..ServiceHolders::default()
--- a/crates/stairward-runtime/src/callers.rs
+++ b/crates/stairward-runtime/src/callers.rs
@@ -92,7 +92,7 @@
                 Some(CallerMessage::Statement(statement)) => {
                     Event::Statement { session, statement }
                 }
-                Some(CallerMessage::BadStatement) => Event::BadStatement { session },
+                Some(CallerMessage::BadStatement) => Event::InvalidStatement { session },
                 Some(CallerMessage::Connect { .. } | CallerMessage::Terminate) | None => return,
             };
             self.handle(event);
--- a/crates/stairward-runtime/src/neighbour_messages.rs
+++ b/crates/stairward-runtime/src/neighbour_messages.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use stairward_engine::{
-    BackendError, BackendErrorCode, Forwarded, PreparedStatement, Response, ResponseResult,
+    BackendError, BackendErrorCode, ForwardedRequest, PreparedStatement, Response, ResponseResult,
     Statement, StatementKind, TransactionStatus,
 };
 use stairward_protocol::neighbour::{
@@ -62,7 +62,7 @@
 pub(crate) fn statement_message(
     session: u64,
     request: u64,
-    forwarded: Forwarded,
+    forwarded: ForwardedRequest,
 ) -> Option<ForwardedStatement> {
     let tag = tag(&forwarded.statement.kind)?;
     let body = match forwarded.statement.kind {
@@ -102,7 +102,7 @@
 }
 
 /// A message as a forwarded statement; none when it is not understood.
-pub(crate) fn forwarded_of(message: &ForwardedStatement) -> Option<Forwarded> {
+pub(crate) fn forwarded_of(message: &ForwardedStatement) -> Option<ForwardedRequest> {
     let mut values = BTreeMap::new();
     for value in &message.values {
         values.insert(text(&value.name)?, text(&value.value)?);
@@ -130,7 +130,7 @@
         "" => None,
         name => Some(TenantName::new(name).ok()?),
     };
-    Some(Forwarded {
+    Some(ForwardedRequest {
         database: GroupId::new(message.database.as_str()).ok()?,
         revision: Revision(message.revision),
         tenant,
--- a/crates/stairward-runtime/src/neighbours.rs
+++ b/crates/stairward-runtime/src/neighbours.rs
@@ -7,7 +7,7 @@
 
 use bytes::BytesMut;
 use rand::seq::IndexedRandom as _;
-use stairward_engine::{Event, Forwarded, Response, SessionId};
+use stairward_engine::{Event, ForwardedRequest, Response, SessionId};
 use stairward_membership::PeerClock;
 use stairward_protocol::neighbour::{ForwardedStatement, LimitAsk, NeighbourMessage};
 use stairward_protocol::{OptionalFreshness, Text};
@@ -207,7 +207,7 @@
             return false;
         };
         let session = self.guest(link, outgoing, message.session, message.request);
-        self.handle(Event::Forwarded {
+        self.handle(Event::ForwardedRequest {
             session,
             forwarded: Box::new(forwarded),
         });
@@ -280,7 +280,7 @@
         holder: NodeId,
         session: SessionId,
         request: u64,
-        forwarded: Forwarded,
+        forwarded: ForwardedRequest,
     ) {
         if let Some(message) = statement_message(session.0, request, forwarded) {
             self.tell_neighbour(holder, &NeighbourMessage::Forward(message));
--- a/crates/stairward-runtime/src/node.rs
+++ b/crates/stairward-runtime/src/node.rs
@@ -175,7 +175,7 @@
         // Before the engine opens connections: other nodes may hold them.
         self.set_services(&table);
         *self.allowed_work.borrow_mut() = table.allowed_work(self.zone_regions.values());
-        self.handle(Event::Configured(Arc::new(table)));
+        self.handle(Event::ConfigurationChanged(Arc::new(table)));
         tracing::info!(
             event = LogEvent::ConfigurationApplied.number(),
             revision = revision.0,
@@ -191,7 +191,7 @@
             return;
         }
         self.evacuated.borrow_mut().clone_from(&zones);
-        self.handle(Event::Evacuated { zones, since });
+        self.handle(Event::EvacuatedZonesChanged { zones, since });
         self.tell_duty_of_groups();
     }
 
@@ -207,7 +207,7 @@
     /// The number of nodes on record, as the store shows it; 0 where it shows no record.
     pub fn learn_fleet_size(self: &Rc<Self>, version: RecordVersion, nodes: u32) {
         self.fleet_version.set(version);
-        self.handle(Event::FleetRecorded(nodes));
+        self.handle(Event::FleetSizeRecorded(nodes));
     }
 
     fn record_fleet(self: &Rc<Self>, nodes: u32) {
@@ -230,7 +230,7 @@
 
     /// How many nodes share the back ends.
     pub(crate) fn set_nodes(self: &Rc<Self>, nodes: u32) {
-        self.handle(Event::Nodes(nodes));
+        self.handle(Event::NodeCountChanged(nodes));
         self.tell_duty(stairward_failover::Event::Nodes(nodes));
     }
 
@@ -386,11 +386,11 @@
                 self.tell_duty(stairward_failover::Event::Lead(service, is_revoked));
             }
             Effect::QueryLeadership { holder, service } => self.ask_lead(holder, &service),
-            Effect::AskLimit(node, ask) => {
+            Effect::RequestLimitGrant(node, ask) => {
                 let message = ask_message(self.peer.node, ask);
                 self.tell_neighbour(node, &NeighbourMessage::AskLimit(message));
             }
-            Effect::RecordFleet(nodes) => self.record_fleet(nodes),
+            Effect::RecordFleetSize(nodes) => self.record_fleet(nodes),
             Effect::CoordinatorChanged {
                 shard,
                 silent,
@@ -399,7 +399,9 @@
                 self.log.coordinator(now, shard, silent, coordinator);
             }
             Effect::QueryPosition { service } => self.ask_peers_for_position(&service),
-            Effect::CloseForwarded { holder, session } => self.close_forwarded(holder, session),
+            Effect::CloseForwardedSession { holder, session } => {
+                self.close_forwarded(holder, session)
+            }
             Effect::RefuseSession { session, code } => {
                 self.log.session_refused(now, session, code);
                 W::encode_refusal(code, turn.to_sessions.entry(session).or_default());
--- a/crates/stairward-simulation/src/evacuations.rs
+++ b/crates/stairward-simulation/src/evacuations.rs
@@ -58,7 +58,7 @@
         let zones = seen.into_keys().filter_map(|zone| ZoneName::new(zone).ok());
         let zones: std::collections::BTreeSet<_> = zones.collect();
         self.nodes[node].evacuated.clone_from(&zones);
-        self.tell_engine(node, life, Event::Evacuated { zones, since });
+        self.tell_engine(node, life, Event::EvacuatedZonesChanged { zones, since });
     }
 
     /// No work of a node in touch reaches a database whose zone has been evacuated for long.
--- a/crates/stairward-simulation/src/guests.rs
+++ b/crates/stairward-simulation/src/guests.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use rand::RngExt as _;
-use stairward_engine::{Event, Forwarded, HolderSizing, Response, SessionId};
+use stairward_engine::{Event, ForwardedRequest, HolderSizing, Response, SessionId};
 use stairward_types::NodeId;
 
 use crate::world::{FAR_DELAY, Happening, World};
@@ -55,7 +55,7 @@
         holder: NodeId,
         session: SessionId,
         request: u64,
-        forwarded: Forwarded,
+        forwarded: ForwardedRequest,
     ) {
         let place = usize::try_from(holder.0).unwrap_or(0);
         let holder_life = self.nodes[place].life;
@@ -78,7 +78,7 @@
         self.guests
             .by_own
             .insert(own, (origin, (place, holder_life), request));
-        let event = Event::Forwarded {
+        let event = Event::ForwardedRequest {
             session: own,
             forwarded: Box::new(forwarded),
         };
--- a/crates/stairward-simulation/src/tenants.rs
+++ b/crates/stairward-simulation/src/tenants.rs
@@ -90,7 +90,7 @@
             .filter(|(_, other)| other.is_running)
             .map(|(index, _)| NodeId(u64::try_from(index).unwrap_or(0)))
             .collect();
-        self.tell_engine(node, life, Event::FleetRecorded(self.options.nodes));
+        self.tell_engine(node, life, Event::FleetSizeRecorded(self.options.nodes));
         let members = Event::Members {
             live,
             leaving: BTreeSet::new(),
--- a/crates/stairward-simulation/src/world_nodes.rs
+++ b/crates/stairward-simulation/src/world_nodes.rs
@@ -43,7 +43,7 @@
     /// A broken node does not know that back ends leave.
     pub(crate) fn damage_event(&self, mut event: Event) -> Event {
         if self.options.broken == Some(BrokenVariant::Drain)
-            && let Event::Backends { list, .. } = &mut event
+            && let Event::BackendsListed { list, .. } = &mut event
         {
             for description in list {
                 description.is_leaving = false;
@@ -102,7 +102,7 @@
             | Effect::LeavingObserved { .. }
             | Effect::RestartObserved { .. }
             | Effect::WarmUpObserved { .. }
-            | Effect::RecordFleet(_)
+            | Effect::RecordFleetSize(_)
             | Effect::CoordinatorChanged { .. }
             | Effect::Stopped => {}
             Effect::PingHolder { holder } => self.ask_holder(index, life, holder),
@@ -112,7 +112,7 @@
                 request,
                 forwarded,
             } => self.forward(index, life, holder, session, request, forwarded),
-            Effect::CloseForwarded { holder, session } => {
+            Effect::CloseForwardedSession { holder, session } => {
                 self.close_forwarded(index, life, holder, session);
             }
             Effect::LeadershipObserved {
@@ -136,7 +136,7 @@
                 let ask = Happening::AskLeadAt(index, life, peer, asked_at);
                 self.queue.plan(NEAR_DELAY, ask);
             }
-            Effect::AskLimit(coordinator, ask) => {
+            Effect::RequestLimitGrant(coordinator, ask) => {
                 let peer = usize::try_from(coordinator.0).unwrap_or(0);
                 let ask = Happening::AskLimitAt(index, life, peer, Box::new(ask));
                 self.queue.plan(FAR_DELAY, ask);
--- a/crates/stairward-simulation/src/world_store.rs
+++ b/crates/stairward-simulation/src/world_store.rs
@@ -70,16 +70,16 @@
             self.options.cold,
         );
         self.show_members(node, life);
-        self.tell_engine(node, life, Event::Configured(table));
+        self.tell_engine(node, life, Event::ConfigurationChanged(table));
         let (list, since) = self.show_entries(node);
-        let backends = Event::Backends {
+        let backends = Event::BackendsListed {
             list: list.clone(),
             since,
         };
         self.tell_engine(node, life, backends);
         self.show_evacuated(node, life, since);
         let nodes = u32::try_from(self.nodes.len()).unwrap_or(1);
-        self.tell_engine(node, life, Event::Nodes(nodes));
+        self.tell_engine(node, life, Event::NodeCountChanged(nodes));
         let holders = ServiceHolders {
             first_ranked: self.first_holder_for(node),
             leadership_source: self.lead_source_for(node),
