--- a/crates/stairward-engine/src/placement.rs
+++ b/crates/stairward-engine/src/placement.rs
@@ -28,7 +28,7 @@
             Some(first) => vec![first],
             None => self.ranked_holders(now, session, request),
         };
-        if request.residency.is_bound() {
+        if request.residency.is_restricted() {
             holders.retain(|holder| request.residency.allows(self.node_regions.get(holder)));
         }
         holders
--- a/crates/stairward-engine/src/residency.rs
+++ b/crates/stairward-engine/src/residency.rs
@@ -27,7 +27,7 @@
 
     /// Both bind.
     #[must_use]
-    pub fn and(&self, other: &Self) -> Self {
+    pub fn intersection(&self, other: &Self) -> Self {
         match (self, other) {
             (Self::Anywhere, residency) | (residency, Self::Anywhere) => residency.clone(),
             (Self::Within(these), Self::Within(those)) => {
@@ -48,13 +48,13 @@
 
     /// Whether there is no region in which the work may be done.
     #[must_use]
-    pub fn is_nowhere(&self) -> bool {
+    pub fn excludes_all(&self) -> bool {
         matches!(self, Self::Within(regions) if regions.is_empty())
     }
 
     /// Whether some region is excluded.
     #[must_use]
-    pub const fn is_bound(&self) -> bool {
+    pub const fn is_restricted(&self) -> bool {
         matches!(self, Self::Within(_))
     }
 }
@@ -65,7 +65,7 @@
         let directory = self.tenants.as_ref();
         let tenant = tenant.and_then(|tenant| directory?.residency(tenant));
         match tenant {
-            Some(tenant) => route.residency.and(tenant),
+            Some(tenant) => route.residency.intersection(tenant),
             None => route.residency.clone(),
         }
     }
@@ -83,8 +83,13 @@
             .iter()
             .flat_map(|directory| directory.tenants())
             .collect();
-        let is_bound = self.routes.values().any(|route| route.residency.is_bound())
-            || tenants.iter().any(|tenant| tenant.residency.is_bound());
+        let is_bound = self
+            .routes
+            .values()
+            .any(|route| route.residency.is_restricted())
+            || tenants
+                .iter()
+                .any(|tenant| tenant.residency.is_restricted());
         if !is_bound {
             return allowed;
         }
--- a/crates/stairward-engine/src/statements.rs
+++ b/crates/stairward-engine/src/statements.rs
@@ -296,7 +296,7 @@
         if starts_work && self.is_too_late_to_begin(now) {
             return self.refuse(now, id, ResultCode::ProxyStopping, None);
         }
-        if starts_work && request.is_some_and(|request| request.residency.is_nowhere()) {
+        if starts_work && request.is_some_and(|request| request.residency.excludes_all()) {
             return self.refuse(now, id, ResultCode::NoCommonRegion, None);
         }
         self.admit(now, id);
--- a/crates/stairward-engine/src/tenants.rs
+++ b/crates/stairward-engine/src/tenants.rs
@@ -56,13 +56,13 @@
 
     /// The tenant that holds a key.
     #[must_use]
-    pub fn holder_of(&self, key: &ApiKey) -> Option<&Arc<Tenant>> {
+    pub fn tenant_by_key(&self, key: &ApiKey) -> Option<&Arc<Tenant>> {
         self.by_key.get(key)
     }
 
     /// The tenant of a name, if a client may still carry one of its keys.
     #[must_use]
-    pub fn named(&self, name: &TenantName) -> Option<&Arc<Tenant>> {
+    pub fn active_tenant(&self, name: &TenantName) -> Option<&Arc<Tenant>> {
         let tenant = self.by_name.get(name)?;
         let has_key = tenant.keys.iter().any(|key| self.by_key.contains_key(key));
         has_key.then_some(tenant)
@@ -142,9 +142,9 @@
         match self {
             Self::Anonymous => route.is_public,
             Self::Keyed(key, name) => tenants
-                .holder_of(key)
+                .tenant_by_key(key)
                 .is_some_and(|tenant| tenant.name == *name),
-            Self::Vouched(name) => tenants.named(name).is_some(),
+            Self::Vouched(name) => tenants.active_tenant(name).is_some(),
         }
     }
 }
@@ -163,7 +163,7 @@
     };
     let key = key.ok_or(ResultCode::NotAuthenticated)?;
     let tenant = tenants
-        .holder_of(&key)
+        .tenant_by_key(&key)
         .ok_or(ResultCode::NotAuthenticated)?;
     let name = tenant.name.clone();
     Ok(Identity::Keyed(key, name))
--- a/crates/stairward-engine/tests/residency.rs
+++ b/crates/stairward-engine/tests/residency.rs
@@ -254,12 +254,12 @@
         .with_type::<(u8, u8)>()
         .for_each(|(first, second)| {
             let (first, second) = (drawn(*first), drawn(*second));
-            let both = first.and(&second);
+            let both = first.intersection(&second);
             for name in ["a", "b", "c"] {
                 let region = region(name);
                 let expected = first.allows(Some(&region)) && second.allows(Some(&region));
                 assert_eq!(both.allows(Some(&region)), expected, "{first:?} {second:?}");
             }
-            assert_eq!(both, second.and(&first));
+            assert_eq!(both, second.intersection(&first));
         });
 }
--- a/crates/stairward-engine/tests/tenants.rs
+++ b/crates/stairward-engine/tests/tenants.rs
@@ -53,12 +53,12 @@
         tenant(FIRST, &["shared", "own"]),
         tenant(SECOND, &["shared"]),
     ]);
-    assert!(directory.holder_of(&ApiKey::new("shared")).is_none());
-    let holder = directory.holder_of(&ApiKey::new("own")).unwrap();
+    assert!(directory.tenant_by_key(&ApiKey::new("shared")).is_none());
+    let holder = directory.tenant_by_key(&ApiKey::new("own")).unwrap();
     assert_eq!(holder.name, name(FIRST));
-    assert!(directory.named(&name(FIRST)).is_some());
+    assert!(directory.active_tenant(&name(FIRST)).is_some());
     assert!(
-        directory.named(&name(SECOND)).is_none(),
+        directory.active_tenant(&name(SECOND)).is_none(),
         "it has no key left"
     );
 }
