--- a/crates/stairward-engine/src/choice.rs
+++ b/crates/stairward-engine/src/choice.rs
@@ -154,8 +154,8 @@
             .backends
             .get(&leader)
             .is_some_and(|leader| leader.is_silent);
-        self.keep_lead_confirmed(now, service, &leader);
-        if self.is_lead_revoked(service, &leader) {
+        self.renew_leadership_confirmation(now, service, &leader);
+        if self.is_leadership_revoked(service, &leader) {
             return Choice::Wait(WaitReason::NoLeader);
         }
         if is_silent {
--- a/crates/stairward-engine/src/confirmation.rs
+++ b/crates/stairward-engine/src/confirmation.rs
@@ -1,4 +1,4 @@
-//! Keeping the lead of each service confirmed by its replicas. [`crate::lead`] says what a replica's word proves,
+//! Keeping the lead of each service confirmed by its replicas. [`crate::leadership`] says what a replica's report proves,
 //! [`crate::withholding`] what is done with a leader's answers meanwhile.
 
 use std::collections::BTreeSet;
@@ -12,20 +12,20 @@
 use crate::event::{BackendCommand, Effect, LeadershipChange};
 use crate::group::Group;
 use crate::identifiers::ConnectionId;
-use crate::lead::Word;
+use crate::leadership::MemberReport;
 use crate::reply::BackendReply;
 use crate::timers::Timer;
 
 /// The part of the lease after which a confirmation is renewed.
 const RENEWAL_DIVISOR: u32 = 2;
 /// The part of the lease after which a question without an answer is asked elsewhere.
-const PATIENCE_DIVISOR: u32 = 5;
+const QUERY_TIMEOUT_DIVISOR: u32 = 5;
 /// The part of the lease after which a question that came to nothing is asked again.
 const RETRY_DIVISOR: u32 = 20;
 
 impl Engine {
     /// Whether what a leader answers now may be believed.
-    pub(crate) fn is_lead_confirmed(
+    pub(crate) fn is_leadership_confirmed(
         &self,
         now: Time,
         service: &ServiceName,
@@ -39,14 +39,16 @@
             return false;
         };
         // Where no other member is listed, nobody can be promoted.
-        let is_alone =
-            || self.other_members(group, leader).is_empty() && !group.lead.is_revoked(backend.term);
+        let is_alone = || {
+            self.other_members(group, leader).is_empty()
+                && !group.leadership.is_revoked(backend.term)
+        };
         backend.term >= group.newest_term
-            && (group.lead.is_confirmed(now, backend.term, lease) || is_alone())
+            && (group.leadership.is_confirmed(now, backend.term, lease) || is_alone())
     }
 
     /// Whether a later term than a leader's may have begun.
-    pub(crate) fn is_lead_revoked(&self, service: &ServiceName, leader: &BackendId) -> bool {
+    pub(crate) fn is_leadership_revoked(&self, service: &ServiceName, leader: &BackendId) -> bool {
         let (Some(group), Some(backend)) = (self.groups.get(service), self.backends.get(leader))
         else {
             return false;
@@ -55,7 +57,7 @@
         let is_known = backend.term > Term::default();
         self.options.leadership_lease.is_some()
             && is_known
-            && (is_outdated || group.lead.is_revoked(backend.term))
+            && (is_outdated || group.leadership.is_revoked(backend.term))
     }
 
     /// The members besides a leader that may be promoted. One that is no longer listed can't be, unless the
@@ -71,8 +73,8 @@
             .collect()
     }
 
-    /// Asks replicas for their word when the last one grows old.
-    pub(crate) fn keep_lead_confirmed(
+    /// Asks replicas for their report when the last one grows old.
+    pub(crate) fn renew_leadership_confirmation(
         &mut self,
         now: Time,
         service: &ServiceName,
@@ -86,34 +88,38 @@
             return;
         };
         if group
-            .lead
+            .leadership
             .is_confirmed(now, backend.term, lease / RENEWAL_DIVISOR)
         {
             return;
         }
-        self.ask_leader_for_term(now, service, leader);
-        if !self.ask_source(now, service) {
-            self.ask_members(now, service, leader);
+        self.query_leader_term(now, service, leader);
+        if !self.query_leadership_source(now, service) {
+            self.query_members(now, service, leader);
         }
     }
 
     /// One that was just promoted may be known by its term as a replica only.
-    fn ask_leader_for_term(&mut self, now: Time, service: &ServiceName, leader: &BackendId) {
+    fn query_leader_term(&mut self, now: Time, service: &ServiceName, leader: &BackendId) {
         let (Some(lease), Some(group)) = (self.options.leadership_lease, self.groups.get(service))
         else {
             return;
         };
-        let is_due = self.is_lead_revoked(service, leader)
-            && !group.lead.is_asking(now, leader, lease / PATIENCE_DIVISOR)
-            && !group.lead.has_word(now, leader, lease / RETRY_DIVISOR);
+        let is_due = self.is_leadership_revoked(service, leader)
+            && !group
+                .leadership
+                .was_queried_within(now, leader, lease / QUERY_TIMEOUT_DIVISOR)
+            && !group
+                .leadership
+                .has_report_within(now, leader, lease / RETRY_DIVISOR);
         if is_due {
-            self.ask_member(now, service, leader);
+            self.query_member(now, service, leader);
         }
     }
 
     /// Asks the node of the own region that knows most likely, where there is one; returns whether that may
     /// be enough.
-    fn ask_source(&mut self, now: Time, service: &ServiceName) -> bool {
+    fn query_leadership_source(&mut self, now: Time, service: &ServiceName) -> bool {
         let (Some(lease), Some(source)) = (
             self.options.leadership_lease,
             self.holders.leadership_source(service),
@@ -124,24 +130,25 @@
             return false;
         };
         let pause = lease / RETRY_DIVISOR;
-        let may_be_enough =
-            group
-                .lead
-                .may_ask_source(now, lease / RENEWAL_DIVISOR, lease / PATIENCE_DIVISOR);
-        if may_be_enough && group.lead.ask_source(now, pause) {
+        let may_be_enough = group.leadership.may_query_source(
+            now,
+            lease / RENEWAL_DIVISOR,
+            lease / QUERY_TIMEOUT_DIVISOR,
+        );
+        if may_be_enough && group.leadership.record_source_query(now, pause) {
             let service = service.clone();
             let holder = source;
             self.effects
                 .push(Effect::QueryLeadership { holder, service });
         }
         if may_be_enough {
-            self.ask_again_soon(now, service);
+            self.schedule_query_retry(now, service);
         }
         may_be_enough
     }
 
     /// Another node of the region asks for what is known of a lead: it is kept known from now on.
-    pub(crate) fn lead_asked(&mut self, now: Time, service: &ServiceName) {
+    pub(crate) fn leadership_queried(&mut self, now: Time, service: &ServiceName) {
         let Some(lease) = self.options.leadership_lease else {
             return;
         };
@@ -152,17 +159,17 @@
             .backends
             .get(&leader)
             .map_or(Term::default(), |leader| leader.term);
-        let is_young = self.groups.get(service).is_some_and(|group| {
+        let is_recent = self.groups.get(service).is_some_and(|group| {
             let age = lease / RENEWAL_DIVISOR;
-            group.lead.is_confirmed(now, term, age)
+            group.leadership.is_confirmed(now, term, age)
         });
-        if !is_young {
-            self.ask_members(now, service, &leader);
+        if !is_recent {
+            self.query_members(now, service, &leader);
         }
     }
 
     /// Another node of the region said what it knows of a lead, from `age` before it was asked.
-    pub(crate) fn take_peer_lead(
+    pub(crate) fn apply_peer_leadership(
         &mut self,
         now: Time,
         service: &ServiceName,
@@ -175,31 +182,33 @@
             return;
         }
         if let Some(group) = self.groups.get_mut(service) {
-            group.lead.take_known(possible_term, asked_at - age);
+            group
+                .leadership
+                .record_peer_knowledge(possible_term, asked_at - age);
         }
-        self.lead_changed(now, service);
+        self.leadership_updated(now, service);
     }
 
     /// Another node is about to have a replica promoted in this term.
-    pub(crate) fn revoke_lead(&mut self, now: Time, service: &ServiceName, term: Term) {
-        let others = self.others_of(now, service);
+    pub(crate) fn revoke_leadership(&mut self, now: Time, service: &ServiceName, term: Term) {
+        let others = self.promotable_members(now, service);
         let lease = self.options.leadership_lease.unwrap_or_default();
         if let Some(group) = self.groups.get_mut(service) {
-            group.lead.revoke(now, lease, term, &others);
+            group.leadership.revoke(now, lease, term, &others);
         }
-        self.lead_changed(now, service);
+        self.leadership_updated(now, service);
     }
 
     /// Whoever was about to have a replica promoted is done.
-    pub(crate) fn settle_lead(&mut self, now: Time, service: &ServiceName) {
+    pub(crate) fn promotion_ended(&mut self, now: Time, service: &ServiceName) {
         if let Some(group) = self.groups.get_mut(service) {
-            group.lead.settle();
+            group.leadership.promotion_ended();
         }
-        self.lead_changed(now, service);
+        self.leadership_updated(now, service);
     }
 
     /// The members besides the present leader that may be promoted.
-    fn others_of(&self, now: Time, service: &ServiceName) -> BTreeSet<BackendId> {
+    fn promotable_members(&self, now: Time, service: &ServiceName) -> BTreeSet<BackendId> {
         let leader = self.leader(now, service);
         let group = self.groups.get(service);
         match (group, leader) {
@@ -220,12 +229,12 @@
     /// asked.
     #[must_use]
     pub fn known_leadership(&self, now: Time, service: &ServiceName) -> Option<(Term, Duration)> {
-        let (possible_term, asked_at) = self.groups.get(service)?.lead.known()?;
+        let (possible_term, asked_at) = self.groups.get(service)?.leadership.known()?;
         Some((possible_term, now.since(asked_at)))
     }
 
     /// Asks the members of a group themselves.
-    fn ask_members(&mut self, now: Time, service: &ServiceName, leader: &BackendId) {
+    fn query_members(&mut self, now: Time, service: &ServiceName, leader: &BackendId) {
         let Some(lease) = self.options.leadership_lease else {
             return;
         };
@@ -233,85 +242,89 @@
         else {
             return;
         };
-        let (lead, term) = (&group.lead, backend.term);
-        let is_linked = lead.is_confirmed(now, term, lease);
-        if is_linked {
-            self.ask_one(now, service, leader);
+        let (leadership, term) = (&group.leadership, backend.term);
+        let is_continuous = leadership.is_confirmed(now, term, lease);
+        if is_continuous {
+            self.query_best_member(now, service, leader);
         } else {
-            self.ask_all(now, service, leader);
+            self.query_all_members(now, service, leader);
         }
     }
 
     /// Asks the best of the other members, unless one is being asked.
-    fn ask_one(&mut self, now: Time, service: &ServiceName, leader: &BackendId) {
+    fn query_best_member(&mut self, now: Time, service: &ServiceName, leader: &BackendId) {
         let Some(lease) = self.options.leadership_lease else {
             return;
         };
-        let others = self.others_by_cost(now, service, leader);
+        let others = self.other_members_by_cost(now, service, leader);
         let Some(group) = self.groups.get(service) else {
             return;
         };
-        let patience = lease / PATIENCE_DIVISOR;
-        let is_awaited = |id: &BackendId| group.lead.is_awaited(now, id, patience);
-        if others.iter().any(is_awaited) {
+        let timeout = lease / QUERY_TIMEOUT_DIVISOR;
+        let is_reply_awaited = |id: &BackendId| group.leadership.is_reply_awaited(now, id, timeout);
+        if others.iter().any(is_reply_awaited) {
             return;
         }
         let due: Vec<_> = others
             .into_iter()
-            .filter(|id| !group.lead.is_asking(now, id, patience))
+            .filter(|id| !group.leadership.was_queried_within(now, id, timeout))
             .collect();
-        if !due.iter().any(|id| self.ask_member(now, service, id)) {
-            self.ask_again_soon(now, service);
+        if !due.iter().any(|id| self.query_member(now, service, id)) {
+            self.schedule_query_retry(now, service);
         }
     }
 
-    /// Asks all other members whose words are not young.
-    fn ask_all(&mut self, now: Time, service: &ServiceName, leader: &BackendId) {
+    /// Asks all other members whose reports are not recency.
+    fn query_all_members(&mut self, now: Time, service: &ServiceName, leader: &BackendId) {
         let Some(lease) = self.options.leadership_lease else {
             return;
         };
         let mut is_any_missing = false;
-        for id in self.others_by_cost(now, service, leader) {
+        for id in self.other_members_by_cost(now, service, leader) {
             let Some(group) = self.groups.get(service) else {
                 return;
             };
-            // While a later term is awaited, the next word may tell that it has begun, or never will.
+            // While a later term is awaited, the next report may tell that it has begun, or never will.
             let pause = lease / RETRY_DIVISOR;
-            let is_due = !group.lead.has_word(now, &id, pause)
-                && !group.lead.is_asking(now, &id, lease / PATIENCE_DIVISOR);
-            is_any_missing |= is_due && !self.ask_member(now, service, &id);
+            let is_due = !group.leadership.has_report_within(now, &id, pause)
+                && !group
+                    .leadership
+                    .was_queried_within(now, &id, lease / QUERY_TIMEOUT_DIVISOR);
+            is_any_missing |= is_due && !self.query_member(now, service, &id);
         }
         if is_any_missing {
-            self.ask_again_soon(now, service);
+            self.schedule_query_retry(now, service);
         }
     }
 
     /// Asks a member for its status; returns whether there was a connection for it. One is opened if not.
-    fn ask_member(&mut self, now: Time, service: &ServiceName, id: &BackendId) -> bool {
+    fn query_member(&mut self, now: Time, service: &ServiceName, id: &BackendId) -> bool {
         let Some(connection) = self.connection_to(now, id, &Wanted::for_question()) else {
             return false;
         };
         if let Some(group) = self.groups.get_mut(service) {
-            group.lead.ask(now, id);
+            group.leadership.record_query(now, id);
         }
-        self.use_connection(connection, User::Question);
+        self.use_connection(connection, User::StatusQuery);
         self.send(now, connection, BackendCommand::QueryStatus);
         if let Some(lease) = self.options.leadership_lease {
-            let late = now + lease / PATIENCE_DIVISOR;
-            self.timers.set(late, Timer::Lead(service.clone()));
+            let late = now + lease / QUERY_TIMEOUT_DIVISOR;
+            self.timers
+                .set(late, Timer::LeadershipCheck(service.clone()));
         }
         true
     }
 
-    pub(crate) fn ask_again_soon(&mut self, now: Time, service: &ServiceName) {
+    pub(crate) fn schedule_query_retry(&mut self, now: Time, service: &ServiceName) {
         if let Some(lease) = self.options.leadership_lease {
             let soon = now + lease / RETRY_DIVISOR;
-            self.timers.set(soon, Timer::Lead(service.clone()));
+            self.timers
+                .set(soon, Timer::LeadershipCheck(service.clone()));
         }
     }
 
-    /// The other members, best first: those that answer and owe no word, nearest first.
-    fn others_by_cost(
+    /// The other members, best first: those that answer and owe no report, nearest first.
+    fn other_members_by_cost(
         &self,
         now: Time,
         service: &ServiceName,
@@ -325,10 +338,10 @@
             .into_iter()
             .filter_map(|id| {
                 let backend = self.backends.get(&id)?;
-                let owes_word = group.lead.owes_word(&id);
+                let owes_report = group.leadership.owes_report(&id);
                 Some((
                     !backend.is_healthy(),
-                    owes_word,
+                    owes_report,
                     backend.cost(now, None, true),
                     id,
                 ))
@@ -339,7 +352,7 @@
     }
 
     /// A member that was asked for its status answered.
-    pub(crate) fn take_status_reply(
+    pub(crate) fn handle_status_reply(
         &mut self,
         now: Time,
         id: ConnectionId,
@@ -351,18 +364,18 @@
         };
         let (backend, service) = (connection.backend.clone(), connection.service.clone());
         match reply.member {
-            Some(status) => self.take_member_status(now, &service, &backend, sent_at, status),
+            Some(status) => self.handle_member_status(now, &service, &backend, sent_at, status),
             None => {
                 if let Some(backend) = self.backends.get_mut(&backend) {
                     backend.was_busy(now);
                 }
-                self.question_failed(now, &service, &backend);
+                self.status_query_failed(now, &service, &backend);
             }
         }
         self.free_connection(now, id);
     }
 
-    fn take_member_status(
+    fn handle_member_status(
         &mut self,
         now: Time,
         service: &ServiceName,
@@ -376,65 +389,79 @@
         if let Some(backend) = self.backends.get_mut(id) {
             backend.term = backend.term.max(status.term);
         }
-        let word = Word {
+        let report = MemberReport {
             awaited: status.awaited_term(),
             asked_at,
             can_be_held: status.role == BackendRole::Replica,
-            is_said: true,
+            is_from_member: true,
         };
-        self.take_word(now, service, id, word);
+        self.record_member_report(now, service, id, report);
     }
 
     /// A back end at whose address nothing listens can't have been promoted.
-    pub(crate) fn take_refusal(&mut self, now: Time, service: &ServiceName, id: &BackendId) {
-        let word = Word {
+    pub(crate) fn handle_connection_refused(
+        &mut self,
+        now: Time,
+        service: &ServiceName,
+        id: &BackendId,
+    ) {
+        let report = MemberReport {
             awaited: Term::default(),
             asked_at: now,
             can_be_held: false,
-            is_said: false,
+            is_from_member: false,
         };
-        self.take_word(now, service, id, word);
+        self.record_member_report(now, service, id, report);
     }
 
-    fn take_word(&mut self, now: Time, service: &ServiceName, id: &BackendId, word: Word) {
+    fn record_member_report(
+        &mut self,
+        now: Time,
+        service: &ServiceName,
+        id: &BackendId,
+        report: MemberReport,
+    ) {
         let Some(lease) = self.options.leadership_lease else {
             return;
         };
-        let others = self.others_of(now, service);
+        let others = self.promotable_members(now, service);
         if let Some(group) = self.groups.get_mut(service) {
-            group.lead.take(now, lease, id, word, &others);
+            group
+                .leadership
+                .record_report(now, lease, id, report, &others);
         }
-        self.lead_changed(now, service);
+        self.leadership_updated(now, service);
     }
 
     /// More is known of a lead.
-    fn lead_changed(&mut self, now: Time, service: &ServiceName) {
+    fn leadership_updated(&mut self, now: Time, service: &ServiceName) {
         self.changed.insert(service.clone());
-        self.tell_lead(now, service);
-        self.review_withheld(now, service);
+        self.report_leadership(now, service);
+        self.recheck_withheld(now, service);
     }
 
     /// A question for a status came to nothing.
-    pub(crate) fn question_failed(&mut self, now: Time, service: &ServiceName, id: &BackendId) {
+    pub(crate) fn status_query_failed(&mut self, now: Time, service: &ServiceName, id: &BackendId) {
         // The others are asked at the next chance, this one again once its question would be late.
         if let Some(group) = self.groups.get_mut(service) {
-            group.lead.question_failed(now, id);
+            group.leadership.query_failed(now, id);
         }
-        self.ask_again_soon(now, service);
+        self.schedule_query_retry(now, service);
     }
 
     /// It is time to ask again, if somebody waits for it.
-    pub(crate) fn lead_due(&mut self, now: Time, service: &ServiceName) {
-        self.review_withheld(now, service);
+    pub(crate) fn leadership_check_due(&mut self, now: Time, service: &ServiceName) {
+        self.recheck_withheld(now, service);
         let is_withholding = !self.withheld(service).is_empty();
-        if is_withholding || self.is_told_revoked(service) {
-            self.tell_lead(now, service);
+        if is_withholding || self.is_reported_revoked(service) {
+            self.report_leadership(now, service);
         }
-        // What the duty was told must not stand after it has ceased to be so, whether or not anybody asks.
-        let is_revoked = self.is_told_revoked(service);
+        // What the duty was reported must not stand after it has ceased to be so, whether or not anybody asks.
+        let is_revoked = self.is_reported_revoked(service);
         if let Some(lease) = self.options.leadership_lease.filter(|_| is_revoked) {
             let again = now + lease / RENEWAL_DIVISOR;
-            self.timers.set(again, Timer::Lead(service.clone()));
+            self.timers
+                .set(again, Timer::LeadershipCheck(service.clone()));
         }
         let is_waited_for = is_withholding
             || is_revoked
@@ -445,18 +472,18 @@
         if let Some(leader) = self.leader(now, service)
             && is_waited_for
         {
-            self.keep_lead_confirmed(now, service, &leader);
+            self.renew_leadership_confirmation(now, service, &leader);
         }
     }
 
-    /// Whether the last that was told of a lead is that it was revoked.
-    fn is_told_revoked(&self, service: &ServiceName) -> bool {
+    /// Whether the last that was reported of a lead is that it was revoked.
+    fn is_reported_revoked(&self, service: &ServiceName) -> bool {
         let group = self.groups.get(service);
-        group.is_some_and(|group| group.lead.told == Some(LeadershipChange::Revoked))
+        group.is_some_and(|group| group.leadership.reported == Some(LeadershipChange::Revoked))
     }
 
     /// Tells of a change in what is believed of a service's lead.
-    pub(crate) fn tell_lead(&mut self, now: Time, service: &ServiceName) {
+    pub(crate) fn report_leadership(&mut self, now: Time, service: &ServiceName) {
         let Some(lease) = self.options.leadership_lease else {
             return;
         };
@@ -468,24 +495,26 @@
         else {
             return;
         };
-        let was_told = group.lead.told;
+        let was_reported = group.leadership.reported;
         let is_known = backend.term > Term::default();
         let is_outdated = group.newest_term > backend.term;
-        let change = if is_known && (is_outdated || group.lead.is_revoked(backend.term)) {
+        let change = if is_known && (is_outdated || group.leadership.is_revoked(backend.term)) {
             LeadershipChange::Revoked
-        } else if group.lead.is_confirmed(now, backend.term, lease) {
+        } else if group.leadership.is_confirmed(now, backend.term, lease) {
             LeadershipChange::Confirmed
         } else {
             LeadershipChange::Lapsed
         };
-        group.lead.told = Some(change);
-        let is_usual = was_told.is_none() && change == LeadershipChange::Confirmed;
-        if was_told == Some(change) || is_usual {
+        group.leadership.reported = Some(change);
+        let is_usual = was_reported.is_none() && change == LeadershipChange::Confirmed;
+        if was_reported == Some(change) || is_usual {
             return;
         }
         if change == LeadershipChange::Revoked {
-            self.timers
-                .set(now + lease / RENEWAL_DIVISOR, Timer::Lead(service.clone()));
+            self.timers.set(
+                now + lease / RENEWAL_DIVISOR,
+                Timer::LeadershipCheck(service.clone()),
+            );
         }
         let Some(group) = self.groups.get(service) else {
             return;
@@ -493,7 +522,7 @@
         let Some(backend) = self.backends.get(&leader) else {
             return;
         };
-        let known = group.lead.known();
+        let known = group.leadership.known();
         self.effects.push(Effect::LeadershipObserved {
             service: service.clone(),
             leader,
--- a/crates/stairward-engine/src/connection.rs
+++ b/crates/stairward-engine/src/connection.rs
@@ -17,9 +17,9 @@
     /// The engine, to learn the leader's position.
     Probe,
     /// The engine, to learn what the back end says of itself.
-    Question,
+    StatusQuery,
     /// Nobody any more: what was sent is waited for and its answer dropped.
-    Nobody,
+    Abandoned,
 }
 
 /// A kind of command that was sent.
--- a/crates/stairward-engine/src/engine.rs
+++ b/crates/stairward-engine/src/engine.rs
@@ -209,15 +209,15 @@
                 asked_at,
                 age,
             } => self.take_peer_position(&service, freshness, asked_at, age),
-            Event::LeadershipRevoked(service, term) => self.revoke_lead(now, &service, term),
-            Event::PromotionEnded(service) => self.settle_lead(now, &service),
-            Event::LeadershipQueried(service) => self.lead_asked(now, &service),
+            Event::LeadershipRevoked(service, term) => self.revoke_leadership(now, &service, term),
+            Event::PromotionEnded(service) => self.promotion_ended(now, &service),
+            Event::LeadershipQueried(service) => self.leadership_queried(now, &service),
             Event::PeerLeadership {
                 service,
                 possible_term,
                 asked_at,
                 age,
-            } => self.take_peer_lead(now, &service, possible_term, asked_at, age),
+            } => self.apply_peer_leadership(now, &service, possible_term, asked_at, age),
             Event::HolderAlive(holder) => self.holder_heard(now, holder),
             Event::HolderLost(holder) => {
                 self.holder_lost(now, holder);
@@ -254,7 +254,7 @@
                     self.changed.insert(service);
                 }
                 Timer::PendingSession(session) => self.pending_session_due(session),
-                Timer::Lead(service) => self.lead_due(now, &service),
+                Timer::LeadershipCheck(service) => self.leadership_check_due(now, &service),
                 Timer::Warm(backend) => self.warm_up_due(now, &backend),
                 Timer::Evacuation => self.end_work_in_evacuated(now),
                 Timer::Backends => self.review_backends(now),
--- a/crates/stairward-engine/src/group.rs
+++ b/crates/stairward-engine/src/group.rs
@@ -5,7 +5,7 @@
 
 use stairward_types::{BackendId, Freshness, StoreRevision, Term, Time};
 
-use crate::lead::Lead;
+use crate::leadership::Leadership;
 use crate::proofs::{Proof, Proofs};
 
 /// A service's back ends together.
@@ -20,7 +20,7 @@
     /// Back ends that said they don't lead, with the revision of the description that they denied.
     pub denied: BTreeMap<BackendId, StoreRevision>,
     /// What is known of its lead.
-    pub lead: Lead,
+    pub leadership: Leadership,
     /// When peers were last asked for a newer proof.
     pub asked_peers_at: Option<Time>,
     /// When the last probe of the leader's position was begun; none when it has ended.
@@ -35,7 +35,7 @@
     }
 
     /// What a log must hold for a read that may miss commits acknowledged less than `staleness` before
-    /// `start`, and none up to `own`. None when it is not known freshly enough. Of the proofs young enough the
+    /// `start`, and none up to `own`. None when it is not known freshly enough. Of the proofs recency enough the
     /// oldest counts, so that copies that lag less than the staleness may answer.
     ///
     /// A floor of an earlier term than the proof's may name a position that was rolled back; the
--- a/crates/stairward-engine/src/lib.rs
+++ b/crates/stairward-engine/src/lib.rs
@@ -20,7 +20,7 @@
 mod holder_directory;
 mod holder_watch;
 mod identifiers;
-mod lead;
+mod leadership;
 mod leaving;
 mod lost_connections;
 mod node_count;
--- a/crates/stairward-engine/src/lost_connections.rs
+++ b/crates/stairward-engine/src/lost_connections.rs
@@ -72,11 +72,11 @@
                 let service = connection.service.clone();
                 self.probe_ended(&service);
             }
-            Some(User::Question) => {
+            Some(User::StatusQuery) => {
                 let (service, backend) = (connection.service.clone(), connection.backend.clone());
-                self.question_failed(now, &service, &backend);
+                self.status_query_failed(now, &service, &backend);
             }
-            Some(User::Nobody) | None => {}
+            Some(User::Abandoned) | None => {}
         }
     }
 
--- a/crates/stairward-engine/src/openings.rs
+++ b/crates/stairward-engine/src/openings.rs
@@ -47,7 +47,7 @@
         match failure {
             OpenFailure::Refused => {
                 self.observe(&backend_id, BackendEvidence::Refused);
-                self.take_refusal(now, &service, &backend_id);
+                self.handle_connection_refused(now, &service, &backend_id);
             }
             OpenFailure::TimedOut => self.observe(&backend_id, BackendEvidence::Unresponsive),
             OpenFailure::WrongBackend => {
--- a/crates/stairward-engine/src/probes.rs
+++ b/crates/stairward-engine/src/probes.rs
@@ -100,8 +100,8 @@
         let Some(leader) = self.leader(now, service) else {
             return false;
         };
-        self.keep_lead_confirmed(now, service, &leader);
-        if self.is_lead_revoked(service, &leader) {
+        self.renew_leadership_confirmation(now, service, &leader);
+        if self.is_leadership_revoked(service, &leader) {
             return false;
         }
         let Some(connection) = self.connection_to(now, &leader, &Wanted::for_question()) else {
--- a/crates/stairward-engine/src/replies.rs
+++ b/crates/stairward-engine/src/replies.rs
@@ -33,12 +33,12 @@
             backend.in_flight = backend.in_flight.saturating_sub(1);
         }
         if let Some((sent, reply)) = self.withhold(now, id, sent, reply) {
-            self.believe_reply(now, id, sent, reply);
+            self.process_reply(now, id, sent, reply);
         }
     }
 
     /// Takes in an answer that may be believed.
-    pub(crate) fn believe_reply(
+    pub(crate) fn process_reply(
         &mut self,
         now: Time,
         id: ConnectionId,
@@ -51,7 +51,7 @@
             }
             Step::Begin { read_only } => self.take_begin_reply(now, id, read_only, sent.at, reply),
             Step::Rollback => self.take_rollback_reply(now, id, &reply),
-            Step::Status => self.take_status_reply(now, id, sent.at, &reply),
+            Step::Status => self.handle_status_reply(now, id, sent.at, &reply),
             Step::Statement => self.take_statement_reply(now, id, sent.at, reply),
         }
     }
@@ -108,7 +108,7 @@
             return;
         };
         let (service, leader) = (connection.service.clone(), connection.backend.clone());
-        if !self.is_lead_confirmed(now, &service, &leader) {
+        if !self.is_leadership_confirmed(now, &service, &leader) {
             return;
         }
         let (Some(freshness), Some(group)) = (position, self.groups.get_mut(&service)) else {
@@ -217,7 +217,7 @@
         request.unanswered.remove(&answered);
         let others = std::mem::take(&mut request.unanswered);
         for other in others {
-            self.use_connection(other, User::Nobody);
+            self.use_connection(other, User::Abandoned);
         }
     }
 
@@ -359,14 +359,14 @@
                 .sent
                 .iter()
                 .any(|sent| sent.step == Step::Rollback);
-            connection.user = Some(User::Nobody);
+            connection.user = Some(User::Abandoned);
             if !is_undoing {
                 self.send(now, id, BackendCommand::Rollback);
             }
             return;
         }
         if !connection.sent.is_empty() {
-            connection.user = Some(User::Nobody);
+            connection.user = Some(User::Abandoned);
             return;
         }
         connection.user = None;
--- a/crates/stairward-engine/src/requests.rs
+++ b/crates/stairward-engine/src/requests.rs
@@ -476,7 +476,7 @@
             self.remove_from_queue(id, &request);
             self.leave_admission(id, session.identity.tenant(), &request);
             for connection in &request.unanswered {
-                self.use_connection(*connection, User::Nobody);
+                self.use_connection(*connection, User::Abandoned);
             }
         }
         self.close_forwarded(id, &session.holders);
@@ -487,7 +487,7 @@
                 .get(&open.connection)
                 .is_some_and(|connection| !connection.sent.is_empty());
             if is_busy {
-                self.use_connection(open.connection, User::Nobody);
+                self.use_connection(open.connection, User::Abandoned);
             } else {
                 self.roll_back_connection(now, open.connection);
             }
@@ -517,7 +517,7 @@
         let Some(oldest) = connection.oldest_unanswered() else {
             return;
         };
-        let has_user = !matches!(connection.user, None | Some(User::Nobody));
+        let has_user = !matches!(connection.user, None | Some(User::Abandoned));
         let backend_id = connection.backend.clone();
         if now < oldest + SILENCE {
             return self.watch(id, oldest + SILENCE);
--- a/crates/stairward-engine/src/statements.rs
+++ b/crates/stairward-engine/src/statements.rs
@@ -190,7 +190,7 @@
         now: Time,
         connection: crate::identifiers::ConnectionId,
     ) {
-        self.use_connection(connection, crate::connection::User::Nobody);
+        self.use_connection(connection, crate::connection::User::Abandoned);
         self.send(now, connection, BackendCommand::Rollback);
     }
 
--- a/crates/stairward-engine/src/timers.rs
+++ b/crates/stairward-engine/src/timers.rs
@@ -24,7 +24,7 @@
     /// A session that waits for the first configuration is refused.
     PendingSession(SessionId),
     /// A service's lead is to be confirmed again, if somebody waits for that.
-    Lead(ServiceName),
+    LeadershipCheck(ServiceName),
     /// Requests that wait for a service are tried again.
     TryWaiting(ServiceName),
     /// A cold back end's time may be over.
--- a/crates/stairward-engine/src/withholding.rs
+++ b/crates/stairward-engine/src/withholding.rs
@@ -26,11 +26,11 @@
             Step::Statement => self.is_commit(id),
             _ => false,
         };
-        let has_user = connection.user != Some(User::Nobody);
+        let has_user = connection.user != Some(User::Abandoned);
         is_proof
             && has_user
             && reply.result.is_ok()
-            && !self.is_lead_confirmed(now, &connection.service, &connection.backend)
+            && !self.is_leadership_confirmed(now, &connection.service, &connection.backend)
     }
 
     /// Whether the statement on a connection, if it succeeds, keeps a write.
@@ -62,8 +62,8 @@
         let connection = self.connections.get_mut(&id)?;
         let (service, leader) = (connection.service.clone(), connection.backend.clone());
         connection.withheld = Some((sent, reply));
-        self.keep_lead_confirmed(now, &service, &leader);
-        self.ask_again_soon(now, &service);
+        self.renew_leadership_confirmation(now, &service, &leader);
+        self.schedule_query_retry(now, &service);
         None
     }
 
@@ -81,27 +81,27 @@
     }
 
     /// Lets go of withheld answers whose leader is confirmed, and ends those whose leader was replaced.
-    pub(crate) fn review_withheld(&mut self, now: Time, service: &ServiceName) {
+    pub(crate) fn recheck_withheld(&mut self, now: Time, service: &ServiceName) {
         for id in self.withheld(service) {
             let Some(connection) = self.connections.get_mut(&id) else {
                 continue;
             };
             let leader = connection.backend.clone();
-            let is_abandoned = connection.user == Some(User::Nobody);
-            if is_abandoned || self.is_lead_confirmed(now, service, &leader) {
+            let is_abandoned = connection.user == Some(User::Abandoned);
+            if is_abandoned || self.is_leadership_confirmed(now, service, &leader) {
                 let connection = self.connections.get_mut(&id);
                 let withheld = connection.and_then(|connection| connection.withheld.take());
                 if let Some((sent, reply)) = withheld {
-                    self.believe_reply(now, id, sent, reply);
+                    self.process_reply(now, id, sent, reply);
                 }
-            } else if self.is_replaced(service, &leader) {
-                self.disown(now, id);
+            } else if self.is_leader_replaced(service, &leader) {
+                self.reject_withheld(now, id);
             }
         }
     }
 
     /// Whether a later term than a leader's has begun.
-    fn is_replaced(&self, service: &ServiceName, leader: &BackendId) -> bool {
+    fn is_leader_replaced(&self, service: &ServiceName, leader: &BackendId) -> bool {
         let (Some(group), Some(backend)) = (self.groups.get(service), self.backends.get(leader))
         else {
             return true;
@@ -110,7 +110,7 @@
     }
 
     /// The answer withheld on a connection is a replaced leader's: whether it is kept is not known.
-    fn disown(&mut self, now: Time, id: ConnectionId) {
+    fn reject_withheld(&mut self, now: Time, id: ConnectionId) {
         if let Some((session, request)) = self.request_on(id) {
             match request.need {
                 Need::Write => self.leave_unknown(now, session, ResultCode::FenceNotProved),
