--- a/crates/stairward-engine/src/admission.rs
+++ b/crates/stairward-engine/src/admission.rs
@@ -9,7 +9,7 @@
 use crate::engine::{Engine, WaitingKey};
 use crate::event::Effect;
 use crate::identifiers::SessionId;
-use crate::session::{Need, Request, Stage};
+use crate::session::{Request, RequestKind, Stage};
 use crate::timers::Timer;
 
 impl Engine {
@@ -17,10 +17,10 @@
     /// belong to an operation that was admitted, and forwarded ones were admitted where their client is.
     pub(crate) fn admit(&mut self, now: Time, id: SessionId) {
         let Some(tenant) = self.limited_tenant(id) else {
-            return self.send_out(now, id);
+            return self.dispatch(now, id);
         };
         match self.limits.admit(now, &tenant) {
-            Admission::Admitted => self.send_out(now, id),
+            Admission::Admitted => self.dispatch(now, id),
             Admission::Denied(retry_after) => self.refuse_over_limit(now, id, retry_after),
             Admission::Waiting => self.wait_for_admission(id, tenant),
         }
@@ -30,7 +30,10 @@
         let session = self.sessions.get(&id)?;
         let request = session.request.as_ref()?;
         let is_counted = !session.is_forwarded
-            && !matches!(request.need, Need::InTransaction { .. } | Need::Commit);
+            && !matches!(
+                request.kind,
+                RequestKind::InTransaction { .. } | RequestKind::Commit
+            );
         let tenant = session.identity.tenant().filter(|_| is_counted)?;
         self.limits.is_limited(tenant).then(|| tenant.clone())
     }
@@ -50,7 +53,7 @@
     }
 
     /// A request has waited for admission as long as it may.
-    pub(crate) fn admission_ended(&mut self, now: Time, id: SessionId) {
+    pub(crate) fn admission_wait_expired(&mut self, now: Time, id: SessionId) {
         if self.wait_for_first_grants(now, id) {
             return;
         }
@@ -98,13 +101,13 @@
     }
 
     /// Tells the limits of something, and carries out what they decide.
-    pub(crate) fn tell_limits(&mut self, now: Time, event: LimitEvent) {
+    pub(crate) fn handle_limit_event(&mut self, now: Time, event: LimitEvent) {
         self.limits.handle(now, event);
-        self.carry_out_limits(now);
+        self.apply_limit_effects(now);
     }
 
     /// Carries out what the limits have decided.
-    pub(crate) fn carry_out_limits(&mut self, now: Time) {
+    pub(crate) fn apply_limit_effects(&mut self, now: Time) {
         let mut effects = VecDeque::from(self.limits.take_effects());
         while let Some(effect) = effects.pop_front() {
             match effect {
@@ -146,7 +149,7 @@
             let request = self.sessions.get_mut(&id).and_then(|s| s.request.as_mut());
             if let Some(request) = request {
                 request.stage = Stage::Waiting;
-                self.send_out(now, id);
+                self.dispatch(now, id);
             }
         }
     }
@@ -158,7 +161,7 @@
         for id in waiting {
             let request = self.sessions.get(&id).and_then(|s| s.request.as_ref());
             if request.is_some_and(|request| now + retry_after >= request.hold_ends) {
-                self.admission_ended(now, id);
+                self.admission_wait_expired(now, id);
             }
         }
     }
--- a/crates/stairward-engine/src/backend.rs
+++ b/crates/stairward-engine/src/backend.rs
@@ -26,15 +26,15 @@
 /// Bytes between regions cost money: a remote back end must be this much faster to be preferred.
 const REMOTE_PENALTY: Duration = Duration::from_millis(40);
 /// A back end whose log was just found to lack a position is tried last for this long.
-const LAGGING_PENALTY_TIME: Duration = Duration::from_millis(60);
+const LAGGING_PENALTY_DURATION: Duration = Duration::from_millis(60);
 /// How long a back end that refused a statement for being full gets only what nobody else takes.
-const BUSY_PENALTY_TIME: Duration = Duration::from_millis(50);
+const BUSY_PENALTY_DURATION: Duration = Duration::from_millis(50);
 /// What a penalty adds to the expected latency.
 const PENALTY: Duration = Duration::from_millis(200);
 /// Pause after a failed attempt to open a connection.
-const OPEN_PAUSE: Duration = Duration::from_millis(100);
+const OPEN_RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Pause after a back end had too many connections.
-const CONNECTION_LIMIT_PAUSE: Duration = Duration::from_millis(400);
+const CONNECTION_LIMIT_RETRY_DELAY: Duration = Duration::from_millis(400);
 
 /// One back end.
 #[derive(Debug)]
@@ -134,7 +134,7 @@
     }
 
     /// Takes in its role as discovery tells it.
-    pub fn take_role(&mut self, role: BackendRole) {
+    pub fn apply_role(&mut self, role: BackendRole) {
         if role == BackendRole::Replica {
             // Whoever leads next decides what its log holds.
             self.log_floor = None;
@@ -144,30 +144,34 @@
 
     /// Judges a primary's log by its word on a connection that was asked for when the log held `floor`. Returns whether
     /// it is found to have lost it.
-    pub fn judge_log(&mut self, floor: Option<Freshness>, position: Option<Freshness>) -> bool {
+    pub fn check_log_retained(
+        &mut self,
+        floor: Option<Freshness>,
+        position: Option<Freshness>,
+    ) -> bool {
         let is_judged = self.description.role == BackendRole::Primary && floor.is_some();
         if !is_judged {
             return false;
         }
-        let lacks = position.map(order) < floor.map(order);
+        let lacks = position.map(log_order) < floor.map(log_order);
         !std::mem::replace(&mut self.has_lost_log, lacks) && lacks
     }
 
     /// Whether new work may still be sent to it.
-    pub fn may_be_used(&self, now: Time) -> bool {
+    pub fn is_usable(&self, now: Time) -> bool {
         let leaving_until = self.leaving.map(|leaving| leaving.ends_at);
         let ends = [leaving_until, self.evacuated_until];
         ends.into_iter().flatten().all(|ends_at| now < ends_at)
     }
 
     /// Whether it leaves, has gone, or its zone is evacuated.
-    pub fn is_to_be_left(&self) -> bool {
+    pub fn is_draining(&self) -> bool {
         self.leaving.is_some() || self.evacuated_until.is_some()
     }
 
     /// Whether it is here to stay and answers.
     pub fn is_healthy(&self) -> bool {
-        !self.is_to_be_left() && !self.is_silent
+        !self.is_draining() && !self.is_silent
     }
 
     /// Notes that a statement is sent to it.
@@ -223,19 +227,19 @@
         cost
     }
 
-    pub fn was_not_fresh(&mut self, now: Time) {
-        self.lagging_until = now + LAGGING_PENALTY_TIME;
+    pub fn penalize_lagging(&mut self, now: Time) {
+        self.lagging_until = now + LAGGING_PENALTY_DURATION;
     }
 
-    pub fn was_busy(&mut self, now: Time) {
-        self.busy_until = now + BUSY_PENALTY_TIME;
+    pub fn penalize_busy(&mut self, now: Time) {
+        self.busy_until = now + BUSY_PENALTY_DURATION;
     }
 
     pub fn opening_failed(&mut self, now: Time, is_limit: bool) {
         let pause = if is_limit {
-            CONNECTION_LIMIT_PAUSE
+            CONNECTION_LIMIT_RETRY_DELAY
         } else {
-            OPEN_PAUSE
+            OPEN_RETRY_DELAY
         };
         self.open_after = now + pause;
     }
@@ -246,7 +250,9 @@
         if let Some(known) = position {
             self.position = position;
             if self.description.role == BackendRole::Primary {
-                let higher = self.log_floor.filter(|floor| order(*floor) > order(known));
+                let higher = self
+                    .log_floor
+                    .filter(|floor| log_order(*floor) > log_order(known));
                 self.has_lost_log &= higher.is_some();
                 self.log_floor = higher.or(position);
             }
@@ -257,7 +263,7 @@
 }
 
 /// The order of positions in one log.
-fn order(freshness: Freshness) -> (Term, LogPosition) {
+fn log_order(freshness: Freshness) -> (Term, LogPosition) {
     (freshness.term, freshness.position)
 }
 
--- a/crates/stairward-engine/src/choice.rs
+++ b/crates/stairward-engine/src/choice.rs
@@ -16,11 +16,11 @@
 use crate::timers::Timer;
 
 /// A connection that has been opening for longer than this is no longer waited for.
-const OPENING_PATIENCE: Duration = Duration::from_millis(150);
+const OPENING_WAIT: Duration = Duration::from_millis(150);
 /// Connections to one back end that are opened at once.
-const OPENINGS_AT_ONCE: usize = 3;
+const MAX_CONCURRENT_OPENINGS: usize = 3;
 /// How long an opening may take before its back end counts as silent.
-const OPENING_SILENCE: Duration = Duration::from_millis(700);
+const OPENING_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// When a client should come back whose leader is in another region than its work is allowed in: it is moved, in
 /// about the time of a planned replacement.
@@ -50,14 +50,14 @@
 
 /// Which connections suit a use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Suitable<'a> {
+pub(crate) enum TenantFilter<'a> {
     /// Any: the system's own questions run nothing of a tenant's.
     Any,
     /// Those that were opened for this tenant, or for none.
     For(Option<&'a TenantName>),
 }
 
-impl<'a> Suitable<'a> {
+impl<'a> TenantFilter<'a> {
     fn includes(self, connection: &Connection) -> bool {
         match self {
             Self::Any => true,
@@ -76,8 +76,8 @@
 
 /// A connection that is wanted.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Wanted<'a> {
-    pub suitable: Suitable<'a>,
+pub(crate) struct ConnectionRequest<'a> {
+    pub tenant_filter: TenantFilter<'a>,
     /// The values that should be set on it.
     pub values: &'a BTreeMap<String, String>,
     pub opening: Opening,
@@ -86,11 +86,11 @@
 /// The values of a connection that carries questions of the system's own.
 static NO_VALUES: BTreeMap<String, String> = BTreeMap::new();
 
-impl Wanted<'static> {
+impl ConnectionRequest<'static> {
     /// Any connection, for a question of the system's own.
-    pub const fn for_question() -> Self {
+    pub const fn for_internal_query() -> Self {
         Self {
-            suitable: Suitable::Any,
+            tenant_filter: TenantFilter::Any,
             values: &NO_VALUES,
             opening: Opening::Allowed,
         }
@@ -109,7 +109,7 @@
             let may_lead = description.role == BackendRole::Primary
                 && !backend.has_lost_log
                 && !is_denied
-                && backend.may_be_used(now);
+                && backend.is_usable(now);
             may_lead.then_some((backend.is_listed, description.revision, id))
         });
         candidates.max().map(|(_, _, id)| id.clone())
@@ -124,13 +124,13 @@
         opening: Opening,
     ) -> Choice {
         let service = &request.route.service;
-        let wanted = Wanted {
-            suitable: Suitable::For(session.identity.tenant()),
+        let connection_request = ConnectionRequest {
+            tenant_filter: TenantFilter::For(session.identity.tenant()),
             values: &session.values,
             opening,
         };
-        if request.need.is_leader_only() {
-            return self.choose_leader(now, request, &wanted);
+        if request.kind.requires_leader() {
+            return self.choose_leader(now, request, &connection_request);
         }
         let staleness = request.route.consistency.staleness().unwrap_or_default();
         let own = session.commits.get(service).copied();
@@ -142,10 +142,15 @@
         let Some(floor) = floor else {
             return Choice::Wait(WaitReason::NotFresh);
         };
-        self.choose_copy(now, request, floor, &wanted)
+        self.choose_for_read(now, request, floor, &connection_request)
     }
 
-    fn choose_leader(&mut self, now: Time, request: &Request, wanted: &Wanted<'_>) -> Choice {
+    fn choose_leader(
+        &mut self,
+        now: Time,
+        request: &Request,
+        connection_request: &ConnectionRequest<'_>,
+    ) -> Choice {
         let service = &request.route.service;
         let Some(leader) = self.leader(now, service) else {
             return Choice::Wait(WaitReason::NoLeader);
@@ -167,35 +172,36 @@
             let retry_after = Some(RETRY_LEADER_ELSEWHERE);
             return Choice::Refuse(ResultCode::LeaderOutsideRegion, retry_after);
         }
-        if let Err(choice) = self.check_room(now, &leader, request) {
+        if let Err(choice) = self.check_cold_limit(now, &leader, request) {
             return choice;
         }
-        match self.connection_to(now, &leader, wanted) {
+        match self.connection_to(now, &leader, connection_request) {
             Some(connection) => Choice::Use(connection, None),
             None => Choice::Wait(WaitReason::NoConnection),
         }
     }
 
-    fn choose_copy(
+    fn choose_for_read(
         &mut self,
         now: Time,
         request: &Request,
         floor: Freshness,
-        wanted: &Wanted<'_>,
+        connection_request: &ConnectionRequest<'_>,
     ) -> Choice {
-        let mut candidates = self.copies(now, request, floor, wanted.suitable);
+        let mut candidates =
+            self.read_candidates(now, request, floor, connection_request.tenant_filter);
         if candidates.is_empty() {
             return Choice::Wait(WaitReason::NoBackend);
         }
-        if let Err(choice) = self.leave_out_cold(now, &mut candidates, request) {
+        if let Err(choice) = self.filter_cold(now, &mut candidates, request) {
             return choice;
         }
         let mut reason = None;
         for id in candidates {
-            if request.tried.contains(&id) {
+            if request.tried_backends.contains(&id) {
                 continue;
             }
-            if let Some(connection) = self.connection_to(now, &id, wanted) {
+            if let Some(connection) = self.connection_to(now, &id, connection_request) {
                 return Choice::Use(connection, Some(floor));
             }
             if self.backends.get(&id).is_some_and(|copy| copy.is_silent) {
@@ -203,25 +209,25 @@
                 continue;
             }
             reason = Some(WaitReason::NoConnection);
-            let is_awaited = self.is_opening_soon(now, &id, wanted.suitable);
-            if is_awaited || wanted.opening == Opening::Forbidden {
+            let is_awaited = self.is_opening_soon(now, &id, connection_request.tenant_filter);
+            if is_awaited || connection_request.opening == Opening::Forbidden {
                 break;
             }
         }
         match reason {
             Some(reason) => Choice::Wait(reason),
-            None if request.tried.is_empty() => Choice::Wait(WaitReason::NoBackend),
+            None if request.tried_backends.is_empty() => Choice::Wait(WaitReason::NoBackend),
             None => Choice::Exhausted,
         }
     }
 
     /// The copies that may answer a read, best first. One without a connection that suits costs an opening more.
-    fn copies(
+    fn read_candidates(
         &self,
         now: Time,
         request: &Request,
         floor: Freshness,
-        suitable: Suitable<'_>,
+        tenant_filter: TenantFilter<'_>,
     ) -> Vec<BackendId> {
         let Some(group) = self.groups.get(&request.route.service) else {
             return Vec::new();
@@ -231,15 +237,15 @@
             .iter()
             .filter_map(|id| {
                 let backend = self.backends.get(id)?;
-                let may_be_used =
-                    backend.may_be_used(now) && request.residency.allows(backend.region.as_ref());
+                let is_usable =
+                    backend.is_usable(now) && request.residency.allows(backend.region.as_ref());
                 // Without tenants nearly every connection suits, and one is soon idle.
-                let is_connected = suitable.tenant().is_none()
+                let is_connected = tenant_filter.tenant().is_none()
                     || self
                         .idle_connections(backend)
-                        .any(|(_, connection)| suitable.includes(connection));
+                        .any(|(_, connection)| tenant_filter.includes(connection));
                 let cost = backend.cost(now, Some(floor), is_connected);
-                may_be_used.then_some((!backend.is_healthy(), cost, id))
+                is_usable.then_some((!backend.is_healthy(), cost, id))
             })
             .collect();
         copies.sort();
@@ -258,17 +264,17 @@
         &mut self,
         now: Time,
         id: &BackendId,
-        wanted: &Wanted<'_>,
+        connection_request: &ConnectionRequest<'_>,
     ) -> Option<ConnectionId> {
         let backend = self.backends.get(id)?;
-        let suiting = self
+        let candidates = self
             .idle_connections(backend)
-            .filter(|(_, connection)| wanted.suitable.includes(connection))
-            .map(|(id, connection)| (connection.setup_cost(wanted.values), id));
-        let best = suiting.min().map(|(_, connection)| connection);
-        let tenant = wanted.suitable.tenant();
-        let may_open = best.is_none() && wanted.opening == Opening::Allowed;
-        if may_open && !self.has_openings_enough(id, tenant) {
+            .filter(|(_, connection)| connection_request.tenant_filter.includes(connection))
+            .map(|(id, connection)| (connection.setup_cost(connection_request.values), id));
+        let best = candidates.min().map(|(_, connection)| connection);
+        let tenant = connection_request.tenant_filter.tenant();
+        let may_open = best.is_none() && connection_request.opening == Opening::Allowed;
+        if may_open && !self.has_enough_openings(id, tenant) {
             self.open_connection(now, id, tenant);
         }
         best
@@ -277,7 +283,7 @@
     /// Whether as many connections to a back end are being opened for a tenant as requests of its wait, the present
     /// one among them: each try of the same request would open another one otherwise, and an opening holds a slot of
     /// the back end for longer than many statements do.
-    fn has_openings_enough(&self, id: &BackendId, tenant: Option<&TenantName>) -> bool {
+    fn has_enough_openings(&self, id: &BackendId, tenant: Option<&TenantName>) -> bool {
         let has_tenants = self
             .table
             .as_ref()
@@ -319,7 +325,7 @@
         })
     }
 
-    fn is_opening_soon(&self, now: Time, id: &BackendId, suitable: Suitable<'_>) -> bool {
+    fn is_opening_soon(&self, now: Time, id: &BackendId, tenant_filter: TenantFilter<'_>) -> bool {
         let Some(backend) = self.backends.get(id) else {
             return false;
         };
@@ -327,9 +333,9 @@
             let connection = self
                 .connections
                 .get(connection)
-                .filter(|connection| suitable.includes(connection));
+                .filter(|connection| tenant_filter.includes(connection));
             let opening_since = connection.and_then(|connection| connection.opening_since);
-            opening_since.is_some_and(|since| now < since + OPENING_PATIENCE)
+            opening_since.is_some_and(|since| now < since + OPENING_WAIT)
         })
     }
 
@@ -347,14 +353,14 @@
         let service = backend.description.service.clone();
         if now < backend.open_after {
             self.timers
-                .set(backend.open_after, Timer::TryWaiting(service));
+                .set(backend.open_after, Timer::RetryWaiting(service));
             return;
         }
         let openings = backend.connections.iter().filter(|connection| {
             let state = self.connections.get(connection);
             state.is_some_and(|state| state.opening_since.is_some())
         });
-        if openings.count() >= OPENINGS_AT_ONCE || !self.make_room(id, tenant) {
+        if openings.count() >= MAX_CONCURRENT_OPENINGS || !self.make_room(id, tenant) {
             return;
         }
         let Some(backend) = self.backends.get(id) else {
@@ -375,9 +381,9 @@
             backend.connections.insert(connection);
         }
         self.timers
-            .set(now + OPENING_PATIENCE, Timer::TryWaiting(service));
+            .set(now + OPENING_WAIT, Timer::RetryWaiting(service));
         self.timers
-            .set(now + OPENING_SILENCE, Timer::Silence(connection));
+            .set(now + OPENING_TIMEOUT, Timer::ReplyCheck(connection));
         self.effects.push(Effect::Open { connection, target });
     }
 
--- a/crates/stairward-engine/src/confirmation.rs
+++ b/crates/stairward-engine/src/confirmation.rs
@@ -6,7 +6,7 @@
 
 use stairward_types::{BackendId, BackendRole, MemberStatus, ServiceName, Term, Time};
 
-use crate::choice::Wanted;
+use crate::choice::ConnectionRequest;
 use crate::connection::User;
 use crate::engine::Engine;
 use crate::event::{BackendCommand, Effect, LeadershipChange};
@@ -299,13 +299,15 @@
 
     /// Asks a member for its status; returns whether there was a connection for it. One is opened if not.
     fn query_member(&mut self, now: Time, service: &ServiceName, id: &BackendId) -> bool {
-        let Some(connection) = self.connection_to(now, id, &Wanted::for_question()) else {
+        let Some(connection) =
+            self.connection_to(now, id, &ConnectionRequest::for_internal_query())
+        else {
             return false;
         };
         if let Some(group) = self.groups.get_mut(service) {
             group.leadership.record_query(now, id);
         }
-        self.use_connection(connection, User::StatusQuery);
+        self.assign_connection(connection, User::StatusQuery);
         self.send(now, connection, BackendCommand::QueryStatus);
         if let Some(lease) = self.options.leadership_lease {
             let late = now + lease / QUERY_TIMEOUT_DIVISOR;
@@ -367,7 +369,7 @@
             Some(status) => self.handle_member_status(now, &service, &backend, sent_at, status),
             None => {
                 if let Some(backend) = self.backends.get_mut(&backend) {
-                    backend.was_busy(now);
+                    backend.penalize_busy(now);
                 }
                 self.status_query_failed(now, &service, &backend);
             }
--- a/crates/stairward-engine/src/connection.rs
+++ b/crates/stairward-engine/src/connection.rs
@@ -140,7 +140,7 @@
         commands
     }
 
-    /// How many set-up commands a session's values would need, for choosing among idle connections.
+    /// How many set-up commands a session's values would kind, for choosing among idle connections.
     pub fn setup_cost(&self, values: &BTreeMap<String, String>) -> usize {
         if self.values == *values {
             return 0;
@@ -149,7 +149,7 @@
     }
 
     /// Notes the effect of a set-up command that succeeded.
-    pub fn note_setup(&mut self, step: Step) {
+    pub fn apply_setup(&mut self, step: Step) {
         match step {
             Step::Reset => {
                 self.values.clear();
--- a/crates/stairward-engine/src/discovery.rs
+++ b/crates/stairward-engine/src/discovery.rs
@@ -15,13 +15,13 @@
 use crate::timers::Timer;
 
 /// How often leaving back ends are looked at.
-const BACKEND_REVIEW: Duration = Duration::from_millis(500);
+const BACKEND_REVIEW_INTERVAL: Duration = Duration::from_millis(500);
 /// How long after a gone back end may no longer be used its connections are closed.
 const GONE_CLOSE_DELAY: Duration = Duration::from_secs(4);
 
 impl Engine {
     /// Takes discovery's whole list in. What is new in it came about after `since`, or at any time.
-    pub(crate) fn take_backends(
+    pub(crate) fn apply_backend_list(
         &mut self,
         now: Time,
         list: Vec<BackendDescription>,
@@ -34,11 +34,11 @@
             .filter(|(id, backend)| backend.is_listed && !listed.contains(id));
         let gone: Vec<_> = gone.map(|(id, _)| id.clone()).collect();
         let described = list.into_iter().map(Arc::new).collect();
-        self.change_backends(now, DiscoveryChange { described, gone }, since);
+        self.apply_discovery_change(now, DiscoveryChange { described, gone }, since);
     }
 
     /// Takes in what has changed in discovery's list. It came about after `since`, or at any time.
-    pub(crate) fn change_backends(
+    pub(crate) fn apply_discovery_change(
         &mut self,
         now: Time,
         change: DiscoveryChange,
@@ -50,26 +50,26 @@
             .map(|description| description.service.clone())
             .collect();
         for description in change.described {
-            self.take_backend(now, description, since);
+            self.apply_description(now, description, since);
         }
         for id in change.gone {
-            self.no_longer_listed(now, &id, since);
+            self.mark_unlisted(now, &id, since);
         }
-        self.plan_review(now);
+        self.schedule_backend_review(now);
         let services: Vec<_> = services.into_iter().collect();
-        self.warm_up_services(now, &services);
+        self.open_initial_connections_of(now, &services);
     }
 
-    fn no_longer_listed(&mut self, now: Time, id: &BackendId, since: Option<Time>) {
+    fn mark_unlisted(&mut self, now: Time, id: &BackendId, since: Option<Time>) {
         let Some(backend) = self.backends.get_mut(id) else {
             return;
         };
         backend.is_listed = false;
         self.changed.insert(backend.description.service.clone());
-        self.leaves(now, id, since);
+        self.begin_leaving(now, id, since);
     }
 
-    fn take_backend(
+    fn apply_description(
         &mut self,
         now: Time,
         description: Arc<BackendDescription>,
@@ -96,7 +96,7 @@
         backend.evacuated_until = evacuated_until;
         let has_moved = backend.description.address != description.address;
         let is_new_start = description.is_new_start_after(&backend.description);
-        backend.take_role(description.role);
+        backend.apply_role(description.role);
         backend.description = description;
         backend.is_listed = true;
         if is_new_start {
@@ -117,15 +117,15 @@
         }
         if is_leaving {
             // One that is first heard of as leaving may have said so, and have been forgotten, long ago.
-            self.leaves(now, &id, since.filter(|_| !is_unknown));
+            self.begin_leaving(now, &id, since.filter(|_| !is_unknown));
         } else {
-            self.stays(&id);
+            self.cancel_leaving(&id);
         }
-        self.note_cold(now, &id, is_new || is_new_start);
+        self.update_warm_up(now, &id, is_new || is_new_start);
     }
 
     /// A back end leaves, or has gone, as this node hears.
-    pub(crate) fn leaves(&mut self, now: Time, id: &BackendId, since: Option<Time>) {
+    pub(crate) fn begin_leaving(&mut self, now: Time, id: &BackendId, since: Option<Time>) {
         let limit = self.options.leaving_limit;
         let Some(backend) = self.backends.get_mut(id).filter(|b| b.leaving.is_none()) else {
             return;
@@ -140,14 +140,14 @@
     }
 
     /// Whether the back end behind a connection may no longer be used for new work.
-    pub(crate) fn is_use_over(&self, now: Time, connection: ConnectionId) -> bool {
+    pub(crate) fn is_backend_unusable(&self, now: Time, connection: ConnectionId) -> bool {
         let connection = self.connections.get(&connection);
         let backend = connection.and_then(|connection| self.backends.get(&connection.backend));
-        backend.is_none_or(|backend| !backend.may_be_used(now))
+        backend.is_none_or(|backend| !backend.is_usable(now))
     }
 
     /// A back end is there to stay.
-    fn stays(&mut self, id: &BackendId) {
+    fn cancel_leaving(&mut self, id: &BackendId) {
         let Some(backend) = self.backends.get_mut(id) else {
             return;
         };
@@ -163,9 +163,10 @@
         });
     }
 
-    pub(crate) fn plan_review(&mut self, now: Time) {
+    pub(crate) fn schedule_backend_review(&mut self, now: Time) {
         if !std::mem::replace(&mut self.is_reviewing, true) {
-            self.timers.set(now + BACKEND_REVIEW, Timer::Backends);
+            self.timers
+                .set(now + BACKEND_REVIEW_INTERVAL, Timer::BackendReview);
         }
     }
 
@@ -186,22 +187,22 @@
             over.push((id.clone(), is_forgotten));
         }
         for (id, is_forgotten) in over {
-            self.tell_over(&id);
-            self.let_go(&id, is_forgotten);
+            self.report_drain_expired(&id);
+            self.release_backend(&id, is_forgotten);
         }
-        self.trim(now);
+        self.close_unneeded_connections(now);
         if is_any_leaving || !self.connections.is_empty() {
-            self.plan_review(now);
+            self.schedule_backend_review(now);
         }
     }
 
     /// Tells, once, that a back end gets no more work.
-    fn tell_over(&mut self, id: &BackendId) {
+    fn report_drain_expired(&mut self, id: &BackendId) {
         let leaving = self.backends.get_mut(id).and_then(|b| b.leaving.as_mut());
         let Some(leaving) = leaving else {
             return;
         };
-        if std::mem::replace(&mut leaving.is_over_told, true) {
+        if std::mem::replace(&mut leaving.is_expiry_reported, true) {
             return;
         }
         let change = LeavingChange::Expired {
@@ -211,7 +212,7 @@
         self.leaving_observed(id, change);
     }
 
-    fn let_go(&mut self, id: &BackendId, is_forgotten: bool) {
+    fn release_backend(&mut self, id: &BackendId, is_forgotten: bool) {
         let Some(backend) = self.backends.get(id) else {
             return;
         };
--- a/crates/stairward-engine/src/engine.rs
+++ b/crates/stairward-engine/src/engine.rs
@@ -12,8 +12,8 @@
 use crate::evacuation::Evacuations;
 use crate::event::{BackendEvidence, Effect, Event};
 use crate::group::Group;
-use crate::holder_demand::{HolderSizing, connections_per_holder};
 use crate::holder_directory::HolderDirectory;
+use crate::holder_sizing::{HolderSizing, connections_per_holder};
 use crate::holder_watch::HolderWatch;
 use crate::identifiers::{ConnectionId, RequestNumber, SessionId};
 use crate::node_count::NodeCount;
@@ -25,11 +25,11 @@
 use crate::timers::{Timer, Timers};
 
 /// A connection that nobody has used for this long is closed, but for one to each back end: what a node
-/// holds without need its successor can't have when it loses power.
-const IDLE_LIMIT: Duration = Duration::from_millis(800);
+/// holds without kind its successor can't have when it loses power.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(800);
 /// A tenant's connection is kept for longer: it serves nobody else, most tenants come seldom, and where room is
 /// needed the one that was used least recently gives way.
-const TENANT_IDLE_LIMIT: Duration = Duration::from_secs(10);
+const TENANT_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Connections per back end kept back for nodes that are not counted yet.
 const RESERVED_CONNECTIONS: u32 = 1;
 
@@ -128,10 +128,10 @@
     pub fn handle(&mut self, now: Time, event: Event) -> Vec<Effect> {
         self.run_timers(now);
         if self.limits.next_wake().is_some_and(|at| at <= now) {
-            self.tell_limits(now, LimitEvent::Tick);
+            self.handle_limit_event(now, LimitEvent::Tick);
         }
         self.apply(now, event);
-        self.carry_out_limits(now);
+        self.apply_limit_effects(now);
         self.serve_waiting(now);
         std::mem::take(&mut self.effects)
     }
@@ -171,11 +171,11 @@
                 session,
                 database,
                 key,
-            } => self.receive_session(now, session, database, key),
+            } => self.accept_or_defer_session(now, session, database, key),
             Event::Statement { session, statement } => {
-                self.take_statement(now, session, Some(statement));
+                self.enqueue_statement(now, session, Some(statement));
             }
-            Event::InvalidStatement { session } => self.take_statement(now, session, None),
+            Event::InvalidStatement { session } => self.enqueue_statement(now, session, None),
             Event::SessionClosed { session } => self.session_closed(now, session),
             Event::ConnectionOpened {
                 connection,
@@ -185,17 +185,19 @@
                 connection,
                 failure,
             } => self.open_failed(now, connection, failure),
-            Event::Reply { connection, reply } => self.take_reply(now, connection, reply),
+            Event::Reply { connection, reply } => self.handle_reply(now, connection, reply),
             Event::ConnectionLost { connection } => self.connection_lost(now, connection),
             Event::ConfigurationChanged(table) => self.configure(now, table),
-            Event::BackendsListed { list, since } => self.take_backends(now, list, since),
-            Event::BackendsChanged { change, since } => self.change_backends(now, change, since),
-            Event::NodeCountChanged(nodes) => self.note_nodes(now, nodes),
-            Event::HoldersChanged(holders) => self.change_holders(holders),
+            Event::BackendsListed { list, since } => self.apply_backend_list(now, list, since),
+            Event::BackendsChanged { change, since } => {
+                self.apply_discovery_change(now, change, since)
+            }
+            Event::NodeCountChanged(nodes) => self.record_node_count(now, nodes),
+            Event::HoldersChanged(holders) => self.apply_holder_change(holders),
             Event::NodeRegions(regions) => self.node_regions = regions,
             Event::EvacuatedZonesChanged { zones, since } => self.set_evacuated(now, &zones, since),
             Event::ForwardedRequest { session, forwarded } => {
-                self.take_forwarded(now, session, *forwarded);
+                self.handle_forwarded(now, session, *forwarded);
             }
             Event::ForwardAnswered {
                 holder,
@@ -208,7 +210,7 @@
                 freshness,
                 asked_at,
                 age,
-            } => self.take_peer_position(&service, freshness, asked_at, age),
+            } => self.apply_peer_position(&service, freshness, asked_at, age),
             Event::LeadershipRevoked(service, term) => self.revoke_leadership(now, &service, term),
             Event::PromotionEnded(service) => self.promotion_ended(now, &service),
             Event::LeadershipQueried(service) => self.leadership_queried(now, &service),
@@ -218,21 +220,23 @@
                 asked_at,
                 age,
             } => self.apply_peer_leadership(now, &service, possible_term, asked_at, age),
-            Event::HolderAlive(holder) => self.holder_heard(now, holder),
+            Event::HolderAlive(holder) => self.holder_alive(now, holder),
             Event::HolderLost(holder) => {
                 self.holder_lost(now, holder);
-                self.tell_limits(now, LimitEvent::PeerLost(holder));
+                self.handle_limit_event(now, LimitEvent::PeerLost(holder));
             }
             Event::HolderUnreachable(holder) => {
                 self.holder_unreachable(now, holder);
-                self.tell_limits(now, LimitEvent::PeerLost(holder));
+                self.handle_limit_event(now, LimitEvent::PeerLost(holder));
             }
             Event::Members { live, leaving } => {
-                self.tell_limits(now, LimitEvent::Members { live, leaving });
+                self.handle_limit_event(now, LimitEvent::Members { live, leaving });
+            }
+            Event::FleetSizeRecorded(nodes) => {
+                self.handle_limit_event(now, LimitEvent::Recorded(nodes))
             }
-            Event::FleetSizeRecorded(nodes) => self.tell_limits(now, LimitEvent::Recorded(nodes)),
             Event::LimitGranted(node, grant) => {
-                self.tell_limits(now, LimitEvent::Granted(node, grant));
+                self.handle_limit_event(now, LimitEvent::Granted(node, grant));
             }
             Event::StopRequested => self.begin_stop(now),
             Event::Tick => {}
@@ -246,18 +250,18 @@
                 Timer::Hedge(session, number) => self.hedge(now, session, number),
                 Timer::Deadline(session, number) => self.deadline_passed(now, session, number),
                 Timer::TransactionIdle(session, number) => {
-                    self.transaction_rested(now, session, number);
+                    self.transaction_idle_expired(now, session, number);
                 }
-                Timer::Silence(connection) => self.check_silence(now, connection),
-                Timer::Holder(holder) => self.check_holder(now, holder),
-                Timer::TryWaiting(service) => {
+                Timer::ReplyCheck(connection) => self.check_replies(now, connection),
+                Timer::HolderCheck(holder) => self.check_holder(now, holder),
+                Timer::RetryWaiting(service) => {
                     self.changed.insert(service);
                 }
                 Timer::PendingSession(session) => self.pending_session_due(session),
                 Timer::LeadershipCheck(service) => self.leadership_check_due(now, &service),
-                Timer::Warm(backend) => self.warm_up_due(now, &backend),
-                Timer::Evacuation => self.end_work_in_evacuated(now),
-                Timer::Backends => self.review_backends(now),
+                Timer::WarmUpCheck(backend) => self.warm_up_check_due(now, &backend),
+                Timer::Evacuation => self.end_work_in_evacuated_zones(now),
+                Timer::BackendReview => self.review_backends(now),
                 Timer::Stop => self.continue_stop(now),
             }
         }
@@ -290,7 +294,7 @@
         }
         let limits = table.tenants.as_ref().map(TenantDirectory::limits);
         self.table = Some(table);
-        self.tell_limits(now, LimitEvent::Limits(limits.unwrap_or_default()));
+        self.handle_limit_event(now, LimitEvent::Limits(limits.unwrap_or_default()));
         let queued: Vec<TenantName> = self.admissions.keys().cloned().collect();
         for tenant in queued {
             self.admit_waiting(now, &tenant);
@@ -298,7 +302,7 @@
         self.changed.extend(self.groups.keys().cloned());
         self.end_revoked_sessions(now);
         self.open_pending_sessions();
-        self.warm_up(now);
+        self.open_initial_connections(now);
     }
 
     pub(crate) fn idle_connections_of(
@@ -316,7 +320,7 @@
     /// Closes connections that nobody has needed lately, but for one to each back end of the services that this node
     /// holds. What it opened while it did not know the other holders is theirs: 72 nodes that keep one connection each
     /// leave them none of 36.
-    pub(crate) fn trim(&mut self, now: Time) {
+    pub(crate) fn close_unneeded_connections(&mut self, now: Time) {
         let mut unused = Vec::new();
         for backend in self.backends.values() {
             let mut idle = self.idle_connections_of(&backend.connections);
@@ -329,8 +333,8 @@
                 let connection = self.connections.get(id);
                 connection.is_some_and(|connection| {
                     let limit = match connection.tenant {
-                        Some(_) if is_held_here => TENANT_IDLE_LIMIT,
-                        _ => IDLE_LIMIT,
+                        Some(_) if is_held_here => TENANT_IDLE_TIMEOUT,
+                        _ => IDLE_TIMEOUT,
                     };
                     now.since(connection.idle_since) >= limit
                 })
@@ -341,11 +345,11 @@
         }
     }
 
-    fn note_nodes(&mut self, now: Time, nodes: u32) {
+    fn record_node_count(&mut self, now: Time, nodes: u32) {
         let is_first = !self.nodes.is_known();
-        self.nodes.note(now, nodes);
+        self.nodes.record(now, nodes);
         if is_first {
-            self.warm_up(now);
+            self.open_initial_connections(now);
         }
     }
 
@@ -365,12 +369,12 @@
             .and_then(|table| table.services.get(service));
         let limit = limits.map_or(1, |limits| limits.connections);
         let available = limit.saturating_sub(RESERVED_CONNECTIONS);
-        if let Some(share) = self.share_beside(id, available) {
+        if let Some(share) = self.same_zone_share(id, available) {
             return usize::try_from(share).unwrap_or(1);
         }
         let (nodes, holders) = (
-            self.nodes.most(),
-            self.holder_demand(service).holder_count(),
+            self.nodes.max_recent(),
+            self.holder_sizing(service).holder_count(),
         );
         let share = if nodes <= holders {
             (available / nodes).max(1)
@@ -381,7 +385,7 @@
     }
 
     /// What decides how many nodes hold connections to a service's back ends.
-    fn holder_demand(&self, service: &ServiceName) -> HolderSizing {
+    fn holder_sizing(&self, service: &ServiceName) -> HolderSizing {
         let limits = self
             .table
             .as_ref()
@@ -401,13 +405,13 @@
 
     /// Opens a first connection to each back end of the services that this node holds and that routes lead to, so that
     /// the first requests find one. Not before the others are seen: most of the back ends may be for others to hold.
-    pub(crate) fn warm_up(&mut self, now: Time) {
+    pub(crate) fn open_initial_connections(&mut self, now: Time) {
         let services: Vec<ServiceName> = self.groups.keys().cloned().collect();
-        self.warm_up_services(now, &services);
+        self.open_initial_connections_of(now, &services);
     }
 
-    /// As [`Self::warm_up`], for these services.
-    pub(crate) fn warm_up_services(&mut self, now: Time, services: &[ServiceName]) {
+    /// As [`Self::open_initial_connections`], for these services.
+    pub(crate) fn open_initial_connections_of(&mut self, now: Time, services: &[ServiceName]) {
         if !self.nodes.is_known() {
             return;
         }
@@ -424,8 +428,7 @@
             .filter_map(|service| self.groups.get(service));
         let is_unconnected = |id: &&BackendId| {
             let backend = self.backends.get(*id);
-            backend
-                .is_some_and(|backend| backend.connections.is_empty() && !backend.is_to_be_left())
+            backend.is_some_and(|backend| backend.connections.is_empty() && !backend.is_draining())
         };
         let members = groups.flat_map(|group| &group.members);
         let unconnected: Vec<BackendId> = members.filter(is_unconnected).cloned().collect();
--- a/crates/stairward-engine/src/evacuation.rs
+++ b/crates/stairward-engine/src/evacuation.rs
@@ -12,7 +12,7 @@
 use crate::timers::Timer;
 
 /// How often connections that are still in use in an evacuated zone are looked at.
-const REVIEW: Duration = Duration::from_millis(250);
+const REVIEW_INTERVAL: Duration = Duration::from_millis(250);
 
 /// The evacuated zones, each with when the use of its back ends ends.
 #[derive(Debug, Default)]
@@ -86,20 +86,20 @@
     }
 
     /// Whether the transaction on a connection may not go on, since its back end's zone is evacuated.
-    pub(crate) fn is_on_evacuated(&self, now: Time, connection: ConnectionId) -> bool {
+    pub(crate) fn is_on_evacuated_backend(&self, now: Time, connection: ConnectionId) -> bool {
         let connection = self.connections.get(&connection);
         connection.is_some_and(|connection| self.is_evacuated(now, &connection.backend))
     }
 
     /// Ends what rests in evacuated zones, once their limit has passed.
-    pub(crate) fn end_work_in_evacuated(&mut self, now: Time) {
+    pub(crate) fn end_work_in_evacuated_zones(&mut self, now: Time) {
         let there: Vec<ConnectionId> = self
             .backends
             .iter()
             .filter(|(id, _)| self.is_evacuated(now, id))
             .flat_map(|(_, backend)| backend.connections.iter().copied())
             .collect();
-        for session in self.resting_on(&there) {
+        for session in self.idle_transactions_on(&there) {
             self.abandon_transaction(now, session);
         }
         for connection in &there {
@@ -113,13 +113,13 @@
         }
         let is_any_left = there.iter().any(|id| self.connections.contains_key(id));
         if is_any_left {
-            self.timers.set(now + REVIEW, Timer::Evacuation);
+            self.timers.set(now + REVIEW_INTERVAL, Timer::Evacuation);
         }
     }
 
     /// Sessions whose open transaction rests on one of these connections.
-    fn resting_on(&self, connections: &[ConnectionId]) -> Vec<SessionId> {
-        let rests_there = |id: &SessionId| {
+    fn idle_transactions_on(&self, connections: &[ConnectionId]) -> Vec<SessionId> {
+        let is_idle_there = |id: &SessionId| {
             let session = self.sessions.get(id);
             session.is_some_and(|session| {
                 let open = session.open_transaction();
@@ -128,7 +128,11 @@
                     && open.is_some_and(|open| connections.contains(&open.connection))
             })
         };
-        self.sessions.keys().copied().filter(rests_there).collect()
+        self.sessions
+            .keys()
+            .copied()
+            .filter(is_idle_there)
+            .collect()
     }
 
     /// What still goes on in each evacuated zone.
--- a/crates/stairward-engine/src/event.rs
+++ b/crates/stairward-engine/src/event.rs
@@ -11,10 +11,10 @@
     RegionName, ResultCode, ServiceName, TenantName, Term, Time, ZoneName,
 };
 
+use crate::forwarding::ForwardedRequest;
 use crate::holder_directory::ServiceHolders;
 use crate::identifiers::{ConnectionId, SessionId};
 use crate::leaving::LeavingChange;
-use crate::relay::ForwardedRequest;
 use crate::reply::{BackendReply, Response};
 use crate::settings::{BackendDescription, Consistency, DiscoveryChange, RoutingTable};
 use crate::statement::{PreparedStatement, Statement};
--- a/crates/stairward-engine/src/relay.rs
+++ b/crates/stairward-engine/src/forwarding.rs
@@ -14,18 +14,18 @@
 use crate::holder_directory::ServiceHolders;
 use crate::identifiers::{RequestNumber, SessionId};
 use crate::reply::{Response, ResponseResult, TransactionStatus};
-use crate::session::{Need, RelayedTransaction, Session, Stage, Transaction};
+use crate::session::{ForwardedTransaction, RequestKind, Session, Stage, Transaction};
 use crate::settings::Route;
 use crate::statement::{PreparedStatement, Statement, StatementKind};
 use crate::tenants::Identity;
 
 /// Holders that one request is forwarded to at most.
-const MOST_HOLDERS: usize = 3;
+const MAX_HOLDERS_PER_REQUEST: usize = 3;
 /// When a caller should come back whose statement no holder took.
 const RETRY_NO_HOLDER: Duration = Duration::from_millis(300);
 /// What an answer takes back to the session's node at the most: two regions, and a busy node's turn. A holder that has
 /// not sent a statement by then says so while that is still an answer; later its node could not tell whether it ran.
-const ANSWER_WAY: Duration = Duration::from_millis(60);
+const REPLY_TRANSIT_ALLOWANCE: Duration = Duration::from_millis(60);
 /// The name under which a holder keeps what a forwarded statement runs.
 const FORWARDED_NAME: &str = "forwarded";
 
@@ -55,15 +55,15 @@
 
 impl Engine {
     /// Takes in who holds the connections of these services now. What this node holds of others' is closed.
-    pub(crate) fn change_holders(&mut self, holders: BTreeMap<ServiceName, ServiceHolders>) {
+    pub(crate) fn apply_holder_change(&mut self, holders: BTreeMap<ServiceName, ServiceHolders>) {
         for (service, holders) in holders {
             if self.holders.set(service.clone(), holders) {
-                self.close_idle_connections(&service);
+                self.close_idle_connections_of(&service);
             }
         }
     }
 
-    fn close_idle_connections(&mut self, service: &ServiceName) {
+    fn close_idle_connections_of(&mut self, service: &ServiceName) {
         let members = self.groups.get(service).map(|group| &group.members);
         let backends = members
             .into_iter()
@@ -85,7 +85,7 @@
             return;
         };
         let bound = match &session.transaction {
-            Transaction::Relayed(relayed) => Some(relayed.holder),
+            Transaction::Forwarded(forwarded) => Some(forwarded.holder),
             _ => None,
         };
         let Some(holder) = bound.or_else(|| self.next_holder(now, session)) else {
@@ -121,10 +121,10 @@
             statement: request.statement.clone(),
             time_left: request.deadline.since(now),
         };
-        if request.need == (Need::InTransaction { writes: true })
-            && let Transaction::Relayed(relayed) = &mut session.transaction
+        if request.kind == (RequestKind::InTransaction { writes: true })
+            && let Transaction::Forwarded(forwarded) = &mut session.transaction
         {
-            relayed.wrote = true;
+            forwarded.wrote = true;
         }
         self.effects.push(Effect::Forward {
             holder,
@@ -138,7 +138,7 @@
     /// The next holder for the session's request; a silent one is better than none.
     fn next_holder(&self, now: Time, session: &Session) -> Option<NodeId> {
         let request = session.request.as_ref()?;
-        if request.tried_holders.len() >= MOST_HOLDERS {
+        if request.tried_holders.len() >= MAX_HOLDERS_PER_REQUEST {
             return None;
         }
         let holders = self.holders_for(now, session, request);
@@ -149,7 +149,12 @@
     }
 
     /// A statement comes from another node, for a session that it numbers anew here.
-    pub(crate) fn take_forwarded(&mut self, now: Time, id: SessionId, forwarded: ForwardedRequest) {
+    pub(crate) fn handle_forwarded(
+        &mut self,
+        now: Time,
+        id: SessionId,
+        forwarded: ForwardedRequest,
+    ) {
         let route = self
             .table
             .as_ref()
@@ -163,7 +168,7 @@
             self.session_closed(now, id);
         }
         if forwarded.in_transaction && !is_in_transaction {
-            return self.answer_unknown(id, ResultCode::NotReady);
+            return self.refuse_forwarded(id, ResultCode::NotReady);
         }
         let is_older = !is_in_transaction
             && self
@@ -176,10 +181,10 @@
             } else {
                 ResultCode::UnknownDatabase
             };
-            return self.answer_unknown(id, code);
+            return self.refuse_forwarded(id, code);
         };
         let identity = match forwarded.tenant {
-            Some(tenant) => Identity::Vouched(tenant),
+            Some(tenant) => Identity::VerifiedByPeer(tenant),
             None => Identity::Anonymous,
         };
         let is_allowed = self
@@ -187,7 +192,7 @@
             .as_ref()
             .is_some_and(|table| identity.is_allowed(table, &route));
         if !is_allowed {
-            return self.answer_unknown(id, ResultCode::NotAuthenticated);
+            return self.refuse_forwarded(id, ResultCode::NotAuthenticated);
         }
         let session = self.sessions.entry(id).or_insert_with(|| Session {
             is_forwarded: true,
@@ -199,7 +204,7 @@
         }
         session.values = forwarded.values;
         let time_left = forwarded.time_left;
-        session.answer_due = Some(now + time_left.saturating_sub(ANSWER_WAY));
+        session.answer_due = Some(now + time_left.saturating_sub(REPLY_TRANSIT_ALLOWANCE));
         if let Some(commit) = forwarded.commit {
             session.commits.insert(route.service.clone(), commit);
         }
@@ -210,10 +215,10 @@
             FORWARDED_NAME.clone_into(name);
             session.prepared.insert(FORWARDED_NAME.to_owned(), prepared);
         }
-        self.take_statement(now, id, Some(statement));
+        self.enqueue_statement(now, id, Some(statement));
     }
 
-    fn answer_unknown(&mut self, id: SessionId, code: ResultCode) {
+    fn refuse_forwarded(&mut self, id: SessionId, code: ResultCode) {
         let response = Response {
             rows: Vec::new(),
             result: ResponseResult::Refused {
@@ -238,7 +243,7 @@
         number: u64,
         response: Response,
     ) {
-        self.holder_heard(now, holder);
+        self.holder_alive(now, holder);
         let Some(session) = self.sessions.get(&id) else {
             return;
         };
@@ -248,46 +253,51 @@
         if request.number != RequestNumber(number) || request.stage != Stage::Forwarded(holder) {
             return;
         }
-        let need = request.need;
+        let kind = request.kind;
         let route = Arc::clone(&request.route);
         let has_tenant = session.identity.tenant().is_some();
-        self.holder_settled(holder, id);
-        let starts_nothing = !matches!(need, Need::InTransaction { .. } | Need::Commit);
-        if has_tenant && may_have_found_copies_behind(need, &response) {
-            return self.forward_to_leader(now, id, response);
+        self.clear_owed_request(holder, id);
+        let is_outside_transaction = !matches!(
+            kind,
+            RequestKind::InTransaction { .. } | RequestKind::Commit
+        );
+        if has_tenant && is_stale_read_refusal(kind, &response) {
+            return self.forward_to_leader_holder(now, id, response);
         }
-        if starts_nothing && is_refused_by_holder(&response) {
+        if is_outside_transaction && is_refused_by_holder(&response) {
             self.record(now, id, None, Decision::Retried);
             return self.forward(now, id);
         }
         if is_refused_by_holder(&response) {
-            self.leave_holder(id, holder);
-            return self.lose_transaction(now, id);
+            self.release_holder(id, holder);
+            return self.fail_transaction(now, id);
         }
         let is_success = matches!(response.result, ResponseResult::Completed { .. });
-        let may_have_written = matches!(need, Need::Write | Need::Commit);
+        let may_have_written = matches!(kind, RequestKind::Write | RequestKind::Commit);
         let Some(session) = self.sessions.get_mut(&id) else {
             return;
         };
         if let (true, true, Some(position)) = (is_success, may_have_written, response.position) {
             session.commits.insert(route.service.clone(), position);
         }
-        session.follow_relayed(holder, route, need, response.status);
+        session.apply_forwarded_status(holder, route, kind, response.status);
         let status = session.status();
         if status == TransactionStatus::Failed {
-            self.leave_holder(id, holder);
+            self.release_holder(id, holder);
         }
         self.finish(now, id, Response { status, ..response });
     }
 
     /// A holder's copy was behind what a read must see: the read goes on to a holder beside the leader, once.
-    fn forward_to_leader(&mut self, now: Time, id: SessionId, response: Response) {
+    fn forward_to_leader_holder(&mut self, now: Time, id: SessionId, response: Response) {
         let Some(request) = self.sessions.get_mut(&id).and_then(|s| s.request.as_mut()) else {
             return;
         };
-        let was_for_leader = std::mem::replace(&mut request.is_for_leader, true);
-        let may_go_on =
-            !was_for_leader && request.tried_holders.len() < MOST_HOLDERS && now < request.deadline;
+        let already_needed_leader_holder =
+            std::mem::replace(&mut request.needs_leader_holder, true);
+        let may_go_on = !already_needed_leader_holder
+            && request.tried_holders.len() < MAX_HOLDERS_PER_REQUEST
+            && now < request.deadline;
         if !may_go_on {
             return self.finish(now, id, response);
         }
@@ -297,7 +307,7 @@
 
     /// The connection to a holder has ended: what it had is lost.
     pub(crate) fn holder_lost(&mut self, now: Time, holder: NodeId) {
-        self.forget_owed(holder);
+        self.clear_owed(holder);
         let concerned: Vec<SessionId> = self
             .sessions
             .iter()
@@ -305,33 +315,35 @@
             .map(|(id, _)| *id)
             .collect();
         for id in concerned {
-            self.holder_of_session_lost(now, id, holder);
+            self.session_holder_lost(now, id, holder);
         }
     }
 
-    fn holder_of_session_lost(&mut self, now: Time, id: SessionId, holder: NodeId) {
+    fn session_holder_lost(&mut self, now: Time, id: SessionId, holder: NodeId) {
         let Some(session) = self.sessions.get_mut(&id) else {
             return;
         };
         session.holders.remove(&holder);
         let is_bound =
-            matches!(&session.transaction, Transaction::Relayed(t) if t.holder == holder);
+            matches!(&session.transaction, Transaction::Forwarded(t) if t.holder == holder);
         let request = session.request.as_ref();
-        let need = request
+        let kind = request
             .filter(|request| request.stage == Stage::Forwarded(holder))
-            .map(|request| request.need);
-        match need {
-            None if is_bound => session.transaction = Transaction::Failed { is_told: false },
+            .map(|request| request.kind);
+        match kind {
+            None if is_bound => session.transaction = Transaction::Failed { is_reported: false },
             None => {}
-            Some(Need::InTransaction { .. }) => self.lose_transaction(now, id),
-            Some(Need::Commit) => self.lose_commit(now, id, ResultCode::OwnerLostAfterSend),
-            Some(Need::Write) => self.leave_unknown(now, id, ResultCode::OwnerLostAfterSend),
+            Some(RequestKind::InTransaction { .. }) => self.fail_transaction(now, id),
+            Some(RequestKind::Commit) => self.fail_commit(now, id, ResultCode::OwnerLostAfterSend),
+            Some(RequestKind::Write) => {
+                self.finish_unknown(now, id, ResultCode::OwnerLostAfterSend)
+            }
             Some(_) => self.forward(now, id),
         }
     }
 
     /// A holder's part of a session is over: what it may still do for it counts no more.
-    pub(crate) fn leave_holder(&mut self, id: SessionId, holder: NodeId) {
+    pub(crate) fn release_holder(&mut self, id: SessionId, holder: NodeId) {
         if let Some(session) = self.sessions.get_mut(&id) {
             session.holders.remove(&holder);
         }
@@ -341,7 +353,7 @@
     /// Tells the holders that a session has ended.
     pub(crate) fn close_forwarded(&mut self, id: SessionId, holders: &BTreeSet<NodeId>) {
         for holder in holders {
-            self.holder_settled(*holder, id);
+            self.clear_owed_request(*holder, id);
             self.effects.push(Effect::CloseForwardedSession {
                 holder: *holder,
                 session: id,
@@ -351,8 +363,8 @@
 }
 
 /// Whether a read was refused since the copies beside its holder are behind.
-fn may_have_found_copies_behind(need: Need, response: &Response) -> bool {
-    let is_fresh = matches!(need, Need::FreshRead | Need::FreshTransaction);
+fn is_stale_read_refusal(kind: RequestKind, response: &Response) -> bool {
+    let is_fresh = matches!(kind, RequestKind::FreshRead | RequestKind::FreshTransaction);
     let is_behind = matches!(
         response.result,
         ResponseResult::Refused {
@@ -379,24 +391,29 @@
 
 impl Session {
     /// Follows what a holder's answer says of the transaction.
-    fn follow_relayed(
+    fn apply_forwarded_status(
         &mut self,
         holder: NodeId,
         route: Arc<Route>,
-        need: Need,
+        kind: RequestKind,
         status: TransactionStatus,
     ) {
-        let begins = matches!(need, Need::LeaderTransaction | Need::FreshTransaction);
+        let begins = matches!(
+            kind,
+            RequestKind::LeaderTransaction | RequestKind::FreshTransaction
+        );
         match status {
             TransactionStatus::Open if begins => {
-                self.transaction = Transaction::Relayed(RelayedTransaction {
+                self.transaction = Transaction::Forwarded(ForwardedTransaction {
                     holder,
                     route,
                     wrote: false,
                 });
             }
             TransactionStatus::Open => {}
-            TransactionStatus::Failed => self.transaction = Transaction::Failed { is_told: true },
+            TransactionStatus::Failed => {
+                self.transaction = Transaction::Failed { is_reported: true }
+            }
             TransactionStatus::Idle => self.transaction = Transaction::None,
         }
     }
--- a/crates/stairward-engine/src/group.rs
+++ b/crates/stairward-engine/src/group.rs
@@ -29,9 +29,9 @@
 
 impl Group {
     /// Takes a proof in.
-    pub fn prove(&mut self, proof: Proof) {
+    pub fn record_proof(&mut self, proof: Proof) {
         self.newest_term = self.newest_term.max(proof.freshness.term);
-        self.proofs.take(proof);
+        self.proofs.insert(proof);
     }
 
     /// What a log must hold for a read that may miss commits acknowledged less than `staleness` before
--- a/crates/stairward-engine/src/holder_watch.rs
+++ b/crates/stairward-engine/src/holder_watch.rs
@@ -13,11 +13,11 @@
 use crate::timers::Timer;
 
 /// A holder that owes an answer for this long and has said nothing meanwhile is asked for a sign of life.
-const SILENCE: Duration = Duration::from_millis(150);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(150);
 /// How long the sign may take: a few round trips between regions, and a slow node's turn.
-const SIGN_PATIENCE: Duration = Duration::from_millis(200);
+const PING_TIMEOUT: Duration = Duration::from_millis(200);
 /// Pause between two questions to a holder that has given no sign.
-const ASK_AGAIN: Duration = Duration::from_millis(500);
+const PING_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// What is known of a holder.
 #[derive(Debug, Clone, Default)]
@@ -37,12 +37,12 @@
         let watch = self.holder_watches.entry(holder).or_default();
         watch.owed.insert((now, session));
         if watch.timer_at.is_none() {
-            self.set_holder_timer(holder, now + SILENCE);
+            self.set_holder_timer(holder, now + SILENCE_TIMEOUT);
         }
     }
 
     /// A holder gave a sign of life.
-    pub(crate) fn holder_heard(&mut self, now: Time, holder: NodeId) {
+    pub(crate) fn holder_alive(&mut self, now: Time, holder: NodeId) {
         let Some(watch) = self.holder_watches.get_mut(&holder) else {
             return;
         };
@@ -57,7 +57,7 @@
     }
 
     /// A session's request is no longer owed by a holder.
-    pub(crate) fn holder_settled(&mut self, holder: NodeId, session: SessionId) {
+    pub(crate) fn clear_owed_request(&mut self, holder: NodeId, session: SessionId) {
         let Some(watch) = self.holder_watches.get_mut(&holder) else {
             return;
         };
@@ -67,12 +67,12 @@
         }
         watch.asked_at = None;
         if let Some(at) = watch.timer_at.take() {
-            self.timers.cancel(at, Timer::Holder(holder));
+            self.timers.cancel(at, Timer::HolderCheck(holder));
         }
     }
 
     /// A holder's connection has ended: it owes nothing any more, and is asked again only if it was silent.
-    pub(crate) fn forget_owed(&mut self, holder: NodeId) {
+    pub(crate) fn clear_owed(&mut self, holder: NodeId) {
         if let Some(watch) = self.holder_watches.get_mut(&holder) {
             watch.owed.clear();
             watch.asked_at = None;
@@ -82,18 +82,18 @@
     fn set_holder_timer(&mut self, holder: NodeId, at: Time) {
         if let Some(watch) = self.holder_watches.get_mut(&holder) {
             watch.timer_at = Some(at);
-            self.timers.set(at, Timer::Holder(holder));
+            self.timers.set(at, Timer::HolderCheck(holder));
         }
     }
 
     /// Looks at a holder that owed something a while ago.
     pub(crate) fn check_holder(&mut self, now: Time, holder: NodeId) {
-        let is_ranked = self.holders.is_holder(holder);
+        let is_known_holder = self.holders.is_holder(holder);
         let Some(watch) = self.holder_watches.get_mut(&holder) else {
             return;
         };
         watch.timer_at = None;
-        if !is_ranked && (watch.is_silent || watch.owed.is_empty()) {
+        if !is_known_holder && (watch.is_silent || watch.owed.is_empty()) {
             self.holder_watches.remove(&holder);
             return;
         }
@@ -101,17 +101,21 @@
         let quiet_since = oldest.map(|at| at.max(watch.heard_at));
         match (watch.is_silent, quiet_since, watch.asked_at) {
             (false, None, _) => {}
-            (false, Some(since), None) if now < since + SILENCE => {
-                self.set_holder_timer(holder, since + SILENCE);
+            (false, Some(since), None) if now < since + SILENCE_TIMEOUT => {
+                self.set_holder_timer(holder, since + SILENCE_TIMEOUT);
             }
-            (false, Some(_), Some(asked)) if now >= asked + SIGN_PATIENCE => {
-                self.hold_for_silent(now, holder);
-                self.move_work_of(now, holder);
+            (false, Some(_), Some(asked)) if now >= asked + PING_TIMEOUT => {
+                self.mark_holder_silent(now, holder);
+                self.reforward_owed(now, holder);
             }
             (is_silent, _, _) => {
                 watch.asked_at = Some(now);
                 self.effects.push(Effect::PingHolder { holder });
-                let pause = if is_silent { ASK_AGAIN } else { SIGN_PATIENCE };
+                let pause = if is_silent {
+                    PING_RETRY_INTERVAL
+                } else {
+                    PING_TIMEOUT
+                };
                 self.set_holder_timer(holder, now + pause);
             }
         }
@@ -119,7 +123,7 @@
 
     /// Forwards to others what a silent holder owes and may be run twice. What may not stays with it: its answer
     /// may still come.
-    fn move_work_of(&mut self, now: Time, holder: NodeId) {
+    fn reforward_owed(&mut self, now: Time, holder: NodeId) {
         let owed = self.holder_watches.get(&holder).map(|watch| &watch.owed);
         let sessions: Vec<SessionId> = owed.into_iter().flatten().map(|(_, id)| *id).collect();
         for id in sessions {
@@ -128,11 +132,11 @@
             };
             let request = session.request.as_ref();
             let is_owed = request.is_some_and(|request| {
-                request.stage == Stage::Forwarded(holder) && request.need.is_repeatable()
+                request.stage == Stage::Forwarded(holder) && request.kind.is_retryable()
             });
             if is_owed {
                 self.record(now, id, None, Decision::Retried);
-                self.leave_holder(id, holder);
+                self.release_holder(id, holder);
                 self.forward(now, id);
             }
         }
@@ -147,7 +151,7 @@
                 let request = session.request.as_ref();
                 let is_waiting = request.is_some_and(|r| r.stage == Stage::Forwarded(holder));
                 let is_bound =
-                    matches!(&session.transaction, Transaction::Relayed(t) if t.holder == holder);
+                    matches!(&session.transaction, Transaction::Forwarded(t) if t.holder == holder);
                 is_waiting && !is_bound
             })
             .map(|(id, _)| *id)
@@ -163,18 +167,18 @@
             self.forward(now, id);
         }
         self.holder_lost(now, holder);
-        self.hold_for_silent(now, holder);
+        self.mark_holder_silent(now, holder);
     }
 
     /// Takes a holder for silent until it gives a sign of life.
-    fn hold_for_silent(&mut self, now: Time, holder: NodeId) {
+    fn mark_holder_silent(&mut self, now: Time, holder: NodeId) {
         if !self.holders.is_holder(holder) {
             return;
         }
         let watch = self.holder_watches.entry(holder).or_default();
         let was_silent = std::mem::replace(&mut watch.is_silent, true);
         if watch.timer_at.is_none() {
-            self.set_holder_timer(holder, now + ASK_AGAIN);
+            self.set_holder_timer(holder, now + PING_RETRY_INTERVAL);
         }
         if !was_silent {
             self.effects.push(Effect::HolderLivenessChanged {
--- a/crates/stairward-engine/src/leaving.rs
+++ b/crates/stairward-engine/src/leaving.rs
@@ -35,7 +35,7 @@
     /// When the last of these was.
     pub last_sent_at: Time,
     /// Whether it was told that its time is over.
-    pub is_over_told: bool,
+    pub is_expiry_reported: bool,
 }
 
 impl Leaving {
@@ -46,7 +46,7 @@
             ends_at,
             sent: 0,
             last_sent_at: now,
-            is_over_told: false,
+            is_expiry_reported: false,
         }
     }
 }
--- a/crates/stairward-engine/src/lib.rs
+++ b/crates/stairward-engine/src/lib.rs
@@ -15,9 +15,10 @@
 mod engine;
 mod evacuation;
 mod event;
+mod forwarding;
 mod group;
-mod holder_demand;
 mod holder_directory;
+mod holder_sizing;
 mod holder_watch;
 mod identifiers;
 mod leadership;
@@ -29,7 +30,6 @@
 mod placement;
 mod probes;
 mod proofs;
-mod relay;
 mod replies;
 mod reply;
 mod requests;
@@ -52,11 +52,11 @@
     BackendCommand, BackendEvidence, Decision, Effect, Event, LeadershipChange, OpenFailure,
     OpenTarget, RequestMeasurement, RequestRecord,
 };
-pub use holder_demand::{HolderSizing, connections_per_holder};
+pub use forwarding::ForwardedRequest;
 pub use holder_directory::{Holder, ServiceHolders};
+pub use holder_sizing::{HolderSizing, connections_per_holder};
 pub use identifiers::{ConnectionId, SessionId};
 pub use leaving::{DrainLimit, LeavingChange};
-pub use relay::ForwardedRequest;
 pub use reply::{
     BackendError, BackendErrorCode, BackendReply, Response, ResponseResult, TransactionStatus,
 };
--- a/crates/stairward-engine/src/lost_connections.rs
+++ b/crates/stairward-engine/src/lost_connections.rs
@@ -6,7 +6,7 @@
 use crate::engine::Engine;
 use crate::event::Effect;
 use crate::identifiers::{ConnectionId, RequestNumber, SessionId};
-use crate::session::{Need, Stage, Transaction};
+use crate::session::{RequestKind, Stage, Transaction};
 
 impl Engine {
     /// A connection has ended.
@@ -98,24 +98,24 @@
                 .is_some_and(|open| open.connection == id);
             if is_its && session.request.is_none() {
                 let open = session.open_transaction().cloned();
-                session.transaction = Transaction::Failed { is_told: false };
+                session.transaction = Transaction::Failed { is_reported: false };
                 if let Some(open) = open {
-                    self.stop_resting(session_id, &open);
+                    self.cancel_idle_timer(session_id, &open);
                 }
             }
             return;
         };
         let was_sent = request.stage == Stage::Sent(id) || request.attempts > 0;
-        match request.need {
-            Need::InTransaction { .. } => self.lose_transaction(now, session_id),
-            Need::Commit if was_sent => {
-                self.lose_commit(now, session_id, ResultCode::BackendLostAfterSend);
+        match request.kind {
+            RequestKind::InTransaction { .. } => self.fail_transaction(now, session_id),
+            RequestKind::Commit if was_sent => {
+                self.fail_commit(now, session_id, ResultCode::BackendLostAfterSend);
             }
-            Need::Commit => self.lose_transaction(now, session_id),
-            Need::Write if was_sent => {
-                self.leave_unknown(now, session_id, ResultCode::BackendLostAfterSend);
+            RequestKind::Commit => self.fail_transaction(now, session_id),
+            RequestKind::Write if was_sent => {
+                self.finish_unknown(now, session_id, ResultCode::BackendLostAfterSend);
             }
-            _ => self.try_elsewhere(now, session_id, id, None),
+            _ => self.retry_on_other_backend(now, session_id, id, None),
         }
     }
 }
--- a/crates/stairward-engine/src/node_count.rs
+++ b/crates/stairward-engine/src/node_count.rs
@@ -6,17 +6,17 @@
 use stairward_types::Time;
 
 /// How long a larger number of nodes is still counted after it was seen.
-const MEMORY: Duration = Duration::from_secs(30);
+const RETENTION: Duration = Duration::from_secs(30);
 /// The number assumed at first: a node that has just started has not heard of the others yet, and they hold
 /// their shares.
-const ASSUMED_AT_START: u32 = 8;
+const ASSUMED_NODES_AT_START: u32 = 8;
 
 /// The largest number of nodes seen lately.
 #[derive(Debug)]
 pub(crate) struct NodeCount {
     seen: Vec<(Time, u32)>,
     /// The number seen last.
-    newest: u32,
+    latest: u32,
     /// Whether this node has seen its others once.
     is_known: bool,
 }
@@ -24,8 +24,8 @@
 impl Default for NodeCount {
     fn default() -> Self {
         Self {
-            seen: vec![(Time::ZERO, ASSUMED_AT_START)],
-            newest: 0,
+            seen: vec![(Time::ZERO, ASSUMED_NODES_AT_START)],
+            latest: 0,
             is_known: false,
         }
     }
@@ -33,10 +33,10 @@
 
 impl NodeCount {
     /// Notes how many nodes there are at the moment.
-    pub fn note(&mut self, now: Time, nodes: u32) {
+    pub fn record(&mut self, now: Time, nodes: u32) {
         self.is_known = true;
-        self.newest = nodes;
-        self.seen.retain(|(at, _)| now.since(*at) < MEMORY);
+        self.latest = nodes;
+        self.seen.retain(|(at, _)| now.since(*at) < RETENTION);
         // A count is of no further use once a later one is as large.
         self.seen.retain(|(_, seen)| *seen > nodes);
         self.seen.push((now, nodes));
@@ -49,19 +49,19 @@
     }
 
     /// The number seen last; 0 before any was.
-    pub const fn newest(&self) -> u32 {
-        self.newest
+    pub const fn latest(&self) -> u32 {
+        self.latest
     }
 
     /// The largest number seen lately, without the one that is assumed at first.
-    pub fn most_seen(&self) -> u32 {
+    pub fn max_observed(&self) -> u32 {
         let seen = self.seen.iter().filter(|(at, _)| *at > Time::ZERO);
         let most = seen.map(|(_, nodes)| *nodes).max();
-        most.unwrap_or(self.newest)
+        most.unwrap_or(self.latest)
     }
 
     /// The number to share by, at least 1.
-    pub fn most(&self) -> u32 {
+    pub fn max_recent(&self) -> u32 {
         let most = self.seen.iter().map(|(_, nodes)| *nodes).max();
         most.unwrap_or(1).max(1)
     }
--- a/crates/stairward-engine/src/openings.rs
+++ b/crates/stairward-engine/src/openings.rs
@@ -24,7 +24,7 @@
         let service = connection.service.clone();
         let backend_id = connection.backend.clone();
         let backend = self.backends.get_mut(&backend_id);
-        if backend.is_some_and(|backend| backend.judge_log(log_floor, position)) {
+        if backend.is_some_and(|backend| backend.check_log_retained(log_floor, position)) {
             self.observe(&backend_id, BackendEvidence::LostLog);
         }
         self.backend_answered(now, &backend_id, position);
@@ -52,7 +52,7 @@
             OpenFailure::TimedOut => self.observe(&backend_id, BackendEvidence::Unresponsive),
             OpenFailure::WrongBackend => {
                 // Another one answers there: what discovery told is over.
-                self.leaves(now, &backend_id, Some(now));
+                self.begin_leaving(now, &backend_id, Some(now));
             }
             OpenFailure::ConnectionLimit => {
                 self.observe(&backend_id, BackendEvidence::ConnectionLimitReached)
--- a/crates/stairward-engine/src/pending.rs
+++ b/crates/stairward-engine/src/pending.rs
@@ -11,9 +11,9 @@
 
 /// How long a session may wait. A node that starts knows its configuration after 0.1 s (p50 of 59 nodes that start
 /// together, simulated time); a client that is refused until then uses its few attempts up for nothing.
-const PATIENCE: Duration = Duration::from_millis(1_000);
+const MAX_CONFIGURATION_WAIT: Duration = Duration::from_millis(1_000);
 /// Sessions that may wait at once.
-const MOST_PENDING: usize = 1_024;
+const MAX_PENDING_SESSIONS: usize = 1_024;
 
 /// A session that waits for the first configuration.
 #[derive(Debug)]
@@ -24,18 +24,19 @@
 
 impl Engine {
     /// Begins a session, or keeps it until a configuration is known.
-    pub(crate) fn receive_session(
+    pub(crate) fn accept_or_defer_session(
         &mut self,
         now: Time,
         id: SessionId,
         database: GroupId,
         key: Option<ApiKey>,
     ) {
-        if self.table.is_some() || self.pending.len() >= MOST_PENDING {
+        if self.table.is_some() || self.pending.len() >= MAX_PENDING_SESSIONS {
             return self.open_session(id, database, key);
         }
         self.pending.insert(id, PendingSession { database, key });
-        self.timers.set(now + PATIENCE, Timer::PendingSession(id));
+        self.timers
+            .set(now + MAX_CONFIGURATION_WAIT, Timer::PendingSession(id));
     }
 
     /// Begins all sessions that have waited for a configuration.
--- a/crates/stairward-engine/src/placement.rs
+++ b/crates/stairward-engine/src/placement.rs
@@ -11,7 +11,7 @@
 
 /// Connections to a back end that each holder elsewhere has while tenants are told apart: for questions, and for
 /// what a holder beside the back end can't take.
-const SHARE_ELSEWHERE: u32 = 1;
+const OTHER_ZONE_SHARE: u32 = 1;
 
 impl Engine {
     /// The holders in the order in which a session's statements go to them; empty where this node serves all by
@@ -24,7 +24,7 @@
         session: &Session,
         request: &Request,
     ) -> Vec<NodeId> {
-        let mut holders = match self.sender_to_cold(now, request) {
+        let mut holders = match self.cold_backend_sender(now, request) {
             Some(first) => vec![first],
             None => self.ranked_holders(now, session, request),
         };
@@ -35,9 +35,9 @@
     }
 
     /// The node that sends to a service's cold back ends, where only these can take a request.
-    fn sender_to_cold(&self, now: Time, request: &Request) -> Option<NodeId> {
+    fn cold_backend_sender(&self, now: Time, request: &Request) -> Option<NodeId> {
         let first = self.holders.first(&request.route.service)?;
-        self.needs_cold(now, request).then_some(first)
+        self.needs_cold_backend(now, request).then_some(first)
     }
 
     fn ranked_holders(&self, now: Time, session: &Session, request: &Request) -> Vec<NodeId> {
@@ -62,10 +62,10 @@
         let mut ranked: Vec<_> = places
             .iter()
             .map(|holder| {
-                let is_beside = zone == Some(&holder.zone);
+                let is_same_zone = zone == Some(&holder.zone);
                 let is_in_region =
                     region.is_some() && self.options.regions.get(&holder.zone) == region;
-                let distance = (!is_beside, !is_in_region, !holder.is_same_region);
+                let distance = (!is_same_zone, !is_in_region, !holder.is_same_region);
                 (distance, score(tenant, holder.node), holder.node)
             })
             .collect();
@@ -77,7 +77,7 @@
     /// one that is well.
     fn expected_backend(&self, now: Time, request: &Request) -> Option<&Backend> {
         let service = &request.route.service;
-        if request.need.is_leader_only() || request.is_for_leader {
+        if request.kind.requires_leader() || request.needs_leader_holder {
             let leader = self.leader(now, service)?;
             return self.backends.get(&leader).map(Box::as_ref);
         }
@@ -85,7 +85,7 @@
         let copies = members.filter_map(|id| Some((id, self.backends.get(id)?.as_ref())));
         let usable = copies.filter(|(id, backend)| {
             backend.is_healthy()
-                && backend.may_be_used(now)
+                && backend.is_usable(now)
                 && !self.is_cold(now, id)
                 && request.residency.allows(backend.region.as_ref())
         });
@@ -95,7 +95,7 @@
 
     /// Whether a read that another node forwarded here has no copy left beside this node: its client's node knows a
     /// better one than this.
-    pub(crate) fn is_no_copy_left_beside(&self, session: &Session, request: &Request) -> bool {
+    pub(crate) fn is_no_same_zone_copy_left(&self, session: &Session, request: &Request) -> bool {
         let service = &request.route.service;
         let Some(group) = self.groups.get(service).filter(|_| session.is_forwarded) else {
             return false;
@@ -108,38 +108,41 @@
         let mut untried = group
             .members
             .iter()
-            .filter(|id| !request.tried.contains(*id));
-        is_shared_by_zone && !untried.any(|id| self.is_beside(id))
+            .filter(|id| !request.tried_backends.contains(*id));
+        is_shared_by_zone && !untried.any(|id| self.is_same_zone(id))
     }
 
     /// Whether a back end is in this node's zone.
-    fn is_beside(&self, id: &BackendId) -> bool {
+    fn is_same_zone(&self, id: &BackendId) -> bool {
         let backend = self.backends.get(id);
         backend.is_some_and(|backend| backend.distance == ZoneDistance::Same)
     }
 
     /// The connections that this node may hold to a back end where tenants are told apart: the holders beside it share
     /// nearly all. None where not told apart, where every node holds connections, or where no holder is beside it.
-    pub(crate) fn share_beside(&self, id: &BackendId, limit: u32) -> Option<u32> {
+    pub(crate) fn same_zone_share(&self, id: &BackendId, limit: u32) -> Option<u32> {
         self.table.as_ref()?.tenants.as_ref()?;
         let backend = self.backends.get(id)?;
         let places = self.holders.holders_of(&backend.description.service)?;
-        let is_beside = |holder: &&Holder| holder.zone == backend.description.zone;
-        let beside = u32::try_from(places.iter().filter(is_beside).count()).unwrap_or(u32::MAX);
+        let is_same_zone = |holder: &&Holder| holder.zone == backend.description.zone;
+        let same_zone =
+            u32::try_from(places.iter().filter(is_same_zone).count()).unwrap_or(u32::MAX);
         let all = u32::try_from(places.len()).unwrap_or(u32::MAX);
-        if beside == 0 {
+        if same_zone == 0 {
             return None;
         }
         let is_own = places
             .iter()
-            .filter(is_beside)
+            .filter(is_same_zone)
             .any(|holder| holder.node == self.options.limits.node);
-        let elsewhere = all.saturating_sub(beside).saturating_mul(SHARE_ELSEWHERE);
-        let shared = limit.saturating_sub(elsewhere) / beside;
+        let elsewhere = all
+            .saturating_sub(same_zone)
+            .saturating_mul(OTHER_ZONE_SHARE);
+        let shared = limit.saturating_sub(elsewhere) / same_zone;
         Some(if is_own {
-            shared.max(SHARE_ELSEWHERE)
+            shared.max(OTHER_ZONE_SHARE)
         } else {
-            SHARE_ELSEWHERE
+            OTHER_ZONE_SHARE
         })
     }
 
@@ -151,7 +154,7 @@
     }
 
     /// Whether a session's statements for a service go to another node.
-    pub(crate) fn goes_elsewhere(&self, now: Time, session: &Session, request: &Request) -> bool {
+    pub(crate) fn must_forward(&self, now: Time, session: &Session, request: &Request) -> bool {
         if session.is_forwarded {
             return false;
         }
--- a/crates/stairward-engine/src/probes.rs
+++ b/crates/stairward-engine/src/probes.rs
@@ -5,20 +5,20 @@
 
 use stairward_types::{Freshness, ServiceName, Time};
 
-use crate::choice::Wanted;
+use crate::choice::ConnectionRequest;
 use crate::connection::User;
 use crate::engine::Engine;
 use crate::event::{BackendCommand, Effect};
 use crate::proofs::Proof;
 
-/// The part of the allowed staleness after which a proof is renewed ahead of need, in percent.
+/// The part of the allowed staleness after which a proof is renewed ahead of kind, in percent.
 const RENEWAL_AGE_PERCENT: u32 = 40;
 /// A probe without an answer for this long is given up.
-const PROBE_PATIENCE: Duration = Duration::from_millis(400);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
 /// A probe without an answer for this long makes the node ask its peers too.
-const PEER_DELAY: Duration = Duration::from_millis(150);
+const PEER_QUERY_DELAY: Duration = Duration::from_millis(150);
 /// Pause between two questions to peers.
-const PEER_PAUSE: Duration = Duration::from_millis(100);
+const PEER_QUERY_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Engine {
     /// Begins a probe of the leader's position when the newest proof grows old for this staleness.
@@ -39,8 +39,8 @@
             return;
         }
         let probing_for = group.probing_since.map(|since| now.since(since));
-        let is_probing = probing_for.is_some_and(|elapsed| elapsed < PROBE_PATIENCE);
-        let is_slow = probing_for.is_some_and(|elapsed| elapsed >= PEER_DELAY);
+        let is_probing = probing_for.is_some_and(|elapsed| elapsed < PROBE_TIMEOUT);
+        let is_slow = probing_for.is_some_and(|elapsed| elapsed >= PEER_QUERY_DELAY);
         let has_begun = is_probing || self.begin_probe(now, service);
         if !has_begun || is_slow {
             self.ask_peers(now, service);
@@ -54,7 +54,7 @@
         };
         let was_asked = group
             .asked_peers_at
-            .is_some_and(|at| now.since(at) < PEER_PAUSE);
+            .is_some_and(|at| now.since(at) < PEER_QUERY_INTERVAL);
         if !was_asked {
             group.asked_peers_at = Some(now);
             let service = service.clone();
@@ -64,7 +64,7 @@
 
     /// A peer said what it knows. Its answer came after the question, so the leader was asked at most `age`
     /// before that; no two clocks are compared.
-    pub(crate) fn take_peer_position(
+    pub(crate) fn apply_peer_position(
         &mut self,
         service: &ServiceName,
         freshness: Freshness,
@@ -76,7 +76,7 @@
             return;
         }
         if let Some(group) = self.groups.get_mut(service) {
-            group.prove(Proof {
+            group.record_proof(Proof {
                 freshness,
                 asked_at: asked_at - age,
             });
@@ -104,13 +104,15 @@
         if self.is_leadership_revoked(service, &leader) {
             return false;
         }
-        let Some(connection) = self.connection_to(now, &leader, &Wanted::for_question()) else {
+        let Some(connection) =
+            self.connection_to(now, &leader, &ConnectionRequest::for_internal_query())
+        else {
             return false;
         };
         if let Some(group) = self.groups.get_mut(service) {
             group.probing_since = Some(now);
         }
-        self.use_connection(connection, User::Probe);
+        self.assign_connection(connection, User::Probe);
         let begin = BackendCommand::Begin {
             read_only: false,
             floor: None,
--- a/crates/stairward-engine/src/proofs.rs
+++ b/crates/stairward-engine/src/proofs.rs
@@ -6,9 +6,9 @@
 use stairward_types::{Freshness, Time};
 
 /// How far back proofs are kept. A read that may be older than this is served as if it might not.
-const HORIZON: Duration = Duration::from_secs(5);
+const RETENTION: Duration = Duration::from_secs(5);
 /// Proofs nearer to each other than this are not kept apart: copies lag by more than that before it matters.
-const SPACING: Duration = Duration::from_millis(25);
+const MIN_SPACING: Duration = Duration::from_millis(25);
 
 /// A position that the leader was proved to have had.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -36,7 +36,7 @@
 
     /// Takes a proof in, unless a newer one is known. One of a later term ends all earlier ones: what they
     /// name may have been rolled back.
-    pub fn take(&mut self, proof: Proof) {
+    pub fn insert(&mut self, proof: Proof) {
         if let Some(known) = self.newest {
             let known_key = (known.freshness.term, known.asked_at);
             if (proof.freshness.term, proof.asked_at) <= known_key {
@@ -48,10 +48,10 @@
         }
         self.newest = Some(proof);
         let last = self.history.back();
-        if last.is_none_or(|last| proof.asked_at >= last.asked_at + SPACING) {
+        if last.is_none_or(|last| proof.asked_at >= last.asked_at + MIN_SPACING) {
             self.history.push_back(proof);
         }
-        let horizon = proof.asked_at.since(Time::ZERO + HORIZON);
+        let horizon = proof.asked_at.since(Time::ZERO + RETENTION);
         while self
             .history
             .front()
--- a/crates/stairward-engine/src/replies.rs
+++ b/crates/stairward-engine/src/replies.rs
@@ -11,13 +11,13 @@
 use crate::proofs::Proof;
 use crate::reply::TransactionStatus;
 use crate::reply::{BackendError, BackendErrorCode, BackendReply, Response, ResponseResult};
-use crate::session::{Need, OpenTransaction, Request, Stage, Transaction, WaitReason};
+use crate::session::{OpenTransaction, Request, RequestKind, Stage, Transaction, WaitReason};
 
 /// When a caller refused by full back ends should come back.
 const RETRY_BUSY: Duration = Duration::from_millis(200);
 
 impl Engine {
-    pub(crate) fn take_reply(&mut self, now: Time, id: ConnectionId, reply: BackendReply) {
+    pub(crate) fn handle_reply(&mut self, now: Time, id: ConnectionId, reply: BackendReply) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
@@ -47,16 +47,18 @@
     ) {
         match sent.step {
             Step::Reset | Step::SetValue { .. } | Step::Prepare(_) => {
-                self.take_setup_reply(now, id, sent, &reply);
+                self.handle_setup_reply(now, id, sent, &reply);
             }
-            Step::Begin { read_only } => self.take_begin_reply(now, id, read_only, sent.at, reply),
-            Step::Rollback => self.take_rollback_reply(now, id, &reply),
+            Step::Begin { read_only } => {
+                self.handle_begin_reply(now, id, read_only, sent.at, reply)
+            }
+            Step::Rollback => self.handle_rollback_reply(now, id, &reply),
             Step::Status => self.handle_status_reply(now, id, sent.at, &reply),
-            Step::Statement => self.take_statement_reply(now, id, sent.at, reply),
+            Step::Statement => self.handle_statement_reply(now, id, sent.at, reply),
         }
     }
 
-    fn take_setup_reply(
+    fn handle_setup_reply(
         &mut self,
         now: Time,
         id: ConnectionId,
@@ -69,13 +71,13 @@
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
-        connection.note_setup(sent.step);
+        connection.apply_setup(sent.step);
         if connection.sent.is_empty() {
-            self.proceed(now, id);
+            self.connection_ready(now, id);
         }
     }
 
-    fn take_begin_reply(
+    fn handle_begin_reply(
         &mut self,
         now: Time,
         id: ConnectionId,
@@ -91,9 +93,9 @@
                 connection.in_transaction = true;
                 connection.is_leader_transaction = !read_only;
                 if !read_only {
-                    self.prove(now, id, reply.position, sent_at);
+                    self.record_leader_position(now, id, reply.position, sent_at);
                 }
-                self.proceed(now, id);
+                self.connection_ready(now, id);
             }
             Err(error) => {
                 connection.in_transaction = reply.status != TransactionStatus::Idle;
@@ -103,7 +105,13 @@
     }
 
     /// Takes the position in an answer of a leader for a proof, if its lead is confirmed.
-    fn prove(&mut self, now: Time, id: ConnectionId, position: Option<Freshness>, asked_at: Time) {
+    fn record_leader_position(
+        &mut self,
+        now: Time,
+        id: ConnectionId,
+        position: Option<Freshness>,
+        asked_at: Time,
+    ) {
         let Some(connection) = self.connections.get(&id) else {
             return;
         };
@@ -114,7 +122,7 @@
         let (Some(freshness), Some(group)) = (position, self.groups.get_mut(&service)) else {
             return;
         };
-        group.prove(Proof {
+        group.record_proof(Proof {
             freshness,
             asked_at,
         });
@@ -133,7 +141,7 @@
     }
 
     /// A connection is set up: its user's statement is sent, or its start of a transaction is done.
-    fn proceed(&mut self, now: Time, id: ConnectionId) {
+    fn connection_ready(&mut self, now: Time, id: ConnectionId) {
         let Some(connection) = self.connections.get(&id) else {
             return;
         };
@@ -145,34 +153,43 @@
         let Some((session, request)) = self.request_on(id) else {
             return self.free_connection(now, id);
         };
-        let need = request.need;
-        match need {
-            Need::LeaderTransaction | Need::FreshTransaction => {
+        let kind = request.kind;
+        match kind {
+            RequestKind::LeaderTransaction | RequestKind::FreshTransaction => {
                 self.transaction_begun(now, session, id);
             }
-            _ if self.is_on_evacuated(now, id) || self.begins_late(now, id, need) => {
-                self.leave_unusable(now, session, id);
+            _ if self.is_on_evacuated_backend(now, id)
+                || self.starts_after_drain(now, id, kind) =>
+            {
+                self.release_unusable(now, session, id);
             }
-            Need::Write | Need::LeaderRead | Need::FreshRead if !self.has_room_on(now, id) => {
-                self.wait_for_room(now, session, id);
+            RequestKind::Write | RequestKind::LeaderRead | RequestKind::FreshRead
+                if !self.may_send_on(now, id) =>
+            {
+                self.wait_for_cold_limit(now, session, id);
             }
             _ => self.send_statement(now, session, id),
         }
     }
 
     /// Whether a request would begin work on a back end that may no longer be used: the set-up took until then.
-    fn begins_late(&self, now: Time, id: ConnectionId, need: Need) -> bool {
-        let begins = matches!(need, Need::Write | Need::LeaderRead | Need::FreshRead);
-        begins && self.is_use_over(now, id)
+    fn starts_after_drain(&self, now: Time, id: ConnectionId, kind: RequestKind) -> bool {
+        let begins = matches!(
+            kind,
+            RequestKind::Write | RequestKind::LeaderRead | RequestKind::FreshRead
+        );
+        begins && self.is_backend_unusable(now, id)
     }
 
     /// A request's connection was set up too late: its back end takes nothing any more.
-    fn leave_unusable(&mut self, now: Time, session: SessionId, id: ConnectionId) {
-        let need = self.request_on(id).map(|(_, request)| request.need);
+    fn release_unusable(&mut self, now: Time, session: SessionId, id: ConnectionId) {
+        let kind = self.request_on(id).map(|(_, request)| request.kind);
         self.free_connection(now, id);
-        match need {
-            Some(Need::InTransaction { .. } | Need::Commit) => self.lose_transaction(now, session),
-            _ => self.try_elsewhere(now, session, id, None),
+        match kind {
+            Some(RequestKind::InTransaction { .. } | RequestKind::Commit) => {
+                self.fail_transaction(now, session)
+            }
+            _ => self.retry_on_other_backend(now, session, id, None),
         }
     }
 
@@ -182,7 +199,7 @@
             .get(&id)
             .and_then(|connection| self.backends.get(&connection.backend))
             .and_then(|backend| backend.position);
-        self.abandon_others(session_id, id);
+        self.abandon_other_attempts(session_id, id);
         let Some(session) = self.sessions.get_mut(&session_id) else {
             return;
         };
@@ -194,7 +211,7 @@
             route: request.route.clone(),
             has_run: false,
             wrote: false,
-            rests: None,
+            idle_timer: None,
         });
         let response = Response {
             rows: Vec::new(),
@@ -206,7 +223,7 @@
     }
 
     /// Lets go of the other connections on which the same request was sent.
-    fn abandon_others(&mut self, session: SessionId, answered: ConnectionId) {
+    fn abandon_other_attempts(&mut self, session: SessionId, answered: ConnectionId) {
         let Some(request) = self
             .sessions
             .get_mut(&session)
@@ -217,7 +234,7 @@
         request.unanswered.remove(&answered);
         let others = std::mem::take(&mut request.unanswered);
         for other in others {
-            self.use_connection(other, User::Abandoned);
+            self.assign_connection(other, User::Abandoned);
         }
     }
 
@@ -227,7 +244,7 @@
             .connections
             .get(&id)
             .is_some_and(|connection| connection.user == Some(User::Probe));
-        self.note_refusal(now, id, error.code);
+        self.record_refusal(now, id, error.code);
         if is_probe {
             if let Some(service) = self.connections.get(&id).map(|c| c.service.clone()) {
                 self.probe_ended(&service);
@@ -237,12 +254,12 @@
         let session = self.request_on(id).map(|(session, _)| session);
         self.free_connection(now, id);
         if let Some(session) = session {
-            self.try_elsewhere(now, session, id, Some(error));
+            self.retry_on_other_backend(now, session, id, Some(error));
         }
     }
 
     /// Learns from a refusal about the back end behind a connection.
-    fn note_refusal(&mut self, now: Time, id: ConnectionId, code: BackendErrorCode) {
+    fn record_refusal(&mut self, now: Time, id: ConnectionId, code: BackendErrorCode) {
         let Some(connection) = self.connections.get(&id) else {
             return;
         };
@@ -252,8 +269,8 @@
             return;
         };
         match code {
-            BackendErrorCode::Busy => backend.was_busy(now),
-            BackendErrorCode::NotFresh => backend.was_not_fresh(now),
+            BackendErrorCode::Busy => backend.penalize_busy(now),
+            BackendErrorCode::NotFresh => backend.penalize_lagging(now),
             BackendErrorCode::ReadOnly => {
                 let revision = backend.description.revision;
                 if let Some(group) = self.groups.get_mut(&service) {
@@ -266,7 +283,7 @@
     }
 
     /// A request that has not run on a connection goes to another back end, or ends.
-    pub(crate) fn try_elsewhere(
+    pub(crate) fn retry_on_other_backend(
         &mut self,
         now: Time,
         session: SessionId,
@@ -286,20 +303,20 @@
             // The other connection that it was sent on may still answer.
             return;
         }
-        let is_leader_only = request.need.is_leader_only();
+        let requires_leader = request.kind.requires_leader();
         request.stage = Stage::Waiting;
-        request.waits_for = match error.map(|error| error.code) {
+        request.wait_reason = match error.map(|error| error.code) {
             Some(BackendErrorCode::NotFresh) => WaitReason::NotFresh,
             Some(BackendErrorCode::ReadOnly) => WaitReason::NoLeader,
             Some(BackendErrorCode::Busy) => WaitReason::NoConnection,
             _ => WaitReason::NoBackend,
         };
         let is_busy_leader =
-            is_leader_only && error.is_some_and(|error| error.code == BackendErrorCode::Busy);
+            requires_leader && error.is_some_and(|error| error.code == BackendErrorCode::Busy);
         if let Some(backend) = &backend
-            && !is_leader_only
+            && !requires_leader
         {
-            request.tried.insert(backend.clone());
+            request.tried_backends.insert(backend.clone());
         }
         if is_busy_leader || !self.may_try_again(now, session) {
             let retry_after = Some(RETRY_BUSY);
@@ -307,12 +324,12 @@
                 Some(error) if error.code == BackendErrorCode::Busy => {
                     self.refuse(now, session, ResultCode::Overloaded, retry_after);
                 }
-                _ => self.give_up(now, session),
+                _ => self.refuse_unsent(now, session),
             };
         }
         let is_behind = error.is_some_and(|error| error.code == BackendErrorCode::NotFresh);
-        if is_behind && !is_leader_only {
-            return self.leave_copy_behind(now, session, backend);
+        if is_behind && !requires_leader {
+            return self.handle_stale_copy(now, session, backend);
         }
         self.record(now, session, backend, Decision::Retried);
         self.attempt(now, session);
@@ -320,25 +337,25 @@
 
     /// A copy was behind what a read must see. Where connections lie with the holders beside each back end, the read
     /// goes to one beside the leader; a forwarded one by way of its client's node.
-    fn leave_copy_behind(&mut self, now: Time, id: SessionId, backend: Option<BackendId>) {
+    fn handle_stale_copy(&mut self, now: Time, id: SessionId, backend: Option<BackendId>) {
         let Some(session) = self.sessions.get_mut(&id) else {
             return;
         };
         if let Some(request) = &mut session.request {
-            request.is_for_leader = true;
+            request.needs_leader_holder = true;
         }
         let session = self.sessions.get(&id);
         let request = session.and_then(|session| Some((session, session.request.as_ref()?)));
-        let must_go_back =
-            request.is_some_and(|(session, request)| self.is_no_copy_left_beside(session, request));
+        let must_go_back = request
+            .is_some_and(|(session, request)| self.is_no_same_zone_copy_left(session, request));
         if must_go_back {
             return self.refuse(now, id, ResultCode::NotFreshEnough, Some(RETRY_BUSY));
         }
         self.record(now, id, backend, Decision::Retried);
-        self.send_out(now, id);
+        self.dispatch(now, id);
     }
 
-    fn take_rollback_reply(&mut self, now: Time, id: ConnectionId, reply: &BackendReply) {
+    fn handle_rollback_reply(&mut self, now: Time, id: ConnectionId, reply: &BackendReply) {
         if reply.status != TransactionStatus::Idle {
             return self.drop_connection(now, id);
         }
@@ -373,12 +390,12 @@
         connection.idle_since = now;
         let service = connection.service.clone();
         self.changed.insert(service);
-        if self.is_use_over(now, id) {
+        if self.is_backend_unusable(now, id) {
             self.close_connection(id);
         }
     }
 
-    fn take_statement_reply(
+    fn handle_statement_reply(
         &mut self,
         now: Time,
         id: ConnectionId,
@@ -391,17 +408,19 @@
         let Some((session, request)) = self.request_on(id) else {
             return self.free_connection(now, id);
         };
-        let need = request.need;
-        if matches!(need, Need::FreshRead | Need::LeaderRead)
+        let kind = request.kind;
+        if matches!(kind, RequestKind::FreshRead | RequestKind::LeaderRead)
             && let Some(backend) = self.backend_of(id)
             && reply.result.is_ok()
         {
             backend.sample(now, now.since(sent_at));
         }
-        match need {
-            Need::InTransaction { .. } => self.transaction_reply(now, session, id, sent_at, reply),
-            Need::Commit => self.commit_reply(now, session, id, sent_at, reply),
-            _ => self.single_reply(now, session, id, sent_at, reply),
+        match kind {
+            RequestKind::InTransaction { .. } => {
+                self.handle_transaction_reply(now, session, id, sent_at, reply)
+            }
+            RequestKind::Commit => self.handle_commit_reply(now, session, id, sent_at, reply),
+            _ => self.handle_single_reply(now, session, id, sent_at, reply),
         }
     }
 
@@ -411,7 +430,7 @@
     }
 
     /// A statement by itself was answered.
-    fn single_reply(
+    fn handle_single_reply(
         &mut self,
         now: Time,
         session: SessionId,
@@ -422,11 +441,11 @@
         let Some((_, request)) = self.request_on(id) else {
             return;
         };
-        let need = request.need;
-        let may_repeat = need.is_repeatable() && request.attempts < request.route.attempts;
+        let kind = request.kind;
+        let may_repeat = kind.is_retryable() && request.attempts < request.route.attempts;
         if let Err(error) = &reply.result {
             let error = error.clone();
-            self.note_refusal(now, id, error.code);
+            self.record_refusal(now, id, error.code);
             let goes_on = error.code.is_not_run() && error.code != BackendErrorCode::Malformed;
             if goes_on || (may_repeat && error.code != BackendErrorCode::Malformed) {
                 if error.code == BackendErrorCode::UnknownPreparedStatement
@@ -435,14 +454,14 @@
                     connection.prepared.clear();
                 }
                 self.free_connection(now, id);
-                return self.try_elsewhere(now, session, id, Some(&error));
+                return self.retry_on_other_backend(now, session, id, Some(&error));
             }
-        } else if need == Need::Write {
+        } else if kind == RequestKind::Write {
             self.committed(now, session, id, reply.position, sent_at);
         }
-        self.abandon_others(session, id);
+        self.abandon_other_attempts(session, id);
         self.free_connection(now, id);
-        self.pass_on(now, session, reply, TransactionStatus::Idle);
+        self.respond_with_reply(now, session, reply, TransactionStatus::Idle);
     }
 
     /// A write was acknowledged by the leader: the session must see it from now on.
@@ -460,10 +479,10 @@
         if let (Some(position), Some(session)) = (position, self.sessions.get_mut(&session)) {
             session.commits.insert(service, position);
         }
-        self.prove(now, id, position, sent_at);
+        self.record_leader_position(now, id, position, sent_at);
     }
 
-    fn pass_on(
+    fn respond_with_reply(
         &mut self,
         now: Time,
         session: SessionId,
@@ -486,7 +505,7 @@
     }
 
     /// A statement within a transaction was answered.
-    fn transaction_reply(
+    fn handle_transaction_reply(
         &mut self,
         now: Time,
         session_id: SessionId,
@@ -494,21 +513,21 @@
         sent_at: Time,
         reply: BackendReply,
     ) {
-        self.abandon_others(session_id, id);
+        self.abandon_other_attempts(session_id, id);
         if reply.status == TransactionStatus::Open {
             if reply.result.is_ok() && self.is_leader_transaction(id) {
-                self.prove(now, id, reply.position, sent_at);
+                self.record_leader_position(now, id, reply.position, sent_at);
             }
-            return self.pass_on(now, session_id, reply, TransactionStatus::Open);
+            return self.respond_with_reply(now, session_id, reply, TransactionStatus::Open);
         }
         if let Err(error) = &reply.result {
-            self.note_refusal(now, id, error.code);
+            self.record_refusal(now, id, error.code);
         }
         if let Some(session) = self.sessions.get_mut(&session_id) {
-            session.transaction = Transaction::Failed { is_told: true };
+            session.transaction = Transaction::Failed { is_reported: true };
         }
         self.free_connection(now, id);
-        self.pass_on(now, session_id, reply, TransactionStatus::Failed);
+        self.respond_with_reply(now, session_id, reply, TransactionStatus::Failed);
     }
 
     /// Whether the open transaction on a connection is one that only the leader goes on with.
@@ -519,7 +538,7 @@
     }
 
     /// A commit was answered.
-    fn commit_reply(
+    fn handle_commit_reply(
         &mut self,
         now: Time,
         session_id: SessionId,
@@ -527,7 +546,7 @@
         sent_at: Time,
         reply: BackendReply,
     ) {
-        self.abandon_others(session_id, id);
+        self.abandon_other_attempts(session_id, id);
         let wrote = self
             .sessions
             .get(&session_id)
@@ -538,9 +557,9 @@
         match &reply.result {
             Ok(_) if wrote => self.committed(now, session_id, id, reply.position, sent_at),
             Ok(_) => {}
-            Err(error) => self.note_refusal(now, id, error.code),
+            Err(error) => self.record_refusal(now, id, error.code),
         }
         self.free_connection(now, id);
-        self.pass_on(now, session_id, reply, TransactionStatus::Idle);
+        self.respond_with_reply(now, session_id, reply, TransactionStatus::Idle);
     }
 }
--- a/crates/stairward-engine/src/requests.rs
+++ b/crates/stairward-engine/src/requests.rs
@@ -11,26 +11,26 @@
 };
 use crate::identifiers::{ConnectionId, RequestNumber, SessionId};
 use crate::reply::{Response, ResponseResult};
-use crate::session::{Need, Request, Stage, Transaction, WaitReason};
+use crate::session::{Request, RequestKind, Stage, Transaction, WaitReason};
 use crate::statement::StatementKind;
 use crate::timers::Timer;
 
 /// A command without an answer for this long shows that its back end is silent.
-const SILENCE: Duration = Duration::from_millis(700);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(700);
 /// A connection is closed whose answer has been due for this long while its back end answered others.
-const LOST_ANSWER: Duration = Duration::from_millis(1_500);
+const LOST_REPLY_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// A connection is closed whose answer has been due for this long.
-const LOST_BACKEND: Duration = Duration::from_millis(4_000);
+const UNRESPONSIVE_BACKEND_TIMEOUT: Duration = Duration::from_millis(4_000);
 /// When a refused caller should come back, by the reason.
 const RETRY_NO_LEADER: Duration = Duration::from_millis(500);
 const RETRY_OVERLOADED: Duration = Duration::from_millis(200);
 const RETRY_NOT_FRESH: Duration = Duration::from_millis(100);
 /// How often one request tries back ends in all.
-const MOST_TRIES: u32 = 5;
+const MAX_BACKEND_TRIES: u32 = 5;
 
 impl Engine {
     /// Gives a connection to a user.
-    pub(crate) fn use_connection(&mut self, id: ConnectionId, user: User) {
+    pub(crate) fn assign_connection(&mut self, id: ConnectionId, user: User) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.user = Some(user);
         }
@@ -53,7 +53,8 @@
         }
         connection.sent.push_back(SentStep { step, at: now });
         if !std::mem::replace(&mut connection.is_watched, true) {
-            self.timers.set(now + SILENCE, Timer::Silence(id));
+            self.timers
+                .set(now + SILENCE_TIMEOUT, Timer::ReplyCheck(id));
         }
         self.effects.push(Effect::Send {
             connection: id,
@@ -79,7 +80,7 @@
             return;
         };
         request.stage = Stage::Preparing(connection_id);
-        request.tries += 1;
+        request.backend_tries += 1;
         request.unanswered.insert(connection_id);
         request.floor = floor;
         request.last_backend = Some(connection.backend.clone());
@@ -89,16 +90,21 @@
             _ => None,
         };
         let mut commands = connection.setup(&session.values, prepared);
-        match request.need {
-            Need::LeaderRead | Need::LeaderTransaction => commands.push(BackendCommand::Begin {
-                read_only: false,
-                floor: None,
-            }),
-            Need::FreshTransaction => commands.push(BackendCommand::Begin {
+        match request.kind {
+            RequestKind::LeaderRead | RequestKind::LeaderTransaction => {
+                commands.push(BackendCommand::Begin {
+                    read_only: false,
+                    floor: None,
+                })
+            }
+            RequestKind::FreshTransaction => commands.push(BackendCommand::Begin {
                 read_only: true,
                 floor,
             }),
-            Need::Write | Need::FreshRead | Need::InTransaction { .. } | Need::Commit => {}
+            RequestKind::Write
+            | RequestKind::FreshRead
+            | RequestKind::InTransaction { .. }
+            | RequestKind::Commit => {}
         }
         if commands.is_empty() {
             return self.send_statement(now, id, connection_id);
@@ -119,7 +125,7 @@
         request.stage = Stage::Sent(connection);
         request.attempts += 1;
         let statement = &request.statement;
-        let is_read = request.need == Need::FreshRead;
+        let is_read = request.kind == RequestKind::FreshRead;
         let floor = request.floor.filter(|_| is_read);
         let prepared = match &statement.kind {
             StatementKind::Execute { name, arguments } => session
@@ -141,7 +147,7 @@
                 floor,
             },
         };
-        if let Need::InTransaction { writes } = request.need
+        if let RequestKind::InTransaction { writes } = request.kind
             && let Transaction::Open(open) = &mut session.transaction
         {
             open.has_run = true;
@@ -162,7 +168,7 @@
         self.cancel_timers(id, &request);
         self.remove_from_queue(id, &request);
         self.leave_admission(id, tenant.as_ref(), &request);
-        self.rest(now, id);
+        self.start_idle_timer(now, id);
         self.measure(now, &request, &response);
         self.effects.push(Effect::Respond {
             session: id,
@@ -178,8 +184,10 @@
             ResponseResult::Failed(error) if error.code.is_not_run() => OutcomeClass::NotRun,
             ResponseResult::Failed(_) => OutcomeClass::OutcomeUnknown,
         };
-        let access = match request.need {
-            Need::Write | Need::Commit | Need::InTransaction { writes: true } => AccessClass::Write,
+        let access = match request.kind {
+            RequestKind::Write
+            | RequestKind::Commit
+            | RequestKind::InTransaction { writes: true } => AccessClass::Write,
             _ => AccessClass::Read,
         };
         let answered_by = match request.stage {
@@ -213,7 +221,7 @@
     }
 
     /// Starts the clock of an open transaction that rests.
-    fn rest(&mut self, now: Time, id: SessionId) {
+    fn start_idle_timer(&mut self, now: Time, id: SessionId) {
         let number = self.next_request();
         let Some(limit) = self.table.as_ref().map(|t| t.transaction_idle_timeout) else {
             return;
@@ -222,7 +230,7 @@
             && let Transaction::Open(open) = &mut session.transaction
         {
             let at = now + limit;
-            open.rests = Some((at, number));
+            open.idle_timer = Some((at, number));
             self.timers.set(at, Timer::TransactionIdle(id, number));
         }
     }
@@ -241,7 +249,7 @@
     }
 
     /// Ends a session's request whose outcome is not known.
-    pub(crate) fn leave_unknown(&mut self, now: Time, id: SessionId, code: ResultCode) {
+    pub(crate) fn finish_unknown(&mut self, now: Time, id: SessionId, code: ResultCode) {
         self.record(now, id, None, Decision::OutcomeUnknown(code));
         let result = ResponseResult::Refused {
             code,
@@ -302,18 +310,18 @@
     }
 
     /// Gives up a request that was not sent or was refused wherever it was sent.
-    pub(crate) fn give_up(&mut self, now: Time, id: SessionId) {
+    pub(crate) fn refuse_unsent(&mut self, now: Time, id: SessionId) {
         let Some(request) = self.sessions.get(&id).and_then(|s| s.request.as_ref()) else {
             return;
         };
-        let (code, retry_after) = match request.waits_for {
+        let (code, retry_after) = match request.wait_reason {
             WaitReason::NoBackend => (ResultCode::BackendUnavailable, RETRY_NO_LEADER),
             WaitReason::NoLeader => (ResultCode::BackendUnavailable, RETRY_NO_LEADER),
             WaitReason::NotFresh => (ResultCode::NotFreshEnough, RETRY_NOT_FRESH),
             WaitReason::NoConnection => (ResultCode::Overloaded, RETRY_OVERLOADED),
             WaitReason::Cold => {
                 let service = request.route.service.clone();
-                let retry_after = self.cold_retry(now, &service);
+                let retry_after = self.cold_retry_after(now, &service);
                 (
                     ResultCode::Overloaded,
                     retry_after.unwrap_or(RETRY_OVERLOADED),
@@ -323,19 +331,19 @@
         self.refuse(now, id, code, Some(retry_after));
     }
 
-    fn is_current(&self, id: SessionId, number: RequestNumber) -> Option<&Request> {
+    fn current_request(&self, id: SessionId, number: RequestNumber) -> Option<&Request> {
         let request = self.sessions.get(&id)?.request.as_ref()?;
         (request.number == number).then_some(request)
     }
 
     /// A request that has not been sent by now is refused, so that its caller can go elsewhere.
     pub(crate) fn hold_ended(&mut self, now: Time, id: SessionId, number: RequestNumber) {
-        let Some(request) = self.is_current(id, number) else {
+        let Some(request) = self.current_request(id, number) else {
             return;
         };
         match request.stage {
-            Stage::Admission => self.admission_ended(now, id),
-            Stage::Waiting if request.unanswered.is_empty() => self.give_up(now, id),
+            Stage::Admission => self.admission_wait_expired(now, id),
+            Stage::Waiting if request.unanswered.is_empty() => self.refuse_unsent(now, id),
             Stage::Preparing(connection) if self.is_on_silent_backend(connection) => {
                 self.refuse_prepared(now, id, ResultCode::BackendUnavailable);
             }
@@ -353,7 +361,7 @@
 
     /// Sends a read without an answer to another back end too. The first answer counts.
     pub(crate) fn hedge(&mut self, now: Time, id: SessionId, number: RequestNumber) {
-        let Some(request) = self.is_current(id, number) else {
+        let Some(request) = self.current_request(id, number) else {
             return;
         };
         let (Stage::Preparing(connection) | Stage::Sent(connection)) = request.stage else {
@@ -367,7 +375,7 @@
         };
         self.record(now, id, Some(backend.clone()), Decision::Hedged);
         if let Some(request) = self.sessions.get_mut(&id).and_then(|s| s.request.as_mut()) {
-            request.tried.insert(backend);
+            request.tried_backends.insert(backend);
             request.stage = Stage::Waiting;
             request.hold_ends = request.deadline;
         }
@@ -375,22 +383,22 @@
     }
 
     pub(crate) fn deadline_passed(&mut self, now: Time, id: SessionId, number: RequestNumber) {
-        let Some(request) = self.is_current(id, number) else {
+        let Some(request) = self.current_request(id, number) else {
             return;
         };
         let is_sent = request.attempts > 0;
         let connections: Vec<_> = request.unanswered.iter().copied().collect();
-        let need = request.need;
+        let kind = request.kind;
         if let Stage::Forwarded(holder) = request.stage {
-            self.leave_holder(id, holder);
+            self.release_holder(id, holder);
         }
         for connection in connections {
             self.close_connection(connection);
         }
-        match need {
-            Need::InTransaction { .. } => self.lose_transaction(now, id),
-            Need::Commit => self.lose_commit(now, id, ResultCode::DeadlineAfterSend),
-            _ if is_sent => self.leave_unknown(now, id, ResultCode::DeadlineAfterSend),
+        match kind {
+            RequestKind::InTransaction { .. } => self.fail_transaction(now, id),
+            RequestKind::Commit => self.fail_commit(now, id, ResultCode::DeadlineAfterSend),
+            _ if is_sent => self.finish_unknown(now, id, ResultCode::DeadlineAfterSend),
             _ => {
                 let code = ResultCode::DeadlineBeforeSend;
                 self.refuse(now, id, code, Some(RETRY_NO_LEADER));
@@ -403,48 +411,55 @@
         let Some(request) = self.sessions.get(&id).and_then(|s| s.request.as_ref()) else {
             return;
         };
-        let need = request.need;
+        let kind = request.kind;
         let connections: Vec<_> = request.unanswered.iter().copied().collect();
         for connection in connections {
             self.close_connection(connection);
         }
-        match need {
-            Need::InTransaction { .. } | Need::Commit => self.lose_transaction(now, id),
+        match kind {
+            RequestKind::InTransaction { .. } | RequestKind::Commit => {
+                self.fail_transaction(now, id)
+            }
             _ => self.refuse(now, id, code, Some(RETRY_NO_LEADER)),
         }
     }
 
     /// The open transaction is lost before its commit was sent: nothing of it is kept.
-    pub(crate) fn lose_transaction(&mut self, now: Time, id: SessionId) {
+    pub(crate) fn fail_transaction(&mut self, now: Time, id: SessionId) {
         if let Some(session) = self.sessions.get_mut(&id) {
-            session.transaction = Transaction::Failed { is_told: true };
+            session.transaction = Transaction::Failed { is_reported: true };
         }
         self.refuse(now, id, ResultCode::TransactionLost, Some(RETRY_NO_LEADER));
     }
 
     /// The commit was sent and its answer is lost. Only a transaction without a write has a known outcome.
-    pub(crate) fn lose_commit(&mut self, now: Time, id: SessionId, code: ResultCode) {
+    pub(crate) fn fail_commit(&mut self, now: Time, id: SessionId, code: ResultCode) {
         let Some(session) = self.sessions.get_mut(&id) else {
             return;
         };
         let wrote = session.has_written();
         session.transaction = Transaction::None;
         if wrote {
-            self.leave_unknown(now, id, code);
+            self.finish_unknown(now, id, code);
         } else {
             self.refuse(now, id, ResultCode::TransactionLost, Some(RETRY_NO_LEADER));
         }
     }
 
     /// A transaction has rested too long.
-    pub(crate) fn transaction_rested(&mut self, now: Time, id: SessionId, number: RequestNumber) {
+    pub(crate) fn transaction_idle_expired(
+        &mut self,
+        now: Time,
+        id: SessionId,
+        number: RequestNumber,
+    ) {
         let Some(session) = self.sessions.get_mut(&id) else {
             return;
         };
-        let rests = session
+        let idle_timer = session
             .open_transaction()
-            .is_some_and(|open| open.rests.is_some_and(|(_, timer)| timer == number));
-        if rests && session.request.is_none() {
+            .is_some_and(|open| open.idle_timer.is_some_and(|(_, timer)| timer == number));
+        if idle_timer && session.request.is_none() {
             self.abandon_transaction(now, id);
         }
     }
@@ -454,13 +469,15 @@
         let Some(session) = self.sessions.get_mut(&id) else {
             return;
         };
-        let failed = Transaction::Failed { is_told: false };
+        let failed = Transaction::Failed { is_reported: false };
         match std::mem::replace(&mut session.transaction, failed) {
             Transaction::Open(open) => {
-                self.stop_resting(id, &open);
+                self.cancel_idle_timer(id, &open);
                 self.roll_back_connection(now, open.connection);
             }
-            Transaction::Relayed(relayed) => self.close_forwarded(id, &[relayed.holder].into()),
+            Transaction::Forwarded(forwarded) => {
+                self.close_forwarded(id, &[forwarded.holder].into())
+            }
             Transaction::None | Transaction::Failed { .. } => {}
         }
     }
@@ -476,18 +493,18 @@
             self.remove_from_queue(id, &request);
             self.leave_admission(id, session.identity.tenant(), &request);
             for connection in &request.unanswered {
-                self.use_connection(*connection, User::Abandoned);
+                self.assign_connection(*connection, User::Abandoned);
             }
         }
         self.close_forwarded(id, &session.holders);
         if let Transaction::Open(open) = &session.transaction {
-            self.stop_resting(id, open);
+            self.cancel_idle_timer(id, open);
             let is_busy = self
                 .connections
                 .get(&open.connection)
                 .is_some_and(|connection| !connection.sent.is_empty());
             if is_busy {
-                self.use_connection(open.connection, User::Abandoned);
+                self.assign_connection(open.connection, User::Abandoned);
             } else {
                 self.roll_back_connection(now, open.connection);
             }
@@ -505,11 +522,13 @@
     /// Whether a request may go to yet another back end.
     pub(crate) fn may_try_again(&self, now: Time, id: SessionId) -> bool {
         let request = self.sessions.get(&id).and_then(|s| s.request.as_ref());
-        request.is_some_and(|request| request.tries < MOST_TRIES && now < request.deadline)
+        request.is_some_and(|request| {
+            request.backend_tries < MAX_BACKEND_TRIES && now < request.deadline
+        })
     }
 
     /// Looks for commands that have had no answer for long.
-    pub(crate) fn check_silence(&mut self, now: Time, id: ConnectionId) {
+    pub(crate) fn check_replies(&mut self, now: Time, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
@@ -519,8 +538,8 @@
         };
         let has_user = !matches!(connection.user, None | Some(User::Abandoned));
         let backend_id = connection.backend.clone();
-        if now < oldest + SILENCE {
-            return self.watch(id, oldest + SILENCE);
+        if now < oldest + SILENCE_TIMEOUT {
+            return self.watch(id, oldest + SILENCE_TIMEOUT);
         }
         let Some(backend) = self.backends.get_mut(&backend_id) else {
             return;
@@ -532,21 +551,21 @@
             self.observe(&backend_id, BackendEvidence::Unresponsive);
         }
         let patience = if has_answered_since || !has_user {
-            LOST_ANSWER
+            LOST_REPLY_TIMEOUT
         } else {
-            LOST_BACKEND
+            UNRESPONSIVE_BACKEND_TIMEOUT
         };
         if now >= oldest + patience {
             self.drop_connection(now, id);
         } else {
-            self.watch(id, (oldest + patience).min(now + SILENCE));
+            self.watch(id, (oldest + patience).min(now + SILENCE_TIMEOUT));
         }
     }
 
     fn watch(&mut self, id: ConnectionId, at: Time) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.is_watched = true;
-            self.timers.set(at, Timer::Silence(id));
+            self.timers.set(at, Timer::ReplyCheck(id));
         }
     }
 }
--- a/crates/stairward-engine/src/session.rs
+++ b/crates/stairward-engine/src/session.rs
@@ -67,14 +67,14 @@
     }
 
     /// Whether nothing is under way, so that the session may be closed.
-    pub fn is_at_rest(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         self.request.is_none() && self.queue.is_empty() && self.status() == TransactionStatus::Idle
     }
 
     pub fn status(&self) -> TransactionStatus {
         match self.transaction {
             Transaction::None => TransactionStatus::Idle,
-            Transaction::Open(_) | Transaction::Relayed(_) => TransactionStatus::Open,
+            Transaction::Open(_) | Transaction::Forwarded(_) => TransactionStatus::Open,
             Transaction::Failed { .. } => TransactionStatus::Failed,
         }
     }
@@ -82,7 +82,7 @@
     pub fn open_transaction(&self) -> Option<&OpenTransaction> {
         match &self.transaction {
             Transaction::Open(open) => Some(open),
-            Transaction::None | Transaction::Relayed(_) | Transaction::Failed { .. } => None,
+            Transaction::None | Transaction::Forwarded(_) | Transaction::Failed { .. } => None,
         }
     }
 
@@ -90,7 +90,7 @@
     pub fn has_written(&self) -> bool {
         match &self.transaction {
             Transaction::Open(open) => open.wrote,
-            Transaction::Relayed(relayed) => relayed.wrote,
+            Transaction::Forwarded(forwarded) => forwarded.wrote,
             Transaction::None | Transaction::Failed { .. } => false,
         }
     }
@@ -104,17 +104,17 @@
     /// One is open on a connection.
     Open(OpenTransaction),
     /// One is open at another node.
-    Relayed(RelayedTransaction),
+    Forwarded(ForwardedTransaction),
     /// One failed and waits for its end by the caller. No connection belongs to it any more.
     Failed {
         /// Whether the caller has been told.
-        is_told: bool,
+        is_reported: bool,
     },
 }
 
 /// A transaction that is open at another node.
 #[derive(Debug, Clone)]
-pub(crate) struct RelayedTransaction {
+pub(crate) struct ForwardedTransaction {
     /// The node.
     pub holder: NodeId,
     /// The route it was begun on.
@@ -135,12 +135,12 @@
     /// Whether a write was sent in it.
     pub wrote: bool,
     /// Since when it rests, and the number its timer carries.
-    pub rests: Option<(Time, RequestNumber)>,
+    pub idle_timer: Option<(Time, RequestNumber)>,
 }
 
 /// What a request needs of a back end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Need {
+pub(crate) enum RequestKind {
     /// A write by itself.
     Write,
     /// A read by itself that must run at the leader, inside a transaction of its own that the back end
@@ -161,9 +161,9 @@
     Commit,
 }
 
-impl Need {
+impl RequestKind {
     /// Whether only the leader will do.
-    pub const fn is_leader_only(self) -> bool {
+    pub const fn requires_leader(self) -> bool {
         matches!(
             self,
             Self::Write | Self::LeaderRead | Self::LeaderTransaction
@@ -171,7 +171,7 @@
     }
 
     /// Whether it may be sent again although it may have run.
-    pub const fn is_repeatable(self) -> bool {
+    pub const fn is_retryable(self) -> bool {
         matches!(
             self,
             Self::LeaderRead | Self::FreshRead | Self::LeaderTransaction | Self::FreshTransaction
@@ -217,7 +217,7 @@
     pub route: Arc<Route>,
     /// Where it may run.
     pub residency: Residency,
-    pub need: Need,
+    pub kind: RequestKind,
     pub received: Time,
     pub deadline: Time,
     pub hold_ends: Time,
@@ -225,15 +225,15 @@
     pub stage: Stage,
     /// What the log must hold behind the connection it goes to.
     pub floor: Option<Freshness>,
-    pub waits_for: WaitReason,
+    pub wait_reason: WaitReason,
     /// How often it was sent and may have run.
     pub attempts: u32,
     /// How often a back end was tried in any way.
-    pub tries: u32,
+    pub backend_tries: u32,
     /// Whether the copies near by were found to be behind what it must see: the leader is not.
-    pub is_for_leader: bool,
+    pub needs_leader_holder: bool,
     /// Back ends not to be tried again.
-    pub tried: BTreeSet<BackendId>,
+    pub tried_backends: BTreeSet<BackendId>,
     /// Nodes that it was forwarded to.
     pub tried_holders: BTreeSet<NodeId>,
     /// The back end it went to last.
--- a/crates/stairward-engine/src/settings.rs
+++ b/crates/stairward-engine/src/settings.rs
@@ -59,7 +59,7 @@
     pub priority: u8,
     /// How often a statement that may have run is sent, if it can be repeated.
     pub attempts: u32,
-    /// Whether clients need no key on it.
+    /// Whether clients kind no key on it.
     pub is_public: bool,
     /// Where its statements may run.
     pub residency: Residency,
@@ -86,7 +86,7 @@
     pub routes: BTreeMap<GroupId, Arc<Route>>,
     /// Services by name.
     pub services: BTreeMap<ServiceName, ServiceLimits>,
-    /// The tenants and their keys. None where clients are not told apart, and need no key.
+    /// The tenants and their keys. None where clients are not told apart, and kind no key.
     pub tenants: Option<TenantDirectory>,
     /// How long a transaction may rest.
     pub transaction_idle_timeout: Duration,
--- a/crates/stairward-engine/src/statements.rs
+++ b/crates/stairward-engine/src/statements.rs
@@ -10,7 +10,9 @@
 use crate::identifiers::SessionId;
 use crate::reply::ResponseResult;
 use crate::residency::Residency;
-use crate::session::{Need, OpenTransaction, Request, Session, Stage, Transaction, WaitReason};
+use crate::session::{
+    OpenTransaction, Request, RequestKind, Session, Stage, Transaction, WaitReason,
+};
 use crate::settings::{Consistency, Route};
 use crate::statement::{Statement, StatementKind};
 use crate::tenants::{self, Identity};
@@ -42,7 +44,7 @@
     }
 
     /// Takes a statement in; none stands for one that is not understood.
-    pub(crate) fn take_statement(
+    pub(crate) fn enqueue_statement(
         &mut self,
         now: Time,
         id: SessionId,
@@ -69,8 +71,8 @@
                 return;
             }
             match session.queue.pop_front() {
-                Some(Some(statement)) => self.start(now, id, statement),
-                Some(None) => self.refuse_at_once(id, ResultCode::ProtocolViolation),
+                Some(Some(statement)) => self.start_statement(now, id, statement),
+                Some(None) => self.respond_refused(id, ResultCode::ProtocolViolation),
                 None => break,
             }
         }
@@ -78,9 +80,9 @@
         self.close_if_stopping(now, id);
     }
 
-    fn start(&mut self, now: Time, id: SessionId, statement: Statement) {
+    fn start_statement(&mut self, now: Time, id: SessionId, statement: Statement) {
         if self.is_revoked(id) {
-            return self.refuse_at_once(id, ResultCode::NotAuthenticated);
+            return self.respond_refused(id, ResultCode::NotAuthenticated);
         }
         match &statement.kind {
             StatementKind::SetValue { name, value } => {
@@ -108,7 +110,7 @@
             }
             StatementKind::Commit => self.commit(now, id, statement),
             StatementKind::Read | StatementKind::Write | StatementKind::Execute { .. } => {
-                self.access(now, id, statement);
+                self.run_access(now, id, statement);
             }
         }
     }
@@ -119,19 +121,19 @@
             return;
         };
         if let Transaction::Failed { .. } = session.transaction {
-            return self.refuse_in_failed(id);
+            return self.refuse_in_failed_transaction(id);
         }
         change(session);
-        self.accept(id);
+        self.respond_completed(id);
     }
 
     /// Answers with success that needs no back end.
-    fn accept(&mut self, id: SessionId) {
+    fn respond_completed(&mut self, id: SessionId) {
         let result = ResponseResult::Completed { signature: None };
         self.respond(id, result);
     }
 
-    fn refuse_at_once(&mut self, id: SessionId, code: ResultCode) {
+    fn respond_refused(&mut self, id: SessionId, code: ResultCode) {
         let result = ResponseResult::Refused {
             code,
             retry_after: None,
@@ -141,19 +143,19 @@
 
     /// The first statement after the engine ended a transaction learns of it, all later ones are not
     /// understood until the caller ends the transaction.
-    fn refuse_in_failed(&mut self, id: SessionId) {
+    fn refuse_in_failed_transaction(&mut self, id: SessionId) {
         let Some(session) = self.sessions.get_mut(&id) else {
             return;
         };
-        let Transaction::Failed { is_told } = &mut session.transaction else {
+        let Transaction::Failed { is_reported } = &mut session.transaction else {
             return;
         };
-        let code = if std::mem::replace(is_told, true) {
+        let code = if std::mem::replace(is_reported, true) {
             ResultCode::ProtocolViolation
         } else {
             ResultCode::TransactionLost
         };
-        self.refuse_at_once(id, code);
+        self.respond_refused(id, code);
     }
 
     /// Answers a statement that needed no back end.
@@ -175,13 +177,15 @@
         let ended = std::mem::replace(&mut session.transaction, Transaction::None);
         match ended {
             Transaction::Open(open) => {
-                self.stop_resting(id, &open);
+                self.cancel_idle_timer(id, &open);
                 self.roll_back_connection(now, open.connection);
             }
-            Transaction::Relayed(relayed) => self.close_forwarded(id, &[relayed.holder].into()),
+            Transaction::Forwarded(forwarded) => {
+                self.close_forwarded(id, &[forwarded.holder].into())
+            }
             Transaction::None | Transaction::Failed { .. } => {}
         }
-        self.accept(id);
+        self.respond_completed(id);
     }
 
     /// Undoes the transaction on a connection, which is idle afterwards.
@@ -190,7 +194,7 @@
         now: Time,
         connection: crate::identifiers::ConnectionId,
     ) {
-        self.use_connection(connection, crate::connection::User::Abandoned);
+        self.assign_connection(connection, crate::connection::User::Abandoned);
         self.send(now, connection, BackendCommand::Rollback);
     }
 
@@ -206,21 +210,21 @@
         };
         match session.transaction {
             Transaction::None => {}
-            Transaction::Open(_) | Transaction::Relayed(_) => {
-                return self.refuse_at_once(id, ResultCode::ProtocolViolation);
+            Transaction::Open(_) | Transaction::Forwarded(_) => {
+                return self.respond_refused(id, ResultCode::ProtocolViolation);
             }
-            Transaction::Failed { .. } => return self.refuse_in_failed(id),
+            Transaction::Failed { .. } => return self.refuse_in_failed_transaction(id),
         }
         let Some(route) = self.route_of(id) else {
-            return self.refuse_at_once(id, ResultCode::UnknownDatabase);
+            return self.respond_refused(id, ResultCode::UnknownDatabase);
         };
-        let is_leader_only = !read_only || route.consistency == Consistency::Primary;
-        let need = if is_leader_only {
-            Need::LeaderTransaction
+        let requires_leader = !read_only || route.consistency == Consistency::Primary;
+        let kind = if requires_leader {
+            RequestKind::LeaderTransaction
         } else {
-            Need::FreshTransaction
+            RequestKind::FreshTransaction
         };
-        self.begin_request(now, id, statement, route, need);
+        self.begin_request(now, id, statement, route, kind);
     }
 
     fn commit(&mut self, now: Time, id: SessionId, statement: Statement) {
@@ -228,51 +232,63 @@
             return;
         };
         match &session.transaction {
-            Transaction::None => self.refuse_at_once(id, ResultCode::ProtocolViolation),
+            Transaction::None => self.respond_refused(id, ResultCode::ProtocolViolation),
             Transaction::Failed { .. } => {
                 session.transaction = Transaction::None;
-                self.refuse_at_once(id, ResultCode::TransactionLost);
+                self.respond_refused(id, ResultCode::TransactionLost);
             }
             Transaction::Open(open) => {
                 let open = open.clone();
-                self.run_in_transaction(now, id, statement, &open, Need::Commit);
+                self.run_in_transaction(now, id, statement, &open, RequestKind::Commit);
             }
-            Transaction::Relayed(relayed) => {
-                let route = Arc::clone(&relayed.route);
-                self.begin_request(now, id, statement, route, Need::Commit);
+            Transaction::Forwarded(forwarded) => {
+                let route = Arc::clone(&forwarded.route);
+                self.begin_request(now, id, statement, route, RequestKind::Commit);
             }
         }
     }
 
-    fn access(&mut self, now: Time, id: SessionId, statement: Statement) {
+    fn run_access(&mut self, now: Time, id: SessionId, statement: Statement) {
         let Some(session) = self.sessions.get(&id) else {
             return;
         };
         let Some(access) = access_of(session, &statement) else {
-            return self.refuse_at_once(id, ResultCode::UnknownPreparedStatement);
+            return self.respond_refused(id, ResultCode::UnknownPreparedStatement);
         };
         match &session.transaction {
-            Transaction::Failed { .. } => self.refuse_in_failed(id),
+            Transaction::Failed { .. } => self.refuse_in_failed_transaction(id),
             Transaction::Open(open) => {
                 let open = open.clone();
                 let writes = access == AccessClass::Write;
-                self.run_in_transaction(now, id, statement, &open, Need::InTransaction { writes });
+                self.run_in_transaction(
+                    now,
+                    id,
+                    statement,
+                    &open,
+                    RequestKind::InTransaction { writes },
+                );
             }
-            Transaction::Relayed(relayed) => {
-                let route = Arc::clone(&relayed.route);
+            Transaction::Forwarded(forwarded) => {
+                let route = Arc::clone(&forwarded.route);
                 let writes = access == AccessClass::Write;
-                self.begin_request(now, id, statement, route, Need::InTransaction { writes });
+                self.begin_request(
+                    now,
+                    id,
+                    statement,
+                    route,
+                    RequestKind::InTransaction { writes },
+                );
             }
             Transaction::None => {
                 let Some(route) = self.route_of(id) else {
-                    return self.refuse_at_once(id, ResultCode::UnknownDatabase);
+                    return self.respond_refused(id, ResultCode::UnknownDatabase);
                 };
-                let need = match (access, route.consistency) {
-                    (AccessClass::Write, _) => Need::Write,
-                    (AccessClass::Read, Consistency::Primary) => Need::LeaderRead,
-                    (AccessClass::Read, _) => Need::FreshRead,
+                let kind = match (access, route.consistency) {
+                    (AccessClass::Write, _) => RequestKind::Write,
+                    (AccessClass::Read, Consistency::Primary) => RequestKind::LeaderRead,
+                    (AccessClass::Read, _) => RequestKind::FreshRead,
                 };
-                self.begin_request(now, id, statement, route, need);
+                self.begin_request(now, id, statement, route, kind);
             }
         }
     }
@@ -288,30 +304,33 @@
         id: SessionId,
         statement: Statement,
         route: Arc<Route>,
-        need: Need,
+        kind: RequestKind,
     ) {
-        self.insert_request(now, id, statement, route, need);
+        self.insert_request(now, id, statement, route, kind);
         let request = self.sessions.get(&id).and_then(|s| s.request.as_ref());
-        let starts_work = !matches!(need, Need::InTransaction { .. } | Need::Commit);
-        if starts_work && self.is_too_late_to_begin(now) {
+        let is_new_work = !matches!(
+            kind,
+            RequestKind::InTransaction { .. } | RequestKind::Commit
+        );
+        if is_new_work && self.is_refusing_new_work(now) {
             return self.refuse(now, id, ResultCode::ProxyStopping, None);
         }
-        if starts_work && request.is_some_and(|request| request.residency.excludes_all()) {
+        if is_new_work && request.is_some_and(|request| request.residency.excludes_all()) {
             return self.refuse(now, id, ResultCode::NoCommonRegion, None);
         }
         self.admit(now, id);
     }
 
     /// Sends a request that was admitted to a back end, or to another node.
-    pub(crate) fn send_out(&mut self, now: Time, id: SessionId) {
+    pub(crate) fn dispatch(&mut self, now: Time, id: SessionId) {
         let Some(session) = self.sessions.get(&id) else {
             return;
         };
         let Some(request) = &session.request else {
             return;
         };
-        let is_relayed = matches!(session.transaction, Transaction::Relayed(_));
-        if is_relayed || self.goes_elsewhere(now, session, request) {
+        let is_forwarded_transaction = matches!(session.transaction, Transaction::Forwarded(_));
+        if is_forwarded_transaction || self.must_forward(now, session, request) {
             self.forward(now, id);
         } else {
             self.attempt(now, id);
@@ -324,15 +343,15 @@
         id: SessionId,
         statement: Statement,
         open: &OpenTransaction,
-        need: Need,
+        kind: RequestKind,
     ) {
-        self.stop_resting(id, open);
-        self.insert_request(now, id, statement, Arc::clone(&open.route), need);
+        self.cancel_idle_timer(id, open);
+        self.insert_request(now, id, statement, Arc::clone(&open.route), kind);
         // What has not run yet can begin elsewhere; what has goes on where it began.
-        let begins_late = !open.has_run && self.is_use_over(now, open.connection);
-        if begins_late || self.is_on_evacuated(now, open.connection) {
+        let starts_after_drain = !open.has_run && self.is_backend_unusable(now, open.connection);
+        if starts_after_drain || self.is_on_evacuated_backend(now, open.connection) {
             self.roll_back_connection(now, open.connection);
-            return self.lose_transaction(now, id);
+            return self.fail_transaction(now, id);
         }
         self.prepare(now, id, open.connection, None);
     }
@@ -343,7 +362,7 @@
         id: SessionId,
         statement: Statement,
         route: Arc<Route>,
-        need: Need,
+        kind: RequestKind,
     ) {
         let number = self.next_request();
         let deadline = now + route.statement_timeout;
@@ -352,7 +371,7 @@
         let session = self.sessions.get(&id);
         let answer_due = session.and_then(|session| session.answer_due);
         let hold_ends = answer_due.map_or(hold, |due| due.max(now).min(hold));
-        let hedge_at = (need == Need::FreshRead || need == Need::FreshTransaction)
+        let hedge_at = (kind == RequestKind::FreshRead || kind == RequestKind::FreshTransaction)
             .then(|| now + route.target_latency / HEDGE_DIVISOR)
             .filter(|at| *at < deadline);
         self.timers.set(deadline, Timer::Deadline(id, number));
@@ -365,18 +384,18 @@
             statement,
             residency: self.residency_of(id, &route),
             route,
-            need,
+            kind,
             received: now,
             deadline,
             hold_ends,
             hedge_at,
             stage: Stage::Waiting,
             floor: None,
-            waits_for: WaitReason::NoConnection,
+            wait_reason: WaitReason::NoConnection,
             attempts: 0,
-            tries: 0,
-            is_for_leader: false,
-            tried: BTreeSet::new(),
+            backend_tries: 0,
+            needs_leader_holder: false,
+            tried_backends: BTreeSet::new(),
             tried_holders: BTreeSet::new(),
             last_backend: None,
             unanswered: BTreeSet::new(),
@@ -395,8 +414,8 @@
     }
 
     /// Takes back the timer of a resting transaction.
-    pub(crate) fn stop_resting(&mut self, id: SessionId, open: &OpenTransaction) {
-        if let Some((at, number)) = open.rests {
+    pub(crate) fn cancel_idle_timer(&mut self, id: SessionId, open: &OpenTransaction) {
+        if let Some((at, number)) = open.idle_timer {
             self.timers.cancel(at, Timer::TransactionIdle(id, number));
         }
     }
--- a/crates/stairward-engine/src/stopping.rs
+++ b/crates/stairward-engine/src/stopping.rs
@@ -21,9 +21,9 @@
 /// When everything is over, whatever is under way.
 const END_PERCENT: u32 = 92;
 /// How often sessions are looked at meanwhile.
-const REVIEW: Duration = Duration::from_millis(100);
+const REVIEW_INTERVAL: Duration = Duration::from_millis(100);
 /// Sessions closed in one review, so that they don't all connect elsewhere at once.
-const CLOSED_AT_ONCE: usize = 12;
+const MAX_CLOSED_PER_REVIEW: usize = 12;
 
 /// A planned stop under way.
 #[derive(Debug, Clone, Copy)]
@@ -55,24 +55,24 @@
             return self.end_stop();
         }
         if elapsed >= grace * TRANSACTIONS_PERCENT / 100 {
-            self.end_resting_transactions(now);
+            self.end_idle_transactions(now);
         }
-        let is_at_rest = |id: &SessionId| self.sessions.get(id).is_some_and(|s| s.is_at_rest());
-        let at_rest: Vec<_> = self
+        let is_idle = |id: &SessionId| self.sessions.get(id).is_some_and(|s| s.is_idle());
+        let idle_sessions: Vec<_> = self
             .sessions
             .keys()
             .copied()
-            .filter(is_at_rest)
-            .take(CLOSED_AT_ONCE)
+            .filter(is_idle)
+            .take(MAX_CLOSED_PER_REVIEW)
             .collect();
-        for id in at_rest {
+        for id in idle_sessions {
             self.close_session(now, id);
         }
         self.stop_if_empty(now);
-        self.timers.set(now + REVIEW, Timer::Stop);
+        self.timers.set(now + REVIEW_INTERVAL, Timer::Stop);
     }
 
-    fn end_resting_transactions(&mut self, now: Time) {
+    fn end_idle_transactions(&mut self, now: Time) {
         let resting: Vec<_> = self
             .sessions
             .iter()
@@ -92,14 +92,14 @@
             return;
         };
         let closing = self.options.stop_grace * CLOSING_PERCENT / 100;
-        let is_at_rest = self.sessions.get(&id).is_some_and(|s| s.is_at_rest());
-        if now >= stop.began + closing && is_at_rest {
+        let is_idle = self.sessions.get(&id).is_some_and(|s| s.is_idle());
+        if now >= stop.began + closing && is_idle {
             self.close_session(now, id);
         }
     }
 
     /// Whether a planned stop has come so far that new work would be cut by its end.
-    pub(crate) fn is_too_late_to_begin(&self, now: Time) -> bool {
+    pub(crate) fn is_refusing_new_work(&self, now: Time) -> bool {
         let refusing = self.options.stop_grace * REFUSING_PERCENT / 100;
         self.stop.is_some_and(|stop| now >= stop.began + refusing)
     }
@@ -114,7 +114,7 @@
             return;
         };
         let closing = self.options.stop_grace * CLOSING_PERCENT / 100;
-        if self.sessions.is_empty() && now >= stop.began + closing + REVIEW {
+        if self.sessions.is_empty() && now >= stop.began + closing + REVIEW_INTERVAL {
             self.end_stop();
         }
     }
--- a/crates/stairward-engine/src/tenants.rs
+++ b/crates/stairward-engine/src/tenants.rs
@@ -120,9 +120,9 @@
     /// Nobody in particular: its route is public, or tenants are not told apart.
     Anonymous,
     /// A tenant, by a key that this node has checked.
-    Keyed(ApiKey, TenantName),
+    Authenticated(ApiKey, TenantName),
     /// A tenant, as another node has checked.
-    Vouched(TenantName),
+    VerifiedByPeer(TenantName),
 }
 
 impl Identity {
@@ -130,7 +130,7 @@
     pub fn tenant(&self) -> Option<&TenantName> {
         match self {
             Self::Anonymous => None,
-            Self::Keyed(_, name) | Self::Vouched(name) => Some(name),
+            Self::Authenticated(_, name) | Self::VerifiedByPeer(name) => Some(name),
         }
     }
 
@@ -141,10 +141,10 @@
         };
         match self {
             Self::Anonymous => route.is_public,
-            Self::Keyed(key, name) => tenants
+            Self::Authenticated(key, name) => tenants
                 .tenant_by_key(key)
                 .is_some_and(|tenant| tenant.name == *name),
-            Self::Vouched(name) => tenants.active_tenant(name).is_some(),
+            Self::VerifiedByPeer(name) => tenants.active_tenant(name).is_some(),
         }
     }
 }
@@ -166,5 +166,5 @@
         .tenant_by_key(&key)
         .ok_or(ResultCode::NotAuthenticated)?;
     let name = tenant.name.clone();
-    Ok(Identity::Keyed(key, name))
+    Ok(Identity::Authenticated(key, name))
 }
--- a/crates/stairward-engine/src/timers.rs
+++ b/crates/stairward-engine/src/timers.rs
@@ -18,21 +18,21 @@
     /// A transaction that rests is ended.
     TransactionIdle(SessionId, RequestNumber),
     /// A connection is looked at for commands without an answer.
-    Silence(ConnectionId),
+    ReplyCheck(ConnectionId),
     /// A holder that owes an answer is looked at.
-    Holder(NodeId),
+    HolderCheck(NodeId),
     /// A session that waits for the first configuration is refused.
     PendingSession(SessionId),
     /// A service's lead is to be confirmed again, if somebody waits for that.
     LeadershipCheck(ServiceName),
     /// Requests that wait for a service are tried again.
-    TryWaiting(ServiceName),
+    RetryWaiting(ServiceName),
     /// A cold back end's time may be over.
-    Warm(BackendId),
+    WarmUpCheck(BackendId),
     /// What is open in evacuated zones is ended.
     Evacuation,
     /// Leaving and lost back ends are looked at.
-    Backends,
+    BackendReview,
     /// The next step of a planned stop.
     Stop,
 }
--- a/crates/stairward-engine/src/waiting.rs
+++ b/crates/stairward-engine/src/waiting.rs
@@ -13,7 +13,7 @@
 impl Engine {
     /// Tries each waiting request of the services in which something has changed.
     pub(crate) fn serve_waiting(&mut self, now: Time) {
-        for _ in 0..MOST_ROUNDS {
+        for _ in 0..MAX_ROUNDS {
             let changed = std::mem::take(&mut self.changed);
             if changed.is_empty() {
                 return;
@@ -42,7 +42,7 @@
 
     fn serve_in_order(&mut self, now: Time, keys: &[WaitingKey], opening: Opening) {
         // One request that finds no connection stands for all later ones of its kind.
-        let mut hopeless: BTreeSet<(bool, u8, Option<TenantName>)> = BTreeSet::new();
+        let mut unservable: BTreeSet<(bool, u8, Option<TenantName>)> = BTreeSet::new();
         for key in keys {
             let Some(session) = self.sessions.get(&key.session) else {
                 continue;
@@ -51,16 +51,16 @@
                 continue;
             };
             let tenant = session.identity.tenant().cloned();
-            let kind = (request.need.is_leader_only(), key.priority, tenant);
-            if hopeless.contains(&kind) {
+            let kind = (request.kind.requires_leader(), key.priority, tenant);
+            if unservable.contains(&kind) {
                 continue;
             }
             self.attempt_with(now, key.session, opening);
             if self
                 .waiting_request(key.session)
-                .is_some_and(|request| request.waits_for == WaitReason::NoConnection)
+                .is_some_and(|request| request.wait_reason == WaitReason::NoConnection)
             {
-                hopeless.insert(kind);
+                unservable.insert(kind);
             }
         }
     }
@@ -93,7 +93,7 @@
                 self.prepare(now, id, connection, floor);
             }
             Some(Choice::Wait(reason)) => self.enter_queue(now, id, reason),
-            Some(Choice::Exhausted) => self.exhausted(now, id),
+            Some(Choice::Exhausted) => self.no_backend_left(now, id),
             Some(Choice::Refuse(code, retry_after)) => {
                 self.leave_queue(id);
                 self.refuse_unless_sent(now, id, code, retry_after);
@@ -103,13 +103,13 @@
     }
 
     /// No back end is left to try; one that was tried may still answer.
-    fn exhausted(&mut self, now: Time, id: SessionId) {
+    fn no_backend_left(&mut self, now: Time, id: SessionId) {
         let Some(request) = self.sessions.get_mut(&id).and_then(|s| s.request.as_mut()) else {
             return;
         };
         match request.unanswered.first() {
             Some(connection) => request.stage = Stage::Sent(*connection),
-            None => self.give_up(now, id),
+            None => self.refuse_unsent(now, id),
         }
     }
 
@@ -135,7 +135,7 @@
         let Some(request) = self.sessions.get_mut(&id).and_then(|s| s.request.as_mut()) else {
             return;
         };
-        request.waits_for = reason;
+        request.wait_reason = reason;
         let key = WaitingKey::of(id, request);
         let is_over = now >= request.hold_ends;
         let queue = self
@@ -144,7 +144,7 @@
             .or_default();
         let is_full = queue.len() >= limit && !queue.contains(&key);
         if is_over || is_full {
-            self.exhausted(now, id);
+            self.no_backend_left(now, id);
         } else {
             queue.insert(key);
         }
@@ -162,4 +162,4 @@
 }
 
 /// Rounds of looking at waiting requests within one event; what changes after them waits for the next.
-const MOST_ROUNDS: usize = 4;
+const MAX_ROUNDS: usize = 4;
--- a/crates/stairward-engine/src/withholding.rs
+++ b/crates/stairward-engine/src/withholding.rs
@@ -7,7 +7,7 @@
 use crate::engine::Engine;
 use crate::identifiers::ConnectionId;
 use crate::reply::BackendReply;
-use crate::session::Need;
+use crate::session::RequestKind;
 
 impl Engine {
     /// Whether an answer to a command must wait until the lead of the one that gave it is confirmed.
@@ -38,9 +38,9 @@
         let Some((session, request)) = self.request_on(id) else {
             return false;
         };
-        match request.need {
-            Need::Write => true,
-            Need::Commit => self
+        match request.kind {
+            RequestKind::Write => true,
+            RequestKind::Commit => self
                 .sessions
                 .get(&session)
                 .is_some_and(|session| session.has_written()),
@@ -112,9 +112,9 @@
     /// The answer withheld on a connection is a replaced leader's: whether it is kept is not known.
     fn reject_withheld(&mut self, now: Time, id: ConnectionId) {
         if let Some((session, request)) = self.request_on(id) {
-            match request.need {
-                Need::Write => self.leave_unknown(now, session, ResultCode::FenceNotProved),
-                Need::Commit => self.lose_commit(now, session, ResultCode::FenceNotProved),
+            match request.kind {
+                RequestKind::Write => self.finish_unknown(now, session, ResultCode::FenceNotProved),
+                RequestKind::Commit => self.fail_commit(now, session, ResultCode::FenceNotProved),
                 _ => {}
             }
         }
