--- a/crates/stairward-engine/src/confirmation.rs
+++ b/crates/stairward-engine/src/confirmation.rs
@@ -1,5 +1,5 @@
-//! Keeping the lead of each service confirmed by its replicas. [`crate::leadership`] says what a replica's report proves,
-//! [`crate::withholding`] what is done with a leader's answers meanwhile.
+//! Keeps each service's leadership confirmed by its replicas. [`crate::leadership`] defines what a replica's
+//! report proves, and [`crate::withholding`] what happens to a leader's replies in the meantime.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -16,15 +16,15 @@
 use crate::reply::BackendReply;
 use crate::timers::Timer;
 
-/// The part of the lease after which a confirmation is renewed.
+/// Fraction of the lease after which a confirmation is renewed.
 const RENEWAL_DIVISOR: u32 = 2;
-/// The part of the lease after which a question without an answer is asked elsewhere.
+/// Fraction of the lease after which an unanswered query is sent to another member.
 const QUERY_TIMEOUT_DIVISOR: u32 = 5;
-/// The part of the lease after which a question that came to nothing is asked again.
+/// Fraction of the lease after which a failed query is repeated.
 const RETRY_DIVISOR: u32 = 20;
 
 impl Engine {
-    /// Whether what a leader answers now may be believed.
+    /// Whether a leader's replies may be trusted now.
     pub(crate) fn is_leadership_confirmed(
         &self,
         now: Time,
@@ -38,7 +38,7 @@
         else {
             return false;
         };
-        // Where no other member is listed, nobody can be promoted.
+        // If no other member is listed, no other can be promoted.
         let is_alone = || {
             self.other_members(group, leader).is_empty()
                 && !group.leadership.is_revoked(backend.term)
@@ -47,7 +47,7 @@
             && (group.leadership.is_confirmed(now, backend.term, lease) || is_alone())
     }
 
-    /// Whether a later term than a leader's may have begun.
+    /// Whether a later term than the leader's may have begun.
     pub(crate) fn is_leadership_revoked(&self, service: &ServiceName, leader: &BackendId) -> bool {
         let (Some(group), Some(backend)) = (self.groups.get(service), self.backends.get(leader))
         else {
@@ -60,8 +60,8 @@
             && (is_outdated || group.leadership.is_revoked(backend.term))
     }
 
-    /// The members besides a leader that may be promoted. One that is no longer listed can't be, unless the
-    /// leader is not listed either: then discovery itself may be behind.
+    /// The members other than the leader that may be promoted. An unlisted member can't be promoted, unless
+    /// the leader is unlisted too: then discovery itself may be out of date.
     fn other_members(&self, group: &Group, leader: &BackendId) -> BTreeSet<BackendId> {
         let is_listed =
             |id: &BackendId| self.backends.get(id).is_some_and(|member| member.is_listed);
@@ -73,7 +73,7 @@
             .collect()
     }
 
-    /// Asks replicas for their report when the last one grows old.
+    /// Queries replicas when the last confirmation is about to expire.
     pub(crate) fn renew_leadership_confirmation(
         &mut self,
         now: Time,
@@ -99,7 +99,7 @@
         }
     }
 
-    /// One that was just promoted may be known by its term as a replica only.
+    /// Queries a leader that was just promoted: this node may know only the term that it had as a replica.
     fn query_leader_term(&mut self, now: Time, service: &ServiceName, leader: &BackendId) {
         let (Some(lease), Some(group)) = (self.options.leadership_lease, self.groups.get(service))
         else {
@@ -117,8 +117,7 @@
         }
     }
 
-    /// Asks the node of the own region that knows most likely, where there is one; returns whether that may
-    /// be enough.
+    /// Queries the region's leadership source, if there is one; returns whether that may be sufficient.
     fn query_leadership_source(&mut self, now: Time, service: &ServiceName) -> bool {
         let (Some(lease), Some(source)) = (
             self.options.leadership_lease,
@@ -147,7 +146,7 @@
         may_be_enough
     }
 
-    /// Another node of the region asks for what is known of a lead: it is kept known from now on.
+    /// Another node of the region queries a service's leadership; this node keeps it confirmed from now on.
     pub(crate) fn leadership_queried(&mut self, now: Time, service: &ServiceName) {
         let Some(lease) = self.options.leadership_lease else {
             return;
@@ -168,7 +167,7 @@
         }
     }
 
-    /// Another node of the region said what it knows of a lead, from `age` before it was asked.
+    /// Applies what another node of the region knew `age` before it was queried.
     pub(crate) fn apply_peer_leadership(
         &mut self,
         now: Time,
@@ -178,7 +177,7 @@
         age: Duration,
     ) {
         if age > asked_at.since(Time::ZERO) {
-            // From before this node's clock began: it can't be dated here.
+            // The information predates the start of this node's clock and can't be dated.
             return;
         }
         if let Some(group) = self.groups.get_mut(service) {
@@ -189,7 +188,7 @@
         self.leadership_updated(now, service);
     }
 
-    /// Another node is about to have a replica promoted in this term.
+    /// Another node is about to promote a replica in this term.
     pub(crate) fn revoke_leadership(&mut self, now: Time, service: &ServiceName, term: Term) {
         let others = self.promotable_members(now, service);
         let lease = self.options.leadership_lease.unwrap_or_default();
@@ -199,7 +198,7 @@
         self.leadership_updated(now, service);
     }
 
-    /// Whoever was about to have a replica promoted is done.
+    /// The promotion attempt has ended.
     pub(crate) fn promotion_ended(&mut self, now: Time, service: &ServiceName) {
         if let Some(group) = self.groups.get_mut(service) {
             group.leadership.promotion_ended();
@@ -207,7 +206,7 @@
         self.leadership_updated(now, service);
     }
 
-    /// The members besides the present leader that may be promoted.
+    /// The members that may be promoted instead of the present leader.
     fn promotable_members(&self, now: Time, service: &ServiceName) -> BTreeSet<BackendId> {
         let leader = self.leader(now, service);
         let group = self.groups.get(service);
@@ -218,22 +217,22 @@
         }
     }
 
-    /// The newest term of a service that was seen in any answer.
+    /// The highest term of a service seen in any reply.
     #[must_use]
     pub fn newest_term(&self, service: &ServiceName) -> Term {
         let group = self.groups.get(service);
         group.map_or(Term::default(), |group| group.newest_term)
     }
 
-    /// What is known of a service's lead: the newest term that may have begun, and how long ago that was
-    /// asked.
+    /// What is known of a service's leadership: the highest term that may have begun, and the age of that
+    /// information.
     #[must_use]
     pub fn known_leadership(&self, now: Time, service: &ServiceName) -> Option<(Term, Duration)> {
         let (possible_term, asked_at) = self.groups.get(service)?.leadership.known()?;
         Some((possible_term, now.since(asked_at)))
     }
 
-    /// Asks the members of a group themselves.
+    /// Queries the members of the group directly: one while the leadership is confirmed, all otherwise.
     fn query_members(&mut self, now: Time, service: &ServiceName, leader: &BackendId) {
         let Some(lease) = self.options.leadership_lease else {
             return;
@@ -251,7 +250,7 @@
         }
     }
 
-    /// Asks the best of the other members, unless one is being asked.
+    /// Queries the best of the other members, unless a reply is awaited already.
     fn query_best_member(&mut self, now: Time, service: &ServiceName, leader: &BackendId) {
         let Some(lease) = self.options.leadership_lease else {
             return;
@@ -274,7 +273,7 @@
         }
     }
 
-    /// Asks all other members whose reports are not recency.
+    /// Queries all other members whose reports are not recent.
     fn query_all_members(&mut self, now: Time, service: &ServiceName, leader: &BackendId) {
         let Some(lease) = self.options.leadership_lease else {
             return;
@@ -284,7 +283,8 @@
             let Some(group) = self.groups.get(service) else {
                 return;
             };
-            // While a later term is awaited, the next report may tell that it has begun, or never will.
+            // While a later term is awaited, the next report may show that it has begun, or that it never
+            // will.
             let pause = lease / RETRY_DIVISOR;
             let is_due = !group.leadership.has_report_within(now, &id, pause)
                 && !group
@@ -297,7 +297,7 @@
         }
     }
 
-    /// Asks a member for its status; returns whether there was a connection for it. One is opened if not.
+    /// Queries a member's status; returns whether a connection was available. Otherwise one is opened.
     fn query_member(&mut self, now: Time, service: &ServiceName, id: &BackendId) -> bool {
         let Some(connection) =
             self.connection_to(now, id, &ConnectionRequest::for_internal_query())
@@ -325,7 +325,7 @@
         }
     }
 
-    /// The other members, best first: those that answer and owe no report, nearest first.
+    /// The other members, best first: healthy ones without an unanswered query, then by cost.
     fn other_members_by_cost(
         &self,
         now: Time,
@@ -353,7 +353,6 @@
         others.into_iter().map(|(_, _, _, id)| id).collect()
     }
 
-    /// A member that was asked for its status answered.
     pub(crate) fn handle_status_reply(
         &mut self,
         now: Time,
@@ -400,7 +399,7 @@
         self.record_member_report(now, service, id, report);
     }
 
-    /// A back end at whose address nothing listens can't have been promoted.
+    /// A back end that refuses connections can't have been promoted.
     pub(crate) fn handle_connection_refused(
         &mut self,
         now: Time,
@@ -435,30 +434,31 @@
         self.leadership_updated(now, service);
     }
 
-    /// More is known of a lead.
+    /// Acts on new knowledge of a service's leadership.
     fn leadership_updated(&mut self, now: Time, service: &ServiceName) {
         self.changed.insert(service.clone());
         self.report_leadership(now, service);
         self.recheck_withheld(now, service);
     }
 
-    /// A question for a status came to nothing.
+    /// A status query failed.
     pub(crate) fn status_query_failed(&mut self, now: Time, service: &ServiceName, id: &BackendId) {
-        // The others are asked at the next chance, this one again once its question would be late.
+        // The other members are queried at the next opportunity, this one after its query timeout.
         if let Some(group) = self.groups.get_mut(service) {
             group.leadership.query_failed(now, id);
         }
         self.schedule_query_retry(now, service);
     }
 
-    /// It is time to ask again, if somebody waits for it.
+    /// Repeats queries if any request or withheld reply depends on them.
     pub(crate) fn leadership_check_due(&mut self, now: Time, service: &ServiceName) {
         self.recheck_withheld(now, service);
         let is_withholding = !self.withheld(service).is_empty();
         if is_withholding || self.is_reported_revoked(service) {
             self.report_leadership(now, service);
         }
-        // What the duty was reported must not stand after it has ceased to be so, whether or not anybody asks.
+        // The failover duty must not keep a revocation that no longer holds, even if no request asks for the
+        // leader.
         let is_revoked = self.is_reported_revoked(service);
         if let Some(lease) = self.options.leadership_lease.filter(|_| is_revoked) {
             let again = now + lease / RENEWAL_DIVISOR;
@@ -478,13 +478,13 @@
         }
     }
 
-    /// Whether the last that was reported of a lead is that it was revoked.
+    /// Whether the last reported change is a revocation.
     fn is_reported_revoked(&self, service: &ServiceName) -> bool {
         let group = self.groups.get(service);
         group.is_some_and(|group| group.leadership.reported == Some(LeadershipChange::Revoked))
     }
 
-    /// Tells of a change in what is believed of a service's lead.
+    /// Reports a change in what is known of a service's leadership.
     pub(crate) fn report_leadership(&mut self, now: Time, service: &ServiceName) {
         let Some(lease) = self.options.leadership_lease else {
             return;
--- a/crates/stairward-engine/src/event.rs
+++ b/crates/stairward-engine/src/event.rs
@@ -1,4 +1,4 @@
-//! What goes into the engine and what comes out.
+//! Inputs and outputs of the engine: events, effects and the types that they carry.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -22,28 +22,28 @@
 /// Why a connection to a back end could not be opened.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OpenFailure {
-    /// Nothing listens there.
+    /// The connection was refused: nothing listens at the address.
     Refused,
-    /// No answer came in time.
+    /// The attempt timed out.
     TimedOut,
-    /// The back end has too many connections.
+    /// The back end's connection limit is reached.
     ConnectionLimit,
-    /// Another back end answers at this address.
+    /// A different back end answered at this address.
     WrongBackend,
-    /// It answered something else.
+    /// Any other failure.
     Other,
 }
 
-/// What the engine hears.
+/// An input to the engine.
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// A caller connected and asked for a database.
+    /// A caller connected and requested a database.
     SessionOpened {
         /// The new session.
         session: SessionId,
-        /// The database asked for.
+        /// The requested database.
         database: GroupId,
-        /// The key that the client carries.
+        /// The API key presented by the client.
         key: Option<ApiKey>,
     },
     /// A caller sent a statement.
@@ -53,12 +53,12 @@
         /// The statement.
         statement: Statement,
     },
-    /// A caller sent something that is not a statement; the session goes on.
+    /// A caller sent input that is not a valid statement. The session continues.
     InvalidStatement {
         /// Its session.
         session: SessionId,
     },
-    /// A caller is gone.
+    /// A caller disconnected.
     SessionClosed {
         /// Its session.
         session: SessionId,
@@ -67,62 +67,64 @@
     ConnectionOpened {
         /// The connection.
         connection: ConnectionId,
-        /// How far the back end's log had come.
+        /// The back end's log position when the connection opened.
         position: Option<Freshness>,
     },
     /// A connection could not be opened.
     OpenFailed {
         /// The connection.
         connection: ConnectionId,
-        /// Why.
+        /// The cause.
         failure: OpenFailure,
     },
-    /// A back end answered the oldest command without an answer on this connection.
+    /// A back end replied to the oldest unanswered command on this connection.
     Reply {
         /// The connection.
         connection: ConnectionId,
-        /// The answer.
+        /// The reply.
         reply: BackendReply,
     },
-    /// A connection ended, whoever closed it.
+    /// A connection ended, regardless of which side closed it.
     ConnectionLost {
         /// The connection.
         connection: ConnectionId,
     },
-    /// A configuration was learnt.
+    /// A configuration was received.
     ConfigurationChanged(Arc<RoutingTable>),
-    /// Discovery's whole present list.
+    /// The complete list of back ends from discovery.
     BackendsListed {
         /// The list.
         list: Vec<BackendDescription>,
-        /// What differs from the last list came about after this moment; none where that is not known.
+        /// The earliest time at which the differences from the previous list can have occurred; none if
+        /// unknown.
         since: Option<Time>,
     },
-    /// Discovery's list has changed. What differs came about after `since`, or at any time where that is not known.
+    /// Discovery's list changed. The differences occurred after `since`, or at any time if it is none.
     BackendsChanged {
-        /// What differs.
+        /// The differences.
         change: DiscoveryChange,
-        /// See above.
+        /// The earliest time at which the change can have occurred; none if unknown.
         since: Option<Time>,
     },
-    /// How many nodes share the back ends' connections.
+    /// The number of nodes that share the back ends' connections.
     NodeCountChanged(u32),
-    /// Who holds the connections of these services now; all others are as they were.
+    /// The nodes that hold the connections of these services. Other services are unchanged.
     HoldersChanged(BTreeMap<ServiceName, ServiceHolders>),
-    /// The region of each node that is seen.
+    /// The region of each visible node.
     NodeRegions(BTreeMap<NodeId, RegionName>),
-    /// The zones to whose back ends nothing is to be sent.
+    /// The complete set of evacuated zones; nothing may be sent to their back ends.
     EvacuatedZonesChanged {
-        /// All of them.
+        /// All evacuated zones.
         zones: BTreeSet<ZoneName>,
-        /// What differs from the last such word came about after this moment; none where that is not known.
+        /// The earliest time at which the differences from the previous set can have occurred; none if
+        /// unknown.
         since: Option<Time>,
     },
     /// Another node forwards a statement of one of its sessions.
     ForwardedRequest {
-        /// The session, by a number of this node.
+        /// The session, numbered by this node.
         session: SessionId,
-        /// The statement, with all of the session that it needs.
+        /// The statement and the session state that it needs.
         forwarded: Box<ForwardedRequest>,
     },
     /// A holder answered a statement that was forwarded to it.
@@ -131,234 +133,235 @@
         holder: NodeId,
         /// The session.
         session: SessionId,
-        /// The request's number, as it was forwarded.
+        /// The request number under which it was forwarded.
         request: u64,
         /// The answer.
         response: Response,
     },
-    /// A peer said how far the leader's log had come.
+    /// A peer reported the leader's log position.
     PeerPosition {
         /// The service.
         service: ServiceName,
         /// The position.
         freshness: Freshness,
-        /// When this node asked the peer.
+        /// When this node sent the query.
         asked_at: Time,
-        /// How old the peer's knowledge was when it answered, by its own clock.
+        /// The age of the peer's information when it answered, by the peer's clock.
         age: Duration,
     },
-    /// A replica is about to be promoted in this term: no leader of a lower one is to be believed any more.
+    /// A replica is about to be promoted in this term; leaders of lower terms are no longer trusted.
     LeadershipRevoked(ServiceName, Term),
-    /// Whoever was about to have a replica promoted is done, with or without a promotion.
+    /// The promotion attempt has ended, whether or not a replica was promoted.
     PromotionEnded(ServiceName),
-    /// Another node asks for what is known of a service's lead; see [`crate::Engine::known_leadership`].
+    /// Another node queries a service's leadership; see [`crate::Engine::known_leadership`].
     LeadershipQueried(ServiceName),
-    /// Another node said what it knows of a service's lead.
+    /// Another node reported what it knows of a service's leadership.
     PeerLeadership {
         /// The service.
         service: ServiceName,
-        /// The newest term that may have begun.
+        /// The highest term that may have begun.
         possible_term: Term,
-        /// When this node asked.
+        /// When this node sent the query.
         asked_at: Time,
-        /// How old the other's knowledge was when it answered, by its own clock.
+        /// The age of the other node's information when it answered, by that node's clock.
         age: Duration,
     },
-    /// A node that statements were forwarded to gave a sign of life.
+    /// A holder that statements were forwarded to has shown that it is alive.
     HolderAlive(NodeId),
-    /// The connection to a node that statements were forwarded to has ended.
+    /// The connection to a holder that statements were forwarded to has ended.
     HolderLost(NodeId),
-    /// A node that statements were to be forwarded to can't be reached: none of them was sent.
+    /// A holder could not be reached; none of the statements for it was sent.
     HolderUnreachable(NodeId),
-    /// The nodes that live, and those that have said that they leave.
+    /// The members of the fleet: live nodes and nodes that have announced that they leave.
     Members {
-        /// Nodes that live and don't leave, this one among them.
+        /// Live nodes that don't leave, including this one.
         live: BTreeSet<NodeId>,
         /// Nodes that leave.
         leaving: BTreeSet<NodeId>,
     },
-    /// How many nodes are on record; 0 where there is no record yet.
+    /// The recorded size of the fleet; 0 if none is recorded yet.
     FleetSizeRecorded(u32),
     /// A coordinator answered [`Effect::RequestLimitGrant`].
     LimitGranted(NodeId, Grant),
     /// The process is to stop.
     StopRequested,
-    /// Time has passed; see [`crate::Engine::next_wake`].
+    /// Time has advanced; see [`crate::Engine::next_wake`].
     Tick,
 }
 
 /// A command to a back end.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum BackendCommand {
-    /// Drop the connection's values and prepared names.
+    /// Clear the connection's session values and prepared statements.
     Reset,
-    /// Set a value.
+    /// Set a session value.
     SetValue {
         /// Its name.
         name: String,
         /// The value.
         value: String,
     },
-    /// Prepare a shape. Its name on the connection is derived from it, so that sessions can share it.
+    /// Prepare a statement. Its name on the connection is derived from its shape, so that sessions can share
+    /// it.
     Prepare(PreparedStatement),
-    /// Open a transaction.
+    /// Begin a transaction.
     Begin {
-        /// Whether only reads follow.
+        /// Whether the transaction is read-only.
         read_only: bool,
-        /// What the log must hold.
+        /// The log position that the back end must have reached.
         floor: Option<Freshness>,
     },
-    /// Undo the transaction.
+    /// Roll back the transaction.
     Rollback,
-    /// Say what it is, for [`BackendReply::member`].
+    /// Request the back end's status, returned in [`BackendReply::member`].
     QueryStatus,
-    /// Run a caller's statement, its text unchanged.
+    /// Run a caller's statement with its text unchanged.
     Run {
-        /// The caller's id.
+        /// The caller's statement id.
         id: String,
         /// The text.
         text: String,
-        /// What the log must hold.
+        /// The log position that the back end must have reached.
         floor: Option<Freshness>,
     },
     /// Run a prepared statement for a caller.
     Execute {
-        /// The caller's id.
+        /// The caller's statement id.
         id: String,
-        /// What was prepared.
+        /// The prepared statement.
         prepared: PreparedStatement,
         /// Opaque arguments.
         arguments: String,
-        /// What the log must hold.
+        /// The log position that the back end must have reached.
         floor: Option<Freshness>,
     },
 }
 
-/// What use of a back end shows about it.
+/// What the use of a back end shows about its state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BackendEvidence {
-    /// It answered.
+    /// It replied.
     Answered,
     /// Nothing listens at its address.
     Refused,
-    /// It has left a command or an opening without an answer for long.
+    /// A command or an opening has had no reply for longer than the silence timeout.
     Unresponsive,
-    /// It said that it does not lead.
+    /// It reported that it is not the leader.
     NotLeader,
-    /// It calls itself primary and lacks commits that it had answered with.
+    /// It reports itself as primary but lacks commits that it had acknowledged.
     LostLog,
-    /// It takes no more connections.
+    /// It accepts no more connections.
     ConnectionLimitReached,
 }
 
-/// What a node believes of a service's lead.
+/// A change in what a node knows of a service's leadership.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeadershipChange {
     /// A replica confirmed the leader.
     Confirmed,
     /// A replica waits for a later term than the leader's.
     Revoked,
-    /// The last confirmation has grown too old.
+    /// The last confirmation has expired.
     Lapsed,
 }
 
-/// Where to open a connection.
+/// The target of a new connection.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OpenTarget {
-    /// The back end that must answer.
+    /// The back end that must answer at the address.
     pub backend: BackendId,
     /// The service it belongs to.
     pub service: ServiceName,
     /// Its address.
     pub address: SocketAddr,
-    /// The tenant whose statements it is for; none for the system's own questions, and where tenants are not
-    /// told apart.
+    /// The tenant whose statements the connection carries; none for internal queries and where tenants are
+    /// not distinguished.
     pub tenant: Option<TenantName>,
 }
 
-/// What was decided about a request.
+/// A decision about a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Decision {
-    /// It goes to another back end.
+    /// It is retried on another back end.
     Retried,
-    /// It is also sent to a second back end, since the first is slow.
+    /// It is also sent to a second back end because the first is slow.
     Hedged,
-    /// It was refused as not run.
+    /// It was refused without having run.
     Refused(ResultCode),
-    /// It ended with its outcome unknown.
+    /// It ended with an unknown outcome.
     OutcomeUnknown(ResultCode),
 }
 
-/// A decision that touches a request, for the log.
+/// A log record of a decision about a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RequestRecord {
     /// The caller's id of the statement.
     pub id: String,
     /// The service.
     pub service: Option<ServiceName>,
-    /// The tenant whose client it is.
+    /// The client's tenant.
     pub tenant: Option<TenantName>,
-    /// When a refused client is told to come back.
+    /// When a refused client should retry.
     pub retry_after: Option<Duration>,
     /// The back end concerned.
     pub backend: Option<BackendId>,
-    /// What was decided.
+    /// The decision.
     pub decision: Decision,
-    /// How often it had been sent.
+    /// How often the request had been sent.
     pub attempts: u32,
-    /// How long ago it had come.
+    /// Time since the request arrived.
     pub age: Duration,
-    /// How old the newest proof of the leader's position is.
+    /// Age of the newest proof of the leader's position.
     pub proof_age: Option<Duration>,
 }
 
-/// How a request ended, for metrics.
+/// Measurement of a finished request, for metrics.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RequestMeasurement {
-    /// What reads of its route must see.
+    /// The read consistency of its route.
     pub consistency: Consistency,
-    /// Whether it could write.
+    /// Whether it reads or writes.
     pub access: AccessClass,
-    /// Whether it ran.
+    /// The class of its outcome.
     pub outcome: OutcomeClass,
-    /// The role of the back end that answered; none where none did.
+    /// The role of the back end that answered; none if no back end did.
     pub served_by: Option<BackendRole>,
-    /// From its arrival to its answer.
+    /// Time from the request's arrival to its response.
     pub latency: Duration,
 }
 
-/// What the engine wants done.
+/// An action for the engine's driver to carry out.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Effect {
-    /// The session is accepted.
+    /// Accept the session.
     AcceptSession {
         /// The session.
         session: SessionId,
     },
-    /// The session is refused and ends.
+    /// Refuse the session and close it.
     RefuseSession {
         /// The session.
         session: SessionId,
-        /// Why.
+        /// The reason.
         code: ResultCode,
     },
-    /// Answer a session's oldest statement without an answer.
+    /// Answer a session's oldest unanswered statement.
     Respond {
         /// The session.
         session: SessionId,
         /// The answer.
         response: Response,
     },
-    /// End a session that is at rest.
+    /// Close a session.
     CloseSession {
         /// The session.
         session: SessionId,
     },
     /// Open a connection.
     Open {
-        /// The connection's number.
+        /// The number of the new connection.
         connection: ConnectionId,
-        /// Where to.
+        /// The target.
         target: OpenTarget,
     },
     /// Send a command.
@@ -373,36 +376,36 @@
         /// The connection.
         connection: ConnectionId,
     },
-    /// Use of a back end showed something about it.
+    /// The use of a back end showed something about its state.
     BackendObserved {
         /// The back end.
         backend: BackendId,
-        /// What was shown.
+        /// What it showed.
         evidence: BackendEvidence,
     },
-    /// Ask another node what it knows of a service's lead.
+    /// Query another node for a service's leadership.
     QueryLeadership {
         /// The node.
         holder: NodeId,
         /// The service.
         service: ServiceName,
     },
-    /// What this node believes of a service's lead has changed.
+    /// This node's knowledge of a service's leadership changed.
     LeadershipObserved {
         /// The service.
         service: ServiceName,
         /// The leader.
         leader: BackendId,
-        /// What is believed now.
+        /// The change.
         change: LeadershipChange,
         /// The leader's term.
         term: Term,
-        /// The newest term that the replica asked last follows or waits for.
+        /// The highest term that the last queried replica follows or waits for.
         awaited: Option<Term>,
-        /// How long ago that replica was asked.
+        /// Time since that replica was queried.
         age: Option<Duration>,
     },
-    /// Ask peers how far the leader's log had come.
+    /// Query peers for the leader's log position.
     QueryPosition {
         /// The service.
         service: ServiceName,
@@ -418,67 +421,67 @@
         /// The statement.
         forwarded: ForwardedRequest,
     },
-    /// Ask a node that statements were forwarded to for a sign of life.
+    /// Ask a holder that statements were forwarded to for a liveness reply.
     PingHolder {
         /// The node.
         holder: NodeId,
     },
-    /// A node that statements were forwarded to gives no sign of life, or gives one again.
+    /// A holder that statements were forwarded to stopped answering, or answers again.
     HolderLivenessChanged {
         /// The node.
         holder: NodeId,
-        /// Whether it gives none.
+        /// Whether it has stopped answering.
         is_silent: bool,
     },
-    /// Tell a node that a session has ended whose statements were forwarded to it.
+    /// Tell a holder that a session whose statements were forwarded to it has ended.
     CloseForwardedSession {
         /// The node.
         holder: NodeId,
         /// The session.
         session: SessionId,
     },
-    /// Ask a coordinator for operations of tenants with a limit.
+    /// Request a grant of operations for tenants with a limit from a coordinator.
     RequestLimitGrant(NodeId, Ask),
-    /// Record how many nodes there may be, where all nodes read it.
+    /// Record the size of the fleet where all nodes read it.
     RecordFleetSize(u32),
-    /// A coordinator of tenants' limits did not answer: another is asked from now on.
+    /// A coordinator of tenant limits did not answer; another one is used from now on.
     CoordinatorChanged {
         /// The group of tenants.
         shard: Shard,
-        /// The one that did not answer.
+        /// The coordinator that did not answer.
         silent: NodeId,
-        /// The one that is asked now; this node itself where no other answers.
+        /// The new coordinator; this node itself if no other answers.
         now: Option<NodeId>,
     },
-    /// A zone is evacuated, or is no longer, as this node has heard.
+    /// A zone was evacuated or returned to service, as seen by this node.
     EvacuationObserved {
         /// The zone.
         zone: ZoneName,
         /// Whether it is evacuated.
         is_evacuated: bool,
     },
-    /// A back end leaves, is there to stay again, or gets no more work.
+    /// A back end started to leave, cancelled leaving, or gets no more work.
     LeavingObserved {
         /// The back end.
         backend: BackendId,
-        /// What is known.
+        /// The change.
         change: LeavingChange,
     },
-    /// A back end's process has started again under its id.
+    /// A back end's process has restarted under the same id.
     RestartObserved {
         /// The back end.
         backend: BackendId,
     },
-    /// A back end is cold, or is no longer.
+    /// A back end became cold (just started) or warm.
     WarmUpObserved {
         /// The back end.
         backend: BackendId,
-        /// For how much longer; none once it is warm.
+        /// Remaining time until it is warm; none once it is warm.
         left: Option<Duration>,
     },
-    /// A decision for the log.
+    /// Log a decision about a request.
     Record(RequestRecord),
-    /// A request has ended.
+    /// Record the metrics of a finished request.
     Measured(RequestMeasurement),
     /// The planned stop is complete.
     Stopped,
--- a/crates/stairward-engine/src/leadership.rs
+++ b/crates/stairward-engine/src/leadership.rs
@@ -1,12 +1,13 @@
-//! What a node knows of a service's lead, where an old leader may go on after another was promoted.
+//! What a node knows of a service's leadership when a deposed leader may keep answering after another one was
+//! promoted.
 //!
-//! Whoever replaces a leader that can't be asked to step down first puts all replicas on hold for the next
-//! term, and then waits one lease. The holds end when the promotion takes effect. So
+//! A node that replaces a leader that can't be asked to step down first puts all replicas on hold for the
+//! next term, and then waits one lease. The holds end when the promotion takes effect. Therefore:
 //!
-//! * two reports of replicas, the second heard less than a lease after the first was asked for, can't lie on
-//!   both sides of such a promotion: if neither speaks of a later term, none was begun between them;
-//! * a report that speaks of a later term says that this term may begin at any time from then on;
-//! * reports of *all* other members, each asked for less than a lease ago, tell all there is to know.
+//! * Two replica reports, the second received less than a lease after the first was requested, can't lie on
+//!   both sides of such a promotion: if neither mentions a later term, no promotion began between them.
+//! * A report that mentions a later term means that this term may begin at any time from then on.
+//! * Reports of *all* other members, each requested less than a lease ago, give complete knowledge.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -15,58 +16,60 @@
 
 use crate::event::LeadershipChange;
 
-/// How long an attempt to replace a leader may take, in leases.
+/// Longest duration of an attempt to replace a leader, in leases.
 const ATTEMPT_IN_LEASES: u32 = 3;
 
-/// A member's report on which term it follows or waits for.
+/// A member's report of the term that it follows or waits for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct MemberReport {
-    /// The newest term that it follows or waits for.
+    /// The highest term that it follows or waits for.
     pub awaited: Term,
-    /// When it was asked.
+    /// When the report was requested.
     pub asked_at: Time,
-    /// Whether it can be put on hold, as a replica can.
+    /// Whether the member can be put on hold; only replicas can.
     pub can_be_held: bool,
-    /// Whether the member said it itself. Otherwise nothing listens at its address.
+    /// Whether the member itself sent the report. Otherwise nothing listens at its address.
     pub is_from_member: bool,
 }
 
-/// A query to a member that has no answer.
+/// A status query without a reply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct StatusQuery {
     asked_at: Time,
-    /// Whether the member refused it, or its connection was lost.
+    /// Whether the member refused the query or its connection was lost.
     has_failed: bool,
 }
 
-/// What is known of a service's lead.
+/// What is known of a service's leadership.
 #[derive(Debug, Default)]
 pub(crate) struct Leadership {
-    /// The newest term that may have begun; none when that is not known.
+    /// The highest term that may have begun; none if unknown.
     possible_term: Option<Term>,
-    /// When the report was asked for by which `possible_term` was last known.
+    /// When the report that last confirmed `possible_term` was requested.
     confirmed_at: Time,
-    /// The newest term that was ever said to be about to begin. It may have begun, and whoever led it may be out
-    /// of reach since: only reports of all who may have led it show that it did not.
+    /// The highest term that was ever announced. It may have begun, and its leader may be unreachable since;
+    /// only reports of all possible leaders show that it did not begin.
     announced_term: Term,
-    /// Until when reports can't show that the announced_term term did not begin, since its promotion may be under way.
+    /// Until this time the promotion to the announced term may be in progress, so reports can't show that it
+    /// did not begin.
     announced_until: Time,
-    /// The members that may have been promoted in that term.
+    /// The members that may have been promoted in the announced term.
     candidates: BTreeSet<BackendId>,
-    /// Each member's last report.
+    /// The last report of each member.
     reports: BTreeMap<BackendId, MemberReport>,
-    /// Members that owe a report.
+    /// Queries without a reply, by member.
     pending_queries: BTreeMap<BackendId, StatusQuery>,
-    /// Since when another node has been asked without coming to know enough.
+    /// Since when the leadership source has been queried without sufficient information.
     source_queried_since: Option<Time>,
-    /// When it was last asked.
+    /// When the source was last queried.
     source_last_queried_at: Option<Time>,
-    /// What was last reported of it.
+    /// The change that was last reported to the engine's driver.
     pub reported: Option<LeadershipChange>,
 }
 
 impl Leadership {
-    /// Takes a member's report in, heard now. `others` are the members besides the leader that may be promoted.
+    /// Records a member's report received at `now`. `others` are the members that may be promoted instead of
+    /// the leader.
     pub fn record_report(
         &mut self,
         now: Time,
@@ -102,14 +105,14 @@
         others: &BTreeSet<BackendId>,
     ) {
         if term > self.announced_term {
-            // Longer than the attempt that announces it may take.
+            // Longer than the announcing attempt may take.
             self.announced_until = now + lease * ATTEMPT_IN_LEASES;
             self.announced_term = term;
             self.candidates.extend(others.iter().cloned());
         }
     }
 
-    /// A term that was announced_term did not begin, if none of those who may have led it knows of it.
+    /// Drops an announced term once fresh reports of all possible leaders show that it did not begin.
     fn review_announced_term(&mut self, now: Time, lease: Duration, awaited: Term) {
         let is_recent = |id: &BackendId| {
             self.reports
@@ -123,7 +126,7 @@
         }
     }
 
-    /// All other members' reports together, if each is recency enough.
+    /// Derives the possible term from the reports of all other members, if each is recent enough.
     fn update_from_all_reports(
         &mut self,
         now: Time,
@@ -151,7 +154,7 @@
         }
     }
 
-    /// Whether a later term than this may have begun, as far as is known.
+    /// Whether a term later than `term` may have begun.
     pub fn is_revoked(&self, term: Term) -> bool {
         self.announced_term > term
             || self
@@ -159,7 +162,7 @@
                 .is_some_and(|possible_term| possible_term > term)
     }
 
-    /// Whether no later term than this can have begun, by reports that were asked for less than `age` ago.
+    /// Whether no term later than `term` can have begun, based on reports requested less than `age` ago.
     pub fn is_confirmed(&self, now: Time, term: Term, age: Duration) -> bool {
         let is_recent = now < self.confirmed_at + age && self.announced_term <= term;
         is_recent
@@ -168,13 +171,13 @@
                 .is_some_and(|possible_term| possible_term <= term)
     }
 
-    /// The newest term that may have begun, and when that was asked.
+    /// The highest term that may have begun, and when the underlying report was requested.
     pub fn known(&self) -> Option<(Term, Time)> {
         let possible_term = self.possible_term?;
         Some((possible_term.max(self.announced_term), self.confirmed_at))
     }
 
-    /// A later term may begin from now on, led by one of these.
+    /// A later term, led by one of `others`, may begin from now on.
     pub fn revoke(&mut self, now: Time, lease: Duration, term: Term, others: &BTreeSet<BackendId>) {
         self.record_announced_term(now, lease, term, others);
         if term == self.announced_term {
@@ -185,12 +188,12 @@
             .map(|possible_term| possible_term.max(term));
     }
 
-    /// Whoever announced_term a term is done, with or without a promotion.
+    /// The attempt that announced a term has ended, with or without a promotion.
     pub fn promotion_ended(&mut self) {
         self.announced_until = Time::ZERO;
     }
 
-    /// Takes in what another node knows, if it was asked later than what is known here.
+    /// Adopts another node's knowledge if it is newer than the local knowledge.
     pub fn record_peer_knowledge(&mut self, possible_term: Term, asked_at: Time) {
         if asked_at > self.confirmed_at || self.possible_term.is_none() {
             self.possible_term = Some(possible_term);
@@ -198,14 +201,15 @@
         }
     }
 
-    /// Whether pending_queries another node may still be enough: it is, unless that has led to nothing for `timeout`.
+    /// Whether querying the source is still sufficient: it is, unless queries have been fruitless for
+    /// `timeout`.
     pub fn may_query_source(&mut self, now: Time, recency: Duration, timeout: Duration) -> bool {
         let is_recent = now < self.confirmed_at + recency;
         if is_recent {
             self.source_queried_since = None;
         }
         let since = *self.source_queried_since.get_or_insert(now);
-        // A try of long ago is over: this is another one.
+        // An old series of queries is over; start a new one.
         if now >= since + timeout * 2 {
             self.source_queried_since = Some(now);
             return true;
@@ -213,7 +217,7 @@
         now < since + timeout
     }
 
-    /// Notes that another node is asked; returns false when that was done less than `pause` ago.
+    /// Records that the source is queried; returns false if the last query is less than `pause` ago.
     pub fn record_source_query(&mut self, now: Time, pause: Duration) -> bool {
         let is_due = self
             .source_last_queried_at
@@ -224,7 +228,6 @@
         is_due
     }
 
-    /// Notes that a member was asked.
     pub fn record_query(&mut self, now: Time, member: &BackendId) {
         let query = StatusQuery {
             asked_at: now,
@@ -233,7 +236,7 @@
         self.pending_queries.insert(member.clone(), query);
     }
 
-    /// Notes that a query came to nothing.
+    /// Records that a query failed.
     pub fn query_failed(&mut self, now: Time, member: &BackendId) {
         if let Some(query) = self.pending_queries.get_mut(member) {
             query.asked_at = now;
@@ -241,25 +244,24 @@
         }
     }
 
-    /// Whether a member was asked less than `timeout` ago and has not answered; a query that came to
-    /// nothing counts, too.
+    /// Whether a member was queried less than `timeout` ago without a reply; failed queries count too.
     pub fn was_queried_within(&self, now: Time, member: &BackendId, timeout: Duration) -> bool {
         let query = self.pending_queries.get(member);
         query.is_some_and(|query| now < query.asked_at + timeout)
     }
 
-    /// Whether a member was asked less than `timeout` ago and may yet answer.
+    /// Whether a member was queried less than `timeout` ago and may still reply.
     pub fn is_reply_awaited(&self, now: Time, member: &BackendId, timeout: Duration) -> bool {
         let query = self.pending_queries.get(member);
         query.is_some_and(|query| !query.has_failed && now < query.asked_at + timeout)
     }
 
-    /// Whether the last query to a member came to nothing so far.
+    /// Whether the last query to a member has had no reply.
     pub fn owes_report(&self, member: &BackendId) -> bool {
         self.pending_queries.contains_key(member)
     }
 
-    /// Whether a member's report was asked for less than `age` ago.
+    /// Whether a member's report was requested less than `age` ago.
     pub fn has_report_within(&self, now: Time, member: &BackendId, age: Duration) -> bool {
         let report = self.reports.get(member);
         report.is_some_and(|report| now < report.asked_at + age)
--- a/crates/stairward-engine/src/lib.rs
+++ b/crates/stairward-engine/src/lib.rs
@@ -1,8 +1,9 @@
-//! The statement-level engine of one node: sessions, transactions, freshness floors, the choice of back
-//! end, retries, hold and outcome, and on the back-end side admission, connection state and reset.
+//! The statement-level engine of one node: sessions, transactions, freshness floors, back-end selection,
+//! retries, request queueing and outcomes; and, towards the back ends, admission, connection state and reset.
 //!
-//! Everything here is pure: [`Engine::handle`] takes the time and an [`Event`] and returns [`Effect`]s.
-//! Statements are opaque text with a class; no protocol is known here.
+//! The engine performs no I/O: [`Engine::handle`] takes the current time and an [`Event`] and returns the
+//! [`Effect`]s to carry out. Statements are opaque text with an access class; the engine knows no wire
+//! protocol.
 
 #![forbid(unsafe_code)]
 
--- a/crates/stairward-engine/src/replies.rs
+++ b/crates/stairward-engine/src/replies.rs
@@ -1,4 +1,4 @@
-//! What back ends answer.
+//! Handling of replies from back ends.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 use crate::reply::{BackendError, BackendErrorCode, BackendReply, Response, ResponseResult};
 use crate::session::{OpenTransaction, Request, RequestKind, Stage, Transaction, WaitReason};
 
-/// When a caller refused by full back ends should come back.
+/// Retry delay for callers refused by overloaded back ends.
 const RETRY_BUSY: Duration = Duration::from_millis(200);
 
 impl Engine {
@@ -22,7 +22,7 @@
             return;
         };
         let Some(sent) = connection.sent.pop_front() else {
-            // An answer that nothing was asked for.
+            // A reply without a command.
             return self.drop_connection(now, id);
         };
         let backend_id = connection.backend.clone();
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Takes in an answer that may be believed.
+    /// Processes a reply that may be trusted.
     pub(crate) fn process_reply(
         &mut self,
         now: Time,
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Takes the position in an answer of a leader for a proof, if its lead is confirmed.
+    /// Records the position in a leader's reply as proof, if its leadership is confirmed.
     fn record_leader_position(
         &mut self,
         now: Time,
@@ -130,7 +130,7 @@
         self.changed.insert(service);
     }
 
-    /// The request that uses a connection, if it is still the session's request.
+    /// The request that uses a connection, if it is still the session's current request.
     pub(crate) fn request_on(&self, id: ConnectionId) -> Option<(SessionId, &Request)> {
         let connection = self.connections.get(&id)?;
         let Some(User::Session(session, number)) = connection.user else {
@@ -140,7 +140,7 @@
         (request.number == number).then_some((session, request))
     }
 
-    /// A connection is set up: its user's statement is sent, or its start of a transaction is done.
+    /// A connection is set up: sends its user's statement, or completes the start of its transaction.
     fn connection_ready(&mut self, now: Time, id: ConnectionId) {
         let Some(connection) = self.connections.get(&id) else {
             return;
@@ -172,7 +172,7 @@
         }
     }
 
-    /// Whether a request would begin work on a back end that may no longer be used: the set-up took until then.
+    /// Whether a request would start on a back end that became unusable while the connection was set up.
     fn starts_after_drain(&self, now: Time, id: ConnectionId, kind: RequestKind) -> bool {
         let begins = matches!(
             kind,
@@ -181,7 +181,7 @@
         begins && self.is_backend_unusable(now, id)
     }
 
-    /// A request's connection was set up too late: its back end takes nothing any more.
+    /// A request's back end became unusable while the connection was set up.
     fn release_unusable(&mut self, now: Time, session: SessionId, id: ConnectionId) {
         let kind = self.request_on(id).map(|(_, request)| request.kind);
         self.free_connection(now, id);
@@ -222,7 +222,7 @@
         self.finish(now, session_id, response);
     }
 
-    /// Lets go of the other connections on which the same request was sent.
+    /// Releases the other connections on which the same request was sent.
     fn abandon_other_attempts(&mut self, session: SessionId, answered: ConnectionId) {
         let Some(request) = self
             .sessions
@@ -238,7 +238,7 @@
         }
     }
 
-    /// The set-up of a connection was refused by its back end; nothing of the request ran.
+    /// The back end refused the set-up of a connection; nothing of the request ran.
     fn setup_refused(&mut self, now: Time, id: ConnectionId, error: &BackendError) {
         let is_probe = self
             .connections
@@ -258,7 +258,7 @@
         }
     }
 
-    /// Learns from a refusal about the back end behind a connection.
+    /// Updates the back end's state from a refusal.
     fn record_refusal(&mut self, now: Time, id: ConnectionId, code: BackendErrorCode) {
         let Some(connection) = self.connections.get(&id) else {
             return;
@@ -282,7 +282,7 @@
         }
     }
 
-    /// A request that has not run on a connection goes to another back end, or ends.
+    /// Retries a request that has not run on a connection, or ends it.
     pub(crate) fn retry_on_other_backend(
         &mut self,
         now: Time,
@@ -300,7 +300,7 @@
         };
         request.unanswered.remove(&connection);
         if !request.unanswered.is_empty() {
-            // The other connection that it was sent on may still answer.
+            // The other connection on which it was sent may still answer.
             return;
         }
         let requires_leader = request.kind.requires_leader();
@@ -335,8 +335,8 @@
         self.attempt(now, session);
     }
 
-    /// A copy was behind what a read must see. Where connections lie with the holders beside each back end, the read
-    /// goes to one beside the leader; a forwarded one by way of its client's node.
+    /// A replica lagged behind the read's floor. Where connections are held per zone, the read goes to a
+    /// holder in the leader's zone; a forwarded read goes back to its client's node first.
     fn handle_stale_copy(&mut self, now: Time, id: SessionId, backend: Option<BackendId>) {
         let Some(session) = self.sessions.get_mut(&id) else {
             return;
@@ -365,7 +365,7 @@
         self.free_connection(now, id);
     }
 
-    /// Makes a connection idle, undoing what is open on it first.
+    /// Makes a connection idle, rolling back its open transaction first.
     pub(crate) fn free_connection(&mut self, now: Time, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
@@ -429,7 +429,7 @@
         self.backends.get_mut(&connection.backend).map(Box::as_mut)
     }
 
-    /// A statement by itself was answered.
+    /// A statement outside a transaction was answered.
     fn handle_single_reply(
         &mut self,
         now: Time,
@@ -464,7 +464,7 @@
         self.respond_with_reply(now, session, reply, TransactionStatus::Idle);
     }
 
-    /// A write was acknowledged by the leader: the session must see it from now on.
+    /// The leader acknowledged a write, which the session must see from now on.
     fn committed(
         &mut self,
         now: Time,
@@ -530,14 +530,13 @@
         self.respond_with_reply(now, session_id, reply, TransactionStatus::Failed);
     }
 
-    /// Whether the open transaction on a connection is one that only the leader goes on with.
+    /// Whether the transaction open on a connection was begun as a leader transaction.
     fn is_leader_transaction(&self, id: ConnectionId) -> bool {
         self.connections
             .get(&id)
             .is_some_and(|connection| connection.is_leader_transaction)
     }
 
-    /// A commit was answered.
     fn handle_commit_reply(
         &mut self,
         now: Time,
--- a/crates/stairward-engine/src/withholding.rs
+++ b/crates/stairward-engine/src/withholding.rs
@@ -1,5 +1,5 @@
-//! Withholding what a leader answers until its lead is confirmed: it is passed on once it is, and ends with its
-//! outcome unknown, or goes elsewhere, once another is known to lead.
+//! Withholds a leader's replies until its leadership is confirmed. A confirmed reply is passed on. Once
+//! another member is known to lead, the request ends with an unknown outcome or is retried.
 
 use stairward_types::{BackendId, ResultCode, ServiceName, Time};
 
@@ -10,7 +10,7 @@
 use crate::session::RequestKind;
 
 impl Engine {
-    /// Whether an answer to a command must wait until the lead of the one that gave it is confirmed.
+    /// Whether a reply must wait until its sender's leadership is confirmed.
     fn must_withhold(
         &self,
         now: Time,
@@ -33,7 +33,7 @@
             && !self.is_leadership_confirmed(now, &connection.service, &connection.backend)
     }
 
-    /// Whether the statement on a connection, if it succeeds, keeps a write.
+    /// Whether the statement on a connection commits a write if it succeeds.
     fn is_commit(&self, id: ConnectionId) -> bool {
         let Some((session, request)) = self.request_on(id) else {
             return false;
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Withholds an answer that can't be believed yet; gives it back when it can.
+    /// Withholds a reply that can't be trusted yet; returns it if it can.
     pub(crate) fn withhold(
         &mut self,
         now: Time,
@@ -80,7 +80,7 @@
         connections.filter(is_withholding).collect()
     }
 
-    /// Lets go of withheld answers whose leader is confirmed, and ends those whose leader was replaced.
+    /// Releases withheld replies of confirmed leaders, and ends those of replaced leaders.
     pub(crate) fn recheck_withheld(&mut self, now: Time, service: &ServiceName) {
         for id in self.withheld(service) {
             let Some(connection) = self.connections.get_mut(&id) else {
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Whether a later term than a leader's has begun.
+    /// Whether a later term than the leader's has begun.
     fn is_leader_replaced(&self, service: &ServiceName, leader: &BackendId) -> bool {
         let (Some(group), Some(backend)) = (self.groups.get(service), self.backends.get(leader))
         else {
@@ -109,7 +109,7 @@
         group.newest_term > backend.term
     }
 
-    /// The answer withheld on a connection is a replaced leader's: whether it is kept is not known.
+    /// Ends a request whose withheld reply came from a replaced leader: its outcome is unknown.
     fn reject_withheld(&mut self, now: Time, id: ConnectionId) {
         if let Some((session, request)) = self.request_on(id) {
             match request.kind {
