--- a/crates/stairward-engine/src/choice.rs
+++ b/crates/stairward-engine/src/choice.rs
@@ -1,4 +1,4 @@
-//! The choice of a back end and of a connection for a request.
+//! Selection of a back end and a connection for a request.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,45 +15,45 @@
 use crate::session::{Request, Session, WaitReason};
 use crate::timers::Timer;
 
-/// A connection that has been opening for longer than this is no longer waited for.
+/// How long requests wait for a connection that is being opened before another back end is considered.
 const OPENING_WAIT: Duration = Duration::from_millis(150);
-/// Connections to one back end that are opened at once.
+/// Maximum number of connections to one back end that are opened concurrently.
 const MAX_CONCURRENT_OPENINGS: usize = 3;
-/// How long an opening may take before its back end counts as silent.
+/// Time after which a pending opening makes its back end count as silent.
 const OPENING_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// When a client should come back whose leader is in another region than its work is allowed in: it is moved, in
-/// about the time of a planned replacement.
+/// Retry delay for a client whose leader is outside the regions allowed for its work. The leader is moved,
+/// which takes about as long as a planned replacement.
 const RETRY_LEADER_ELSEWHERE: Duration = Duration::from_millis(500);
 
-/// What the choice came to.
+/// Result of the selection.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Choice {
-    /// An idle connection, and what the log behind it must hold.
+    /// Use this idle connection; the back end must have reached the floor, if any.
     Use(ConnectionId, Option<Freshness>),
-    /// Nothing yet.
+    /// Wait; nothing suitable is available yet.
     Wait(WaitReason),
-    /// Every back end that could have taken it has refused it.
+    /// All suitable back ends have refused the request.
     Exhausted,
-    /// It can't be served here or now, and waiting would not help.
+    /// Refuse the request: it can't be served, and waiting would not help.
     Refuse(ResultCode, Option<Duration>),
 }
 
-/// Whether a connection may be opened where none that is idle suits.
+/// Whether a connection may be opened if no idle one is suitable.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Opening {
-    /// One is.
+    /// A connection may be opened.
     Allowed,
-    /// None is, and no other gives way.
+    /// No connection may be opened, and no idle one is closed to make room.
     Forbidden,
 }
 
-/// Which connections suit a use.
+/// Which connections are suitable, by tenant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum TenantFilter<'a> {
-    /// Any: the system's own questions run nothing of a tenant's.
+    /// Any connection: internal queries run no statement of a tenant.
     Any,
-    /// Those that were opened for this tenant, or for none.
+    /// Connections opened for this tenant, or for no tenant.
     For(Option<&'a TenantName>),
 }
 
@@ -65,7 +65,7 @@
         }
     }
 
-    /// For whom a connection would be opened.
+    /// The tenant for which a new connection would be opened.
     const fn tenant(self) -> Option<&'a TenantName> {
         match self {
             Self::Any => None,
@@ -74,20 +74,20 @@
     }
 }
 
-/// A connection that is wanted.
+/// Requirements for a connection.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ConnectionRequest<'a> {
     pub tenant_filter: TenantFilter<'a>,
-    /// The values that should be set on it.
+    /// Session values that should be set on it.
     pub values: &'a BTreeMap<String, String>,
     pub opening: Opening,
 }
 
-/// The values of a connection that carries questions of the system's own.
+/// Session values for internal queries: none.
 static NO_VALUES: BTreeMap<String, String> = BTreeMap::new();
 
 impl ConnectionRequest<'static> {
-    /// Any connection, for a question of the system's own.
+    /// Requirements of an internal query: any connection will do.
     pub const fn for_internal_query() -> Self {
         Self {
             tenant_filter: TenantFilter::Any,
@@ -98,8 +98,8 @@
 }
 
 impl Engine {
-    /// The back end believed to lead: of those that call themselves primary and have not denied it, the
-    /// one that was announced last.
+    /// The assumed leader: of the back ends that report themselves as primary and have not denied it, the one
+    /// announced last.
     pub(crate) fn leader(&self, now: Time, service: &ServiceName) -> Option<BackendId> {
         let group = self.groups.get(service)?;
         let candidates = group.members.iter().filter_map(|id| {
@@ -115,7 +115,7 @@
         candidates.max().map(|(_, _, id)| id.clone())
     }
 
-    /// Chooses where a request goes, opening connections where that helps and may be done.
+    /// Selects a connection for a request, opening connections where useful and allowed.
     pub(crate) fn choose(
         &mut self,
         now: Time,
@@ -164,7 +164,8 @@
             return Choice::Wait(WaitReason::NoLeader);
         }
         if is_silent {
-            // What is sent there now would most likely end unknown. A probe shows when it is back.
+            // A statement sent now would most likely end with an unknown outcome. The probe detects when the
+            // leader is back.
             self.keep_proof_fresh(now, service, Duration::ZERO);
             return Choice::Wait(WaitReason::NoLeader);
         }
@@ -205,7 +206,7 @@
                 return Choice::Use(connection, Some(floor));
             }
             if self.backends.get(&id).is_some_and(|copy| copy.is_silent) {
-                // One that does not answer is not worth waiting for.
+                // Don't wait for a back end that doesn't answer.
                 continue;
             }
             reason = Some(WaitReason::NoConnection);
@@ -221,7 +222,8 @@
         }
     }
 
-    /// The copies that may answer a read, best first. One without a connection that suits costs an opening more.
+    /// The back ends that may answer a read, best first. The cost includes an opening if no suitable
+    /// connection is idle.
     fn read_candidates(
         &self,
         now: Time,
@@ -239,7 +241,7 @@
                 let backend = self.backends.get(id)?;
                 let is_usable =
                     backend.is_usable(now) && request.residency.allows(backend.region.as_ref());
-                // Without tenants nearly every connection suits, and one is soon idle.
+                // Without tenants nearly every connection is suitable and soon idle.
                 let is_connected = tenant_filter.tenant().is_none()
                     || self
                         .idle_connections(backend)
@@ -252,14 +254,14 @@
         copies.into_iter().map(|(_, _, id)| id.clone()).collect()
     }
 
-    /// Whether a request may run at a back end, where it is.
+    /// Whether a request may run in a back end's region.
     fn is_allowed_at(&self, request: &Request, id: &BackendId) -> bool {
         let backend = self.backends.get(id);
         backend.is_some_and(|backend| request.residency.allows(backend.region.as_ref()))
     }
 
-    /// An idle connection to a back end, best suited to the values. Opens one when there is none and that may be
-    /// done.
+    /// The idle connection to a back end that needs the fewest set-up commands. Opens a connection if there
+    /// is none and that is allowed.
     pub(crate) fn connection_to(
         &mut self,
         now: Time,
@@ -280,16 +282,16 @@
         best
     }
 
-    /// Whether as many connections to a back end are being opened for a tenant as requests of its wait, the present
-    /// one among them: each try of the same request would open another one otherwise, and an opening holds a slot of
-    /// the back end for longer than many statements do.
+    /// Whether as many connections to a back end are being opened for a tenant as it has waiting requests,
+    /// including the current one. Otherwise each retry of the same request would open another connection, and
+    /// an opening occupies a slot of the back end for longer than many statements do.
     fn has_enough_openings(&self, id: &BackendId, tenant: Option<&TenantName>) -> bool {
         let has_tenants = self
             .table
             .as_ref()
             .is_some_and(|table| table.tenants.is_some());
         if !has_tenants {
-            // Any connection serves any request there, and the next one to come finds it.
+            // Any connection serves any request here, and the next request will find it.
             return false;
         }
         let Some(backend) = self.backends.get(id) else {
@@ -305,7 +307,7 @@
         if opening == 0 {
             return false;
         }
-        // The session whose request is tried at the moment is not among these.
+        // The session whose request is being tried is not in the queue.
         let waiting = self.waiting.get(&backend.description.service);
         let of_tenant = waiting.into_iter().flatten().filter(|key| {
             let session = self.sessions.get(&key.session);
@@ -339,8 +341,8 @@
         })
     }
 
-    /// Opens a connection to a back end for a tenant, or for the system's own questions, if its limits allow.
-    /// Where they are reached an idle connection of another gives way.
+    /// Opens a connection to a back end for a tenant or for internal queries, if the limits allow. At the
+    /// limit an idle connection of another tenant is closed instead.
     pub(crate) fn open_connection(
         &mut self,
         now: Time,
@@ -387,8 +389,8 @@
         self.effects.push(Effect::Open { connection, target });
     }
 
-    /// Makes room for another connection to a back end; returns whether there is some. The idle connection that
-    /// was used least recently gives way. No tenant gets all connections where there are several.
+    /// Makes room for another connection to a back end; returns whether there is room. The least recently
+    /// used idle connection is closed if necessary. No tenant gets all connections if there are several.
     fn make_room(&mut self, id: &BackendId, tenant: Option<&TenantName>) -> bool {
         let Some(backend) = self.backends.get(id) else {
             return false;
--- a/crates/stairward-engine/src/placement.rs
+++ b/crates/stairward-engine/src/placement.rs
@@ -1,4 +1,4 @@
-//! Which holder of a service's connections a session's statements go to first.
+//! Selection of the holder to which a session's statements are forwarded.
 
 use stairward_types::{BackendId, NodeId, TenantName, Time};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -9,15 +9,15 @@
 use crate::session::{Request, Session};
 use crate::settings::ZoneDistance;
 
-/// Connections to a back end that each holder elsewhere has while tenants are told apart: for questions, and for
-/// what a holder beside the back end can't take.
+/// Connections to a back end for each holder in another zone, if tenants are distinguished. They serve
+/// internal queries and statements that no holder in the back end's zone can take.
 const OTHER_ZONE_SHARE: u32 = 1;
 
 impl Engine {
-    /// The holders in the order in which a session's statements go to them; empty where this node serves all by
-    /// itself. A tenant's statements meet where its connections are open: in the zone of the back end that will most
-    /// likely take them, all nodes name the same holder for it (rendezvous hashing), and that is this node itself for
-    /// some tenants. So statements cross to another zone once, and a back end's connections lie with few holders.
+    /// The holders to which a session's statements may be sent, best first; empty if this node serves them
+    /// itself. All nodes select the same holder for a tenant by rendezvous hashing, in the zone of the
+    /// expected back end, so that a tenant's statements meet where its connections are open. For some tenants
+    /// that is this node. Statements thus cross zones once, and few holders keep connections to a back end.
     pub(crate) fn holders_for(
         &self,
         now: Time,
@@ -34,7 +34,7 @@
         holders
     }
 
-    /// The node that sends to a service's cold back ends, where only these can take a request.
+    /// The node that sends to a service's cold back ends, if only these can take the request.
     fn cold_backend_sender(&self, now: Time, request: &Request) -> Option<NodeId> {
         let first = self.holders.first(&request.route.service)?;
         self.needs_cold_backend(now, request).then_some(first)
@@ -50,7 +50,7 @@
         let Some(places) = places.filter(|_| is_by_tenant) else {
             return self.holders.forward_targets(service).to_vec();
         };
-        // Clients without a key share the connections of nobody: those of one database meet.
+        // Clients without a key have no tenant; those of one database share a holder.
         let database = session.database.as_str();
         let tenant = session
             .identity
@@ -73,8 +73,8 @@
         ranked.into_iter().map(|(_, _, node)| node).collect()
     }
 
-    /// The back end that will most likely take a request: the leader, or for what any copy can take the nearest
-    /// one that is well.
+    /// The back end that is expected to take a request: the leader if required, otherwise the nearest healthy
+    /// one.
     fn expected_backend(&self, now: Time, request: &Request) -> Option<&Backend> {
         let service = &request.route.service;
         if request.kind.requires_leader() || request.needs_leader_holder {
@@ -93,8 +93,8 @@
         nearest.map(|(_, backend)| backend)
     }
 
-    /// Whether a read that another node forwarded here has no copy left beside this node: its client's node knows a
-    /// better one than this.
+    /// Whether a read forwarded by another node has no untried back end left in this node's zone. The
+    /// client's node then knows a better holder.
     pub(crate) fn is_no_same_zone_copy_left(&self, session: &Session, request: &Request) -> bool {
         let service = &request.route.service;
         let Some(group) = self.groups.get(service).filter(|_| session.is_forwarded) else {
@@ -112,14 +112,14 @@
         is_shared_by_zone && !untried.any(|id| self.is_same_zone(id))
     }
 
-    /// Whether a back end is in this node's zone.
     fn is_same_zone(&self, id: &BackendId) -> bool {
         let backend = self.backends.get(id);
         backend.is_some_and(|backend| backend.distance == ZoneDistance::Same)
     }
 
-    /// The connections that this node may hold to a back end where tenants are told apart: the holders beside it share
-    /// nearly all. None where not told apart, where every node holds connections, or where no holder is beside it.
+    /// The connections that this node may hold to a back end if tenants are distinguished: the holders in its
+    /// zone share nearly all of them. None if tenants are not distinguished, if every node holds connections,
+    /// or if no holder is in the back end's zone.
     pub(crate) fn same_zone_share(&self, id: &BackendId, limit: u32) -> Option<u32> {
         self.table.as_ref()?.tenants.as_ref()?;
         let backend = self.backends.get(id)?;
@@ -146,14 +146,14 @@
         })
     }
 
-    /// Whether a holder gives no sign of life.
+    /// Whether a holder has stopped answering liveness checks.
     pub(crate) fn is_silent_holder(&self, holder: NodeId) -> bool {
         self.holder_watches
             .get(&holder)
             .is_some_and(|watch| watch.is_silent)
     }
 
-    /// Whether a session's statements for a service go to another node.
+    /// Whether a session's request must be forwarded to another node.
     pub(crate) fn must_forward(&self, now: Time, session: &Session, request: &Request) -> bool {
         if session.is_forwarded {
             return false;
--- a/crates/stairward-engine/src/settings.rs
+++ b/crates/stairward-engine/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings the engine works by, and what discovery tells of back ends.
+//! The engine's settings, and the descriptions of back ends that it gets from discovery.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,25 +16,25 @@
 use crate::tenants::TenantDirectory;
 use crate::warm_up::ColdBound;
 
-/// What a read on a route must see.
+/// Read consistency of a route.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Consistency {
-    /// Every commit acknowledged before the read.
+    /// A read sees every commit acknowledged before it.
     Primary,
-    /// Every commit acknowledged longer than this before the read.
+    /// A read sees every commit acknowledged longer than `staleness` before it.
     Bounded {
         /// The allowed staleness.
         staleness: Duration,
     },
-    /// As `Bounded`, and every commit of the own session.
+    /// As `Bounded`, plus every commit of the same session.
     OwnReads {
-        /// The allowed staleness towards other sessions.
+        /// The allowed staleness with regard to other sessions.
         staleness: Duration,
     },
 }
 
 impl Consistency {
-    /// The allowed staleness; none where only the leader will do.
+    /// The allowed staleness; none if only the leader may answer.
     #[must_use]
     pub const fn staleness(self) -> Option<Duration> {
         match self {
@@ -44,55 +44,55 @@
     }
 }
 
-/// How the statements of one database name are served.
+/// How statements for one database name are served.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Route {
     /// The service whose back ends run them.
     pub service: ServiceName,
-    /// What reads must see.
+    /// The consistency of reads.
     pub consistency: Consistency,
-    /// The longest a statement may take.
+    /// The maximum duration of a statement.
     pub statement_timeout: Duration,
-    /// Within which time an operation should be answered.
+    /// Target response time of an operation.
     pub target_latency: Duration,
-    /// 0 is served first.
+    /// Priority in queues; 0 is served first.
     pub priority: u8,
-    /// How often a statement that may have run is sent, if it can be repeated.
+    /// How often a retryable statement may be sent.
     pub attempts: u32,
-    /// Whether clients kind no key on it.
+    /// Whether clients may use the route without a key.
     pub is_public: bool,
     /// Where its statements may run.
     pub residency: Residency,
 }
 
-/// Limits of a service's back ends.
+/// Limits that apply to each back end of a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ServiceLimits {
-    /// Connections each back end takes from all nodes together.
+    /// Maximum connections to each back end from all nodes together.
     pub connections: u32,
     /// Replicas that must have received a commit before it is acknowledged.
     pub synchronous_replicas: u32,
-    /// Requests a second, in thousandths, that a cold back end gets from all nodes together; none where that is not
-    /// limited.
+    /// Maximum rate of requests to a cold back end from all nodes together, in thousandths of a request per
+    /// second; none if unlimited.
     pub cold_rate_thousandths: Option<u64>,
 }
 
-/// A whole configuration.
+/// A complete configuration.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RoutingTable {
-    /// Its revision; an older one is never applied over a newer one.
+    /// Its revision. An older revision never replaces a newer one.
     pub revision: Revision,
-    /// Routes by the database name callers ask for.
+    /// Routes by the database name that callers request.
     pub routes: BTreeMap<GroupId, Arc<Route>>,
     /// Services by name.
     pub services: BTreeMap<ServiceName, ServiceLimits>,
-    /// The tenants and their keys. None where clients are not told apart, and kind no key.
+    /// The tenants and their keys. None if clients are not distinguished and need no key.
     pub tenants: Option<TenantDirectory>,
-    /// How long a transaction may rest.
+    /// How long an open transaction may be idle.
     pub transaction_idle_timeout: Duration,
 }
 
-/// A back end as discovery describes it.
+/// A back end as described by discovery.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BackendDescription {
     /// Its id.
@@ -103,23 +103,24 @@
     pub address: SocketAddr,
     /// Where it runs.
     pub zone: ZoneName,
-    /// Whether it is about to end.
+    /// Whether it has announced that it leaves.
     pub is_leaving: bool,
-    /// Its role as it sees itself.
+    /// Its role according to itself.
     pub role: BackendRole,
-    /// Which start of its process this is; none where it does not say.
+    /// Identifies the start of its process; none if not reported.
     pub incarnation: Option<Incarnation>,
-    /// How much longer it is slow from its start, as it last said.
+    /// The remaining warm-up time after its start, as last reported.
     pub cold_left: Duration,
-    /// Statements that it runs at once; none where it does not say.
+    /// Number of statements that it runs concurrently; none if not reported.
     pub slots: Option<u32>,
-    /// Grows with every change of the description.
+    /// Increases with every change of the description.
     pub revision: StoreRevision,
 }
 
 impl BackendDescription {
-    /// Whether its process has started again since an earlier description of the same id. Nothing that the earlier start
-    /// held or said is true of this one. A start that is not told is taken for the same.
+    /// Whether its process has restarted since an earlier description of the same id. No knowledge of the
+    /// earlier process applies to the new one. If either description has no incarnation, the process counts
+    /// as the same.
     #[must_use]
     pub fn is_new_start_after(&self, earlier: &Self) -> bool {
         let starts = self.incarnation.zip(earlier.incarnation);
@@ -127,16 +128,16 @@
     }
 }
 
-/// What differs in discovery's list from what was known of it.
+/// A change of discovery's list.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct DiscoveryChange {
-    /// Back ends that are new, or described otherwise than before.
+    /// Back ends that are new or whose description changed.
     pub described: Vec<Arc<BackendDescription>>,
     /// Back ends that are no longer listed.
     pub gone: Vec<BackendId>,
 }
 
-/// How far away a zone is.
+/// Distance of a zone from this node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ZoneDistance {
     /// The node's own zone.
@@ -147,29 +148,29 @@
     Remote,
 }
 
-/// What a node knows of itself and of the bounds it must keep.
+/// What a node knows of itself, and the limits that it must keep.
 #[derive(Debug, Clone)]
 pub struct EngineOptions {
     /// Distances of the zones from this node; an unknown zone counts as remote.
     pub distances: BTreeMap<ZoneName, ZoneDistance>,
     /// The region of each zone.
     pub regions: BTreeMap<ZoneName, RegionName>,
-    /// For how long new work may still be sent to a back end that leaves.
+    /// How long new work may still be sent to a leaving back end.
     pub leaving_limit: DrainLimit,
-    /// For how long the leaders and open transactions of an evacuated zone may still be used.
+    /// How long the leaders and open transactions of an evacuated zone may still be used.
     pub evacuation_limit: DrainLimit,
-    /// How much cold back ends may get beside their service's rate.
+    /// How far requests to cold back ends may exceed their service's rate.
     pub cold_bound: ColdBound,
-    /// How long a leader's lead counts as confirmed after a replica was asked. None where a leader that was
-    /// replaced accepts nothing any more, so that its own word is enough.
+    /// How long a leader counts as confirmed after a replica was queried. None if a replaced leader accepts
+    /// nothing any more, so that no confirmation is needed.
     pub leadership_lease: Option<Duration>,
-    /// From a planned stop's start to the process's end.
+    /// Time from the start of a planned stop to the end of the process.
     pub stop_grace: Duration,
-    /// Statements one session may have waiting behind the one that runs.
+    /// Maximum number of statements that a session may queue behind the running one.
     pub session_queue_limit: usize,
-    /// Requests that may wait at once.
+    /// Maximum number of requests that wait for a service at the same time.
     pub waiting_limit: usize,
-    /// For the limits of tenants.
+    /// Settings of the tenant limits.
     pub limits: LimitOptions,
 }
 
@@ -183,7 +184,6 @@
             .unwrap_or(ZoneDistance::Remote)
     }
 
-    /// How many zones there are.
     pub(crate) fn zone_count(&self) -> u32 {
         u32::try_from(self.regions.len()).unwrap_or(u32::MAX)
     }
