--- a/crates/stairward-engine/src/admission.rs
+++ b/crates/stairward-engine/src/admission.rs
@@ -1,4 +1,5 @@
-//! Admission of operations by their tenant's limit: what comes waits for a grant, runs, or is refused at once.
+//! Admission of operations under their tenant's limit: an operation runs, waits for a grant or is refused at
+//! once.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
@@ -13,8 +14,8 @@
 use crate::timers::Timer;
 
 impl Engine {
-    /// Sends a new request on its way, once its tenant's limit has room for it. Statements of an open transaction
-    /// belong to an operation that was admitted, and forwarded ones were admitted where their client is.
+    /// Dispatches a new request once its tenant's limit allows it. Statements of an open transaction belong
+    /// to an admitted operation, and forwarded ones were admitted at their client's node.
     pub(crate) fn admit(&mut self, now: Time, id: SessionId) {
         let Some(tenant) = self.limited_tenant(id) else {
             return self.dispatch(now, id);
@@ -52,7 +53,7 @@
         self.refuse(now, id, ResultCode::LimitReached, Some(retry_after));
     }
 
-    /// A request has waited for admission as long as it may.
+    /// A request has waited for admission until the end of its hold time.
     pub(crate) fn admission_wait_expired(&mut self, now: Time, id: SessionId) {
         if self.wait_for_first_grants(now, id) {
             return;
@@ -63,7 +64,8 @@
         }
     }
 
-    /// A node that has just started gets no grants for a moment. What waits is kept until then, if its time allows.
+    /// A node that has just started gets no grants at first. Waiting requests are kept until then if their
+    /// deadline allows.
     fn wait_for_first_grants(&mut self, now: Time, id: SessionId) -> bool {
         let Some(first_grants) = self.limits.first_grants_at(now) else {
             return false;
@@ -78,7 +80,7 @@
         true
     }
 
-    /// A request ends or goes on: it waits for admission no more.
+    /// Removes a request that ends or proceeds from the admission queue.
     pub(crate) fn leave_admission(
         &mut self,
         id: SessionId,
@@ -100,13 +102,13 @@
         }
     }
 
-    /// Tells the limits of something, and carries out what they decide.
+    /// Passes an event to the limiter and applies its effects.
     pub(crate) fn handle_limit_event(&mut self, now: Time, event: LimitEvent) {
         self.limits.handle(now, event);
         self.apply_limit_effects(now);
     }
 
-    /// Carries out what the limits have decided.
+    /// Applies the pending effects of the limiter.
     pub(crate) fn apply_limit_effects(&mut self, now: Time) {
         let mut effects = VecDeque::from(self.limits.take_effects());
         while let Some(effect) = effects.pop_front() {
@@ -128,7 +130,7 @@
         }
     }
 
-    /// Sends out what waits of a tenant, most urgent first, as far as there are grants.
+    /// Dispatches a tenant's waiting requests, highest priority first, as far as grants allow.
     pub(crate) fn admit_waiting(&mut self, now: Time, tenant: &TenantName) {
         while let Some(first) = self
             .admissions
@@ -154,7 +156,7 @@
         }
     }
 
-    /// There is no room for this long: whoever can't wait until then is refused at once.
+    /// No grant will be available for `retry_after`; requests that can't wait that long are refused at once.
     fn refuse_waiting(&mut self, now: Time, tenant: &TenantName, retry_after: Duration) {
         let queue = self.admissions.get(tenant);
         let waiting: Vec<SessionId> = queue.into_iter().flatten().map(|key| key.session).collect();
@@ -166,7 +168,7 @@
         }
     }
 
-    /// Answers another node's question about limits, as coordinator.
+    /// Answers another node's request for a grant, as coordinator.
     pub fn answer_limit(&mut self, now: Time, node: NodeId, ask: &Ask) -> Grant {
         self.limits.answer(now, node, ask)
     }
--- a/crates/stairward-engine/src/backend.rs
+++ b/crates/stairward-engine/src/backend.rs
@@ -1,4 +1,4 @@
-//! What the engine keeps of one back end, and what using it costs at the moment.
+//! State of one back end, and the current cost of using it.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -11,65 +11,64 @@
 use crate::settings::{BackendDescription, ZoneDistance};
 use crate::warm_up::WarmUp;
 
-/// Weight of a new sample of a read's latency, as a divisor.
+/// Divisor that gives the weight of a new latency sample.
 const SAMPLE_WEIGHT: u64 = 8;
-/// After this time without a sample half of what was learnt about the latency is forgotten.
+/// Without samples, half of the learnt excess latency is forgotten in this time.
 const LATENCY_HALF_LIFE: Duration = Duration::from_secs(1);
-/// What each statement under way from this node adds to the expected latency.
+/// Added to the expected latency for each statement in flight from this node.
 const IN_FLIGHT_COST: Duration = Duration::from_millis(6);
-/// Expected latency of a back end nobody has used lately, by its distance.
+/// Expected latency of a back end without recent samples, by distance.
 const LATENCY_SAME_ZONE: Duration = Duration::from_millis(15);
 const LATENCY_SAME_REGION: Duration = Duration::from_millis(18);
 const LATENCY_REMOTE: Duration = Duration::from_millis(50);
-/// What opening a connection costs: about 12 ms of one of the back end's slots, and two round trips.
+/// Cost of opening a connection: about 12 ms of one of the back end's slots, plus two round trips.
 const OPENING_COST: Duration = Duration::from_millis(15);
-/// Bytes between regions cost money: a remote back end must be this much faster to be preferred.
+/// Traffic between regions costs money: a remote back end must be this much faster to be preferred.
 const REMOTE_PENALTY: Duration = Duration::from_millis(40);
-/// A back end whose log was just found to lack a position is tried last for this long.
+/// How long a back end that lacked a required log position gets the penalty.
 const LAGGING_PENALTY_DURATION: Duration = Duration::from_millis(60);
-/// How long a back end that refused a statement for being full gets only what nobody else takes.
+/// How long a back end that refused a statement as busy gets the penalty.
 const BUSY_PENALTY_DURATION: Duration = Duration::from_millis(50);
-/// What a penalty adds to the expected latency.
+/// Added to the expected latency as a penalty.
 const PENALTY: Duration = Duration::from_millis(200);
-/// Pause after a failed attempt to open a connection.
+/// Delay after a failed attempt to open a connection.
 const OPEN_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// Pause after a back end had too many connections.
+/// Delay after a back end reported that its connection limit is reached.
 const CONNECTION_LIMIT_RETRY_DELAY: Duration = Duration::from_millis(400);
 
-/// One back end.
+/// State of one back end.
 #[derive(Debug)]
 pub(crate) struct Backend {
     pub description: Arc<BackendDescription>,
     pub distance: ZoneDistance,
-    /// The region that it runs in, where its zone is known.
+    /// Its region, if its zone is known.
     pub region: Option<RegionName>,
-    /// When it gets the last work, since its zone is evacuated.
+    /// When its use ends because its zone is evacuated.
     pub evacuated_until: Option<Time>,
-    /// What it may get while it is cold.
+    /// Its warm-up state.
     pub warm_up: WarmUp,
-    /// What is known of its leaving, where it leaves or has gone from discovery.
+    /// Set if it leaves or is no longer listed by discovery.
     pub leaving: Option<Leaving>,
     /// Whether discovery still lists it.
     pub is_listed: bool,
-    /// Its connections.
     pub connections: BTreeSet<ConnectionId>,
-    /// Statements of callers under way.
+    /// Callers' statements in flight from this node.
     pub in_flight: u32,
-    /// Whether it leaves commands without an answer.
+    /// Whether commands to it go unanswered.
     pub is_silent: bool,
-    /// When it last answered.
+    /// When it last replied.
     pub answered_at: Option<Time>,
-    /// How far its log had come when it last answered.
+    /// Its log position in the last reply.
     pub position: Option<Freshness>,
-    /// What its log holds at the least if it is the primary that it has called itself without a break: a primary's log
-    /// never shrinks. None while it calls itself a replica.
+    /// Lower bound of its log while it has reported itself as primary without interruption: the log of a
+    /// primary never shrinks. None while it reports itself as a replica.
     pub log_floor: Option<Freshness>,
-    /// Whether it calls itself primary and lacks commits that it had answered with: it has lost its log, and must not
-    /// lead.
+    /// Whether it reports itself as primary but lacks commits that it had acknowledged. It has lost its log
+    /// and must not lead.
     pub has_lost_log: bool,
-    /// The newest term that it was seen to follow.
+    /// The highest term that it was seen to follow.
     pub term: Term,
-    /// No connection is opened before this.
+    /// No connection is opened before this time.
     pub open_after: Time,
     lagging_until: Time,
     busy_until: Time,
@@ -109,8 +108,8 @@
         backend
     }
 
-    /// Its process has started again: what was learnt of the earlier start is forgotten. Statements under way and
-    /// connections are of the earlier one, and end by themselves.
+    /// Resets what was learnt of the previous process after a restart. Its in-flight statements and
+    /// connections end by themselves.
     pub fn start_again(&mut self) {
         self.warm_up = WarmUp::default();
         self.leaving = None;
@@ -133,17 +132,17 @@
         micros(latency)
     }
 
-    /// Takes in its role as discovery tells it.
+    /// Applies the role reported by discovery.
     pub fn apply_role(&mut self, role: BackendRole) {
         if role == BackendRole::Replica {
-            // Whoever leads next decides what its log holds.
+            // The next leader determines its log.
             self.log_floor = None;
             self.has_lost_log = false;
         }
     }
 
-    /// Judges a primary's log by its word on a connection that was asked for when the log held `floor`. Returns whether
-    /// it is found to have lost it.
+    /// Checks the position that a primary reports on a new connection against `floor`, its log's lower bound
+    /// when the connection was requested. Returns whether a loss of its log was newly detected.
     pub fn check_log_retained(
         &mut self,
         floor: Option<Freshness>,
@@ -164,17 +163,17 @@
         ends.into_iter().flatten().all(|ends_at| now < ends_at)
     }
 
-    /// Whether it leaves, has gone, or its zone is evacuated.
+    /// Whether it leaves, is unlisted or its zone is evacuated.
     pub fn is_draining(&self) -> bool {
         self.leaving.is_some() || self.evacuated_until.is_some()
     }
 
-    /// Whether it is here to stay and answers.
+    /// Whether it is not draining and replies.
     pub fn is_healthy(&self) -> bool {
         !self.is_draining() && !self.is_silent
     }
 
-    /// Notes that a statement is sent to it.
+    /// Records that a statement is sent to it.
     pub fn statement_sent(&mut self, now: Time) {
         self.in_flight += 1;
         self.warm_up.sent(now);
@@ -184,7 +183,7 @@
         }
     }
 
-    /// Notes how long a read took.
+    /// Records the latency of a read.
     pub fn sample(&mut self, now: Time, latency: Duration) {
         let known = self.latency(now);
         let sample = micros(latency);
@@ -192,7 +191,7 @@
         self.sampled_at = now;
     }
 
-    /// The latency to expect, which returns to the usual one while there are no samples.
+    /// The expected latency in microseconds; without samples it decays to the base latency.
     fn latency(&self, now: Time) -> u64 {
         let base = self.base_latency();
         let age = micros(now.since(self.sampled_at));
@@ -205,7 +204,7 @@
         }
     }
 
-    /// What a read there costs, in microseconds; more where a connection must be opened for it first.
+    /// The cost of a read there in microseconds, including an opening if no connection is available.
     pub fn cost(&self, now: Time, floor: Option<Freshness>, is_connected: bool) -> u64 {
         let mut cost = self.latency(now) + u64::from(self.in_flight) * micros(IN_FLIGHT_COST);
         if !is_connected {
@@ -244,7 +243,7 @@
         self.open_after = now + pause;
     }
 
-    /// Notes that it answered. Returns whether it had been silent.
+    /// Records a reply. Returns whether the back end had been silent.
     pub fn answered(&mut self, now: Time, position: Option<Freshness>) -> bool {
         self.answered_at = Some(now);
         if let Some(known) = position {
@@ -262,7 +261,7 @@
     }
 }
 
-/// The order of positions in one log.
+/// Sort key of positions in one log.
 fn log_order(freshness: Freshness) -> (Term, LogPosition) {
     (freshness.term, freshness.position)
 }
--- a/crates/stairward-engine/src/connection.rs
+++ b/crates/stairward-engine/src/connection.rs
@@ -1,4 +1,4 @@
-//! What the engine keeps of one connection to a back end.
+//! State of one connection to a back end.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -9,20 +9,20 @@
 use crate::reply::BackendReply;
 use crate::statement::PreparedStatement;
 
-/// Who uses a connection.
+/// The user of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum User {
     /// A session's request or transaction.
     Session(SessionId, RequestNumber),
-    /// The engine, to learn the leader's position.
+    /// A probe of the leader's position.
     Probe,
-    /// The engine, to learn what the back end says of itself.
+    /// A status query.
     StatusQuery,
-    /// Nobody any more: what was sent is waited for and its answer dropped.
+    /// No user any more: the pending replies are awaited and discarded.
     Abandoned,
 }
 
-/// A kind of command that was sent.
+/// The kind of a sent command.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Step {
     Reset,
@@ -34,42 +34,41 @@
     Status,
 }
 
-/// A command without an answer yet.
+/// A command without a reply yet.
 #[derive(Debug, Clone)]
 pub(crate) struct SentStep {
     pub step: Step,
     pub at: Time,
 }
 
-/// One connection to a back end.
+/// State of one connection to a back end.
 #[derive(Debug)]
 pub(crate) struct Connection {
     pub backend: BackendId,
     pub service: ServiceName,
-    /// The tenant that it was opened for and serves alone; none where it carries the system's own questions or
-    /// tenants are not told apart.
+    /// The tenant that it exclusively serves; none for internal queries and if tenants are not distinguished.
     pub tenant: Option<TenantName>,
-    /// What its back end's log held at the least when it was asked for.
+    /// Lower bound of the back end's log when the connection was requested.
     pub log_floor: Option<Freshness>,
-    /// When it was asked for; none once it is open.
+    /// When the connection was requested; none once it is open.
     pub opening_since: Option<Time>,
-    /// The values set on it.
+    /// The session values set on it.
     pub values: BTreeMap<String, String>,
-    /// What is prepared on it.
+    /// The statements prepared on it.
     pub prepared: BTreeSet<PreparedStatement>,
-    /// Commands without an answer, oldest first.
+    /// Commands without a reply, oldest first.
     pub sent: VecDeque<SentStep>,
-    /// An answer that can't be believed before its leader is confirmed, and what it answers.
+    /// A reply that can't be trusted until its leader is confirmed, and the command that it answers.
     pub withheld: Option<(SentStep, BackendReply)>,
-    /// Who uses it; none while it is idle.
+    /// Its user; none while it is idle.
     pub user: Option<User>,
     /// Whether a transaction is open on it.
     pub in_transaction: bool,
-    /// Whether that transaction is one that only the leader goes on with.
+    /// Whether that transaction was begun as a leader transaction.
     pub is_leader_transaction: bool,
-    /// Since when nobody has used it.
+    /// When it last became idle.
     pub idle_since: Time,
-    /// Whether a timer looks for answers that are due.
+    /// Whether a timer checks for overdue replies.
     pub is_watched: bool,
 }
 
@@ -98,7 +97,7 @@
         }
     }
 
-    /// Whether it can be given to a request.
+    /// Whether it can be assigned to a request.
     pub fn is_idle(&self) -> bool {
         self.opening_since.is_none()
             && self.user.is_none()
@@ -106,13 +105,14 @@
             && !self.in_transaction
     }
 
-    /// Since when its opening or its oldest command has had no answer.
+    /// When the opening or the oldest unanswered command was sent.
     pub fn oldest_unanswered(&self) -> Option<Time> {
         self.opening_since
             .or_else(|| self.sent.front().map(|sent| sent.at))
     }
 
-    /// The commands that make its values those of a session, and what a statement needs prepared.
+    /// The commands that bring its session values in line with a session's, and prepare the statement if
+    /// needed.
     pub fn setup(
         &self,
         values: &BTreeMap<String, String>,
@@ -140,7 +140,7 @@
         commands
     }
 
-    /// How many set-up commands a session's values would kind, for choosing among idle connections.
+    /// Number of set-up commands that a session's values would need, for choosing among idle connections.
     pub fn setup_cost(&self, values: &BTreeMap<String, String>) -> usize {
         if self.values == *values {
             return 0;
@@ -148,7 +148,7 @@
         self.setup(values, None).len()
     }
 
-    /// Notes the effect of a set-up command that succeeded.
+    /// Records the effect of a successful set-up command.
     pub fn apply_setup(&mut self, step: Step) {
         match step {
             Step::Reset => {
@@ -166,7 +166,7 @@
     }
 }
 
-/// The step that a command is.
+/// The kind of a command.
 pub(crate) fn step_of(command: &BackendCommand) -> Step {
     match command {
         BackendCommand::Reset => Step::Reset,
--- a/crates/stairward-engine/src/forwarding.rs
+++ b/crates/stairward-engine/src/forwarding.rs
@@ -1,5 +1,5 @@
-//! Sessions whose back ends' connections are held by other nodes: their statements are forwarded to one of
-//! the holders, with all of the session that it needs. The session itself stays here.
+//! Forwarding of statements to a holder of the back ends' connections, together with the session state that
+//! they need. The session itself stays on its client's node.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -19,42 +19,44 @@
 use crate::statement::{PreparedStatement, Statement, StatementKind};
 use crate::tenants::Identity;
 
-/// Holders that one request is forwarded to at most.
+/// Maximum number of holders to which one request is forwarded.
 const MAX_HOLDERS_PER_REQUEST: usize = 3;
-/// When a caller should come back whose statement no holder took.
+/// Retry delay for callers whose statement no holder accepted.
 const RETRY_NO_HOLDER: Duration = Duration::from_millis(300);
-/// What an answer takes back to the session's node at the most: two regions, and a busy node's turn. A holder that has
-/// not sent a statement by then says so while that is still an answer; later its node could not tell whether it ran.
+/// Upper bound of an answer's way back to the session's node: a crossing between two regions, and the
+/// scheduling delay of a busy node. A holder that has not sent a statement by then refuses it while the
+/// refusal still arrives in time; later the session's node could not tell whether the statement ran.
 const REPLY_TRANSIT_ALLOWANCE: Duration = Duration::from_millis(60);
-/// The name under which a holder keeps what a forwarded statement runs.
+/// The name under which a holder stores the prepared statement of a forwarded request.
 const FORWARDED_NAME: &str = "forwarded";
 
-/// A statement for another node to run, with all of the session that it needs.
+/// A statement for another node to run, with the session state that it needs.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ForwardedRequest {
-    /// The database that the session asked for.
+    /// The database requested by the session.
     pub database: GroupId,
-    /// The revision of the configuration in force where the session is.
+    /// The configuration revision in force at the session's node.
     pub revision: Revision,
-    /// The tenant whose client it is, as its node has checked; none on a public route, and where tenants are not
-    /// told apart.
+    /// The client's tenant, verified by the session's node; none on a public route or if tenants are not
+    /// distinguished.
     pub tenant: Option<TenantName>,
-    /// Whether the session has a transaction open at the holder.
+    /// Whether the session has an open transaction at the holder.
     pub in_transaction: bool,
     /// The session's values.
     pub values: BTreeMap<String, String>,
-    /// What the statement runs that was prepared.
+    /// The prepared statement to execute, if any.
     pub prepared: Option<PreparedStatement>,
-    /// The session's newest commit at the service.
+    /// The session's newest commit on the service.
     pub commit: Option<Freshness>,
     /// The statement.
     pub statement: Statement,
-    /// How much longer the session's node waits for the answer.
+    /// How long the session's node still waits for the answer.
     pub time_left: Duration,
 }
 
 impl Engine {
-    /// Takes in who holds the connections of these services now. What this node holds of others' is closed.
+    /// Applies a change of the holders of services. Idle connections of services now held by other nodes are
+    /// closed.
     pub(crate) fn apply_holder_change(&mut self, holders: BTreeMap<ServiceName, ServiceHolders>) {
         for (service, holders) in holders {
             if self.holders.set(service.clone(), holders) {
@@ -77,7 +79,7 @@
         }
     }
 
-    /// Forwards the session's request to the holder of its transaction, or to the next one in rank.
+    /// Forwards the session's request to the holder of its transaction, or to the next-ranked holder.
     pub(crate) fn forward(&mut self, now: Time, id: SessionId) {
         let revision = self.table.as_ref().map(|table| table.revision);
         let revision = revision.unwrap_or_default();
@@ -135,7 +137,7 @@
         self.watch_holder(now, holder, id);
     }
 
-    /// The next holder for the session's request; a silent one is better than none.
+    /// The next holder for the session's request. Silent holders are used only if no other is left.
     fn next_holder(&self, now: Time, session: &Session) -> Option<NodeId> {
         let request = session.request.as_ref()?;
         if request.tried_holders.len() >= MAX_HOLDERS_PER_REQUEST {
@@ -148,7 +150,7 @@
         untried.min_by_key(|holder| self.is_silent_holder(*holder))
     }
 
-    /// A statement comes from another node, for a session that it numbers anew here.
+    /// Handles a statement forwarded by another node, for a session that is numbered locally.
     pub(crate) fn handle_forwarded(
         &mut self,
         now: Time,
@@ -164,7 +166,7 @@
             .get(&id)
             .is_some_and(|session| session.status() != TransactionStatus::Idle);
         if is_in_transaction && !forwarded.in_transaction {
-            // What its node has given up is over here too.
+            // The forwarding node has given up the transaction, so it ends here too.
             self.session_closed(now, id);
         }
         if forwarded.in_transaction && !is_in_transaction {
@@ -198,7 +200,7 @@
             is_forwarded: true,
             ..Session::new(forwarded.database.clone(), identity.clone())
         });
-        // What its transaction's connection carries it keeps to.
+        // An open transaction keeps the identity for which its connection was opened.
         if !is_in_transaction {
             session.identity = identity;
         }
@@ -234,7 +236,7 @@
         });
     }
 
-    /// A holder answered a forwarded statement.
+    /// Handles a holder's answer to a forwarded statement.
     pub(crate) fn forward_answered(
         &mut self,
         now: Time,
@@ -288,7 +290,8 @@
         self.finish(now, id, Response { status, ..response });
     }
 
-    /// A holder's copy was behind what a read must see: the read goes on to a holder beside the leader, once.
+    /// The holder's back ends lagged behind the read's floor: forwards it once more, to a holder in the
+    /// leader's zone.
     fn forward_to_leader_holder(&mut self, now: Time, id: SessionId, response: Response) {
         let Some(request) = self.sessions.get_mut(&id).and_then(|s| s.request.as_mut()) else {
             return;
@@ -305,7 +308,7 @@
         self.forward(now, id);
     }
 
-    /// The connection to a holder has ended: what it had is lost.
+    /// The connection to a holder has ended; its pending requests and open transactions are lost.
     pub(crate) fn holder_lost(&mut self, now: Time, holder: NodeId) {
         self.clear_owed(holder);
         let concerned: Vec<SessionId> = self
@@ -342,7 +345,7 @@
         }
     }
 
-    /// A holder's part of a session is over: what it may still do for it counts no more.
+    /// Ends a session at a holder; anything the holder still does for it is disregarded.
     pub(crate) fn release_holder(&mut self, id: SessionId, holder: NodeId) {
         if let Some(session) = self.sessions.get_mut(&id) {
             session.holders.remove(&holder);
@@ -350,7 +353,7 @@
         self.close_forwarded(id, &[holder].into());
     }
 
-    /// Tells the holders that a session has ended.
+    /// Tells holders that a session has ended.
     pub(crate) fn close_forwarded(&mut self, id: SessionId, holders: &BTreeSet<NodeId>) {
         for holder in holders {
             self.clear_owed_request(*holder, id);
@@ -362,7 +365,7 @@
     }
 }
 
-/// Whether a read was refused since the copies beside its holder are behind.
+/// Whether a holder refused a read because the back ends in its zone lag behind.
 fn is_stale_read_refusal(kind: RequestKind, response: &Response) -> bool {
     let is_fresh = matches!(kind, RequestKind::FreshRead | RequestKind::FreshTransaction);
     let is_behind = matches!(
@@ -375,7 +378,7 @@
     is_fresh && is_behind
 }
 
-/// Whether a holder did not take the statement at all, so that another may.
+/// Whether a holder refused the statement for reasons of its own, so that another holder may accept it.
 fn is_refused_by_holder(response: &Response) -> bool {
     matches!(
         response.result,
@@ -390,7 +393,7 @@
 }
 
 impl Session {
-    /// Follows what a holder's answer says of the transaction.
+    /// Updates the transaction from the status in a holder's answer.
     fn apply_forwarded_status(
         &mut self,
         holder: NodeId,
--- a/crates/stairward-engine/src/requests.rs
+++ b/crates/stairward-engine/src/requests.rs
@@ -1,4 +1,4 @@
-//! A request on its way: set-up of its connection, sending, giving up, and its end.
+//! Processing of a request: connection set-up, sending, timeouts and completion.
 
 use std::time::Duration;
 
@@ -15,28 +15,28 @@
 use crate::statement::StatementKind;
 use crate::timers::Timer;
 
-/// A command without an answer for this long shows that its back end is silent.
+/// A back end counts as silent if a command has had no reply for this long.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(700);
-/// A connection is closed whose answer has been due for this long while its back end answered others.
+/// A connection is closed if a reply is missing for this long while the back end has replied on others, or if
+/// nobody waits for the reply.
 const LOST_REPLY_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// A connection is closed whose answer has been due for this long.
+/// A connection is closed if a reply is missing for this long.
 const UNRESPONSIVE_BACKEND_TIMEOUT: Duration = Duration::from_millis(4_000);
-/// When a refused caller should come back, by the reason.
+/// Retry delays for refused callers, by reason.
 const RETRY_NO_LEADER: Duration = Duration::from_millis(500);
 const RETRY_OVERLOADED: Duration = Duration::from_millis(200);
 const RETRY_NOT_FRESH: Duration = Duration::from_millis(100);
-/// How often one request tries back ends in all.
+/// Maximum number of back ends tried for one request.
 const MAX_BACKEND_TRIES: u32 = 5;
 
 impl Engine {
-    /// Gives a connection to a user.
     pub(crate) fn assign_connection(&mut self, id: ConnectionId, user: User) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.user = Some(user);
         }
     }
 
-    /// Sends a command and remembers that its answer is due.
+    /// Sends a command and records that its reply is pending.
     pub(crate) fn send(&mut self, now: Time, id: ConnectionId, command: BackendCommand) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
@@ -48,7 +48,7 @@
             backend.statement_sent(now);
         }
         if step == crate::connection::Step::Rollback {
-            // Whatever was answered before is undone.
+            // The rollback undoes whatever the withheld reply acknowledged.
             connection.withheld = None;
         }
         connection.sent.push_back(SentStep { step, at: now });
@@ -62,7 +62,7 @@
         });
     }
 
-    /// Sets a connection up for a session's request, and sends the request once that is done.
+    /// Sets up a connection for a session's request; the request is sent once the set-up is complete.
     pub(crate) fn prepare(
         &mut self,
         now: Time,
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Sends a request's own statement on a connection that is set up for it.
+    /// Sends a request's statement on a connection that is set up for it.
     pub(crate) fn send_statement(&mut self, now: Time, id: SessionId, connection: ConnectionId) {
         let Some(session) = self.sessions.get_mut(&id) else {
             return;
@@ -156,7 +156,7 @@
         self.send(now, connection, command);
     }
 
-    /// Ends a session's request with an answer.
+    /// Completes a session's request with a response.
     pub(crate) fn finish(&mut self, now: Time, id: SessionId, response: Response) {
         let Some(session) = self.sessions.get_mut(&id) else {
             return;
@@ -220,7 +220,7 @@
         }
     }
 
-    /// Starts the clock of an open transaction that rests.
+    /// Starts the idle timer of the session's open transaction.
     fn start_idle_timer(&mut self, now: Time, id: SessionId) {
         let number = self.next_request();
         let Some(limit) = self.table.as_ref().map(|t| t.transaction_idle_timeout) else {
@@ -235,7 +235,7 @@
         }
     }
 
-    /// Refuses a session's request that has provably not run.
+    /// Refuses a session's request that provably has not run.
     pub(crate) fn refuse(
         &mut self,
         now: Time,
@@ -248,7 +248,7 @@
         self.finish_with(now, id, result);
     }
 
-    /// Ends a session's request whose outcome is not known.
+    /// Ends a session's request with an unknown outcome.
     pub(crate) fn finish_unknown(&mut self, now: Time, id: SessionId, code: ResultCode) {
         self.record(now, id, None, Decision::OutcomeUnknown(code));
         let result = ResponseResult::Refused {
@@ -309,7 +309,7 @@
         self.effects.push(Effect::Record(record));
     }
 
-    /// Gives up a request that was not sent or was refused wherever it was sent.
+    /// Refuses a request that was not sent, or that every back end it was sent to refused.
     pub(crate) fn refuse_unsent(&mut self, now: Time, id: SessionId) {
         let Some(request) = self.sessions.get(&id).and_then(|s| s.request.as_ref()) else {
             return;
@@ -336,7 +336,8 @@
         (request.number == number).then_some(request)
     }
 
-    /// A request that has not been sent by now is refused, so that its caller can go elsewhere.
+    /// Refuses a request that has not been sent by the end of its hold time, so that the caller can retry
+    /// elsewhere.
     pub(crate) fn hold_ended(&mut self, now: Time, id: SessionId, number: RequestNumber) {
         let Some(request) = self.current_request(id, number) else {
             return;
@@ -359,7 +360,7 @@
         backend.is_some_and(|backend| backend.is_silent)
     }
 
-    /// Sends a read without an answer to another back end too. The first answer counts.
+    /// Sends an unanswered read to a second back end. The first reply counts.
     pub(crate) fn hedge(&mut self, now: Time, id: SessionId, number: RequestNumber) {
         let Some(request) = self.current_request(id, number) else {
             return;
@@ -406,7 +407,7 @@
         }
     }
 
-    /// Refuses a request whose connection was being set up; the connection is closed.
+    /// Refuses a request whose connection was still being set up, and closes the connection.
     pub(crate) fn refuse_prepared(&mut self, now: Time, id: SessionId, code: ResultCode) {
         let Some(request) = self.sessions.get(&id).and_then(|s| s.request.as_ref()) else {
             return;
@@ -424,7 +425,7 @@
         }
     }
 
-    /// The open transaction is lost before its commit was sent: nothing of it is kept.
+    /// The open transaction was lost before its commit was sent: nothing of it is kept.
     pub(crate) fn fail_transaction(&mut self, now: Time, id: SessionId) {
         if let Some(session) = self.sessions.get_mut(&id) {
             session.transaction = Transaction::Failed { is_reported: true };
@@ -432,7 +433,7 @@
         self.refuse(now, id, ResultCode::TransactionLost, Some(RETRY_NO_LEADER));
     }
 
-    /// The commit was sent and its answer is lost. Only a transaction without a write has a known outcome.
+    /// The commit was sent and its reply is lost. The outcome is known only if nothing was written.
     pub(crate) fn fail_commit(&mut self, now: Time, id: SessionId, code: ResultCode) {
         let Some(session) = self.sessions.get_mut(&id) else {
             return;
@@ -446,7 +447,6 @@
         }
     }
 
-    /// A transaction has rested too long.
     pub(crate) fn transaction_idle_expired(
         &mut self,
         now: Time,
@@ -464,7 +464,7 @@
         }
     }
 
-    /// Ends an open transaction behind its caller's back; the caller is told at its next statement.
+    /// Ends an open transaction without a request of its caller, who is told at its next statement.
     pub(crate) fn abandon_transaction(&mut self, now: Time, id: SessionId) {
         let Some(session) = self.sessions.get_mut(&id) else {
             return;
@@ -482,7 +482,7 @@
         }
     }
 
-    /// A caller is gone: what it left is undone.
+    /// Cleans up after a caller that disconnected; its open transaction is rolled back.
     pub(crate) fn session_closed(&mut self, now: Time, id: SessionId) {
         self.pending.remove(&id);
         let Some(mut session) = self.sessions.remove(&id) else {
@@ -519,7 +519,7 @@
         }
     }
 
-    /// Whether a request may go to yet another back end.
+    /// Whether a request may be tried on another back end.
     pub(crate) fn may_try_again(&self, now: Time, id: SessionId) -> bool {
         let request = self.sessions.get(&id).and_then(|s| s.request.as_ref());
         request.is_some_and(|request| {
@@ -527,7 +527,7 @@
         })
     }
 
-    /// Looks for commands that have had no answer for long.
+    /// Checks a connection for replies that are overdue.
     pub(crate) fn check_replies(&mut self, now: Time, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
--- a/crates/stairward-engine/src/statements.rs
+++ b/crates/stairward-engine/src/statements.rs
@@ -1,4 +1,4 @@
-//! A statement's start: what the session answers by itself, and what becomes a request.
+//! Start of a statement: the session answers some itself, others become requests.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -18,9 +18,9 @@
 use crate::tenants::{self, Identity};
 use crate::timers::Timer;
 
-/// The share of the target latency for which a request may wait without having been sent.
+/// A request may wait unsent for the target latency divided by this.
 const HOLD_DIVISOR: u32 = 5;
-/// The share of the target latency after which a read without an answer is also sent elsewhere.
+/// An unanswered read is sent to a second back end after the target latency divided by this.
 const HEDGE_DIVISOR: u32 = 4;
 
 impl Engine {
@@ -43,7 +43,7 @@
         tenants::identify(table, route, key)
     }
 
-    /// Takes a statement in; none stands for one that is not understood.
+    /// Queues a statement; none stands for an invalid one.
     pub(crate) fn enqueue_statement(
         &mut self,
         now: Time,
@@ -55,7 +55,7 @@
             return;
         };
         if session.queue.len() >= limit {
-            // A caller that goes on sending without reading answers.
+            // The caller keeps sending without reading responses.
             self.effects.push(Effect::CloseSession { session: id });
             self.session_closed(now, id);
             return;
@@ -64,7 +64,7 @@
         self.start_next(now, id);
     }
 
-    /// Starts the session's next statement, unless one is under way.
+    /// Starts the session's next statement, unless a request is in progress.
     pub(crate) fn start_next(&mut self, now: Time, id: SessionId) {
         while let Some(session) = self.sessions.get_mut(&id) {
             if session.request.is_some() {
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Changes the session's own state, which a failed transaction does not allow.
+    /// Changes the session's own state, which is not allowed in a failed transaction.
     fn change_session(&mut self, id: SessionId, change: impl FnOnce(&mut Session)) {
         let Some(session) = self.sessions.get_mut(&id) else {
             return;
@@ -127,7 +127,7 @@
         self.respond_completed(id);
     }
 
-    /// Answers with success that needs no back end.
+    /// Responds with success without a back end.
     fn respond_completed(&mut self, id: SessionId) {
         let result = ResponseResult::Completed { signature: None };
         self.respond(id, result);
@@ -141,8 +141,8 @@
         self.respond(id, result);
     }
 
-    /// The first statement after the engine ended a transaction learns of it, all later ones are not
-    /// understood until the caller ends the transaction.
+    /// The first statement after the engine ended a transaction reports the loss. Later ones are protocol
+    /// violations until the caller ends the transaction.
     fn refuse_in_failed_transaction(&mut self, id: SessionId) {
         let Some(session) = self.sessions.get_mut(&id) else {
             return;
@@ -158,7 +158,7 @@
         self.respond_refused(id, code);
     }
 
-    /// Answers a statement that needed no back end.
+    /// Responds to a statement that needed no back end.
     pub(crate) fn respond(&mut self, id: SessionId, result: ResponseResult) {
         let Some(session) = self.sessions.get(&id) else {
             return;
@@ -188,7 +188,7 @@
         self.respond_completed(id);
     }
 
-    /// Undoes the transaction on a connection, which is idle afterwards.
+    /// Rolls back the transaction on a connection, which is idle afterwards.
     pub(crate) fn roll_back_connection(
         &mut self,
         now: Time,
@@ -321,7 +321,7 @@
         self.admit(now, id);
     }
 
-    /// Sends a request that was admitted to a back end, or to another node.
+    /// Sends an admitted request to a back end or forwards it to another node.
     pub(crate) fn dispatch(&mut self, now: Time, id: SessionId) {
         let Some(session) = self.sessions.get(&id) else {
             return;
@@ -347,7 +347,8 @@
     ) {
         self.cancel_idle_timer(id, open);
         self.insert_request(now, id, statement, Arc::clone(&open.route), kind);
-        // What has not run yet can begin elsewhere; what has goes on where it began.
+        // A transaction without statements so far can begin on another back end; one that has run continues
+        // where it began.
         let starts_after_drain = !open.has_run && self.is_backend_unusable(now, open.connection);
         if starts_after_drain || self.is_on_evacuated_backend(now, open.connection) {
             self.roll_back_connection(now, open.connection);
@@ -367,7 +368,8 @@
         let number = self.next_request();
         let deadline = now + route.statement_timeout;
         let hold = deadline.min(now + route.target_latency / HOLD_DIVISOR);
-        // What was sent by then runs on, and its connection with it, whether or not the answer is still waited for.
+        // The hold time ends in time for the answer to reach the forwarding node. A statement that was sent
+        // by then continues, whether or not its response is still awaited.
         let session = self.sessions.get(&id);
         let answer_due = session.and_then(|session| session.answer_due);
         let hold_ends = answer_due.map_or(hold, |due| due.max(now).min(hold));
@@ -413,7 +415,6 @@
         }
     }
 
-    /// Takes back the timer of a resting transaction.
     pub(crate) fn cancel_idle_timer(&mut self, id: SessionId, open: &OpenTransaction) {
         if let Some((at, number)) = open.idle_timer {
             self.timers.cancel(at, Timer::TransactionIdle(id, number));
@@ -421,7 +422,7 @@
     }
 }
 
-/// Whether a statement reads or writes; none for a prepared name that does not exist.
+/// Whether a statement reads or writes; none for an unknown prepared statement.
 fn access_of(session: &Session, statement: &Statement) -> Option<AccessClass> {
     match &statement.kind {
         StatementKind::Read => Some(AccessClass::Read),
--- a/crates/stairward-engine/src/waiting.rs
+++ b/crates/stairward-engine/src/waiting.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for a back end, a connection or a proof.
+//! Requests that wait for a back end, a connection or a position proof.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 use crate::session::{Request, Stage, WaitReason};
 
 impl Engine {
-    /// Tries each waiting request of the services in which something has changed.
+    /// Retries the waiting requests of each service whose state has changed.
     pub(crate) fn serve_waiting(&mut self, now: Time) {
         for _ in 0..MAX_ROUNDS {
             let changed = std::mem::take(&mut self.changed);
@@ -29,7 +29,8 @@
             return;
         };
         let keys: Vec<WaitingKey> = waiting.iter().copied().collect();
-        // Each tenant's connections serve its own requests first. Only then may they give way to others'.
+        // A tenant's idle connections serve its own requests first. Only then may they be closed to make room
+        // for others.
         let has_tenant = |key: &WaitingKey| {
             let session = self.sessions.get(&key.session);
             session.is_some_and(|session| session.identity.tenant().is_some())
@@ -41,7 +42,7 @@
     }
 
     fn serve_in_order(&mut self, now: Time, keys: &[WaitingKey], opening: Opening) {
-        // One request that finds no connection stands for all later ones of its kind.
+        // If one request finds no connection, neither do later ones of the same kind.
         let mut unservable: BTreeSet<(bool, u8, Option<TenantName>)> = BTreeSet::new();
         for key in keys {
             let Some(session) = self.sessions.get(&key.session) else {
@@ -70,13 +71,13 @@
         (request.stage == Stage::Waiting).then_some(request)
     }
 
-    /// Sends a waiting request, if a back end and a connection can be had.
+    /// Sends a waiting request if a back end and a connection are available.
     pub(crate) fn attempt(&mut self, now: Time, id: SessionId) {
         self.attempt_with(now, id, Opening::Allowed);
     }
 
     fn attempt_with(&mut self, now: Time, id: SessionId, opening: Opening) {
-        // Taken out while the choice looks at the rest of the engine.
+        // The session is removed temporarily because the selection borrows the rest of the engine.
         let Some(session) = self.sessions.remove(&id) else {
             return;
         };
@@ -102,7 +103,7 @@
         }
     }
 
-    /// No back end is left to try; one that was tried may still answer.
+    /// No back end is left to try; one that was tried may still reply.
     fn no_backend_left(&mut self, now: Time, id: SessionId) {
         let Some(request) = self.sessions.get_mut(&id).and_then(|s| s.request.as_mut()) else {
             return;
@@ -113,7 +114,7 @@
         }
     }
 
-    /// It can't be served; a back end that it was sent to may still answer.
+    /// Refuses a request that can't be served, unless a back end it was sent to may still reply.
     fn refuse_unless_sent(
         &mut self,
         now: Time,
@@ -161,5 +162,5 @@
     }
 }
 
-/// Rounds of looking at waiting requests within one event; what changes after them waits for the next.
+/// Maximum rounds over waiting requests within one event; further changes are served in the next event.
 const MAX_ROUNDS: usize = 4;
--- a/crates/stairward-engine/src/warm_up.rs
+++ b/crates/stairward-engine/src/warm_up.rs
@@ -1,8 +1,8 @@
-//! Warm-up of cold back ends: one that has just started gets few requests from all nodes together.
+//! Warm-up of cold back ends: a back end that has just started gets few requests from all nodes together.
 //!
-//! Load pattern: a fleet of hundreds turns to a leader that was just started, in one wave. Only the first holder of the
-//! service sends there, and it spends half of the bound, so that two nodes which both take themselves for the first
-//! holder stay within it together.
+//! Without a limit, a fleet of hundreds of nodes would turn to a newly started leader in one wave. Therefore
+//! only the first-ranked holder of the service sends to its cold back ends, and it uses half of the limit, so
+//! that two nodes which both consider themselves first-ranked stay within it together.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -16,28 +16,29 @@
 use crate::session::{Request, RequestKind, Stage, WaitReason};
 use crate::timers::Timer;
 
-/// The span in which requests to a cold back end are counted.
+/// Period over which requests to a cold back end are counted.
 const WINDOW: Duration = Duration::from_secs(1);
-/// Requests of one second may arrive in a shorter one where the way's delay varies: so much longer is counted.
+/// Requests sent within one second may arrive in a shorter period if the network delay varies; the counted
+/// period is longer by this margin.
 const WINDOW_MARGIN: Duration = Duration::from_millis(250);
-/// Nodes that may take themselves for the first holder at the same time while views differ.
+/// Number of nodes that may consider themselves first-ranked at the same time while their views differ.
 const CONCURRENT_SENDERS: f64 = 2.0;
-/// A node sends nothing to a cold back end in the first part of its life: an earlier life may have sent something
-/// a moment ago, and its view of the others is not complete.
+/// A node sends nothing to a cold back end for this long after its start: its previous process may have sent
+/// requests a moment ago, and its view of the other nodes is incomplete.
 const STARTUP_DELAY: Duration = Duration::from_secs(1);
-/// A node that sees less than this share of the nodes that it saw lately, in percent, may be cut off from them.
+/// A node that sees less than this percentage of the nodes that it saw recently may be partitioned from them.
 const MIN_VISIBLE_PERCENT: u32 = 51;
 
-/// When a client should come back whose statement met a node that is not the one to send it: views differ for about
-/// as long.
+/// Retry delay for clients whose statement reached a node that is not the sender. Views differ for about as
+/// long.
 const RETRY_NOT_SENDER: Duration = Duration::from_millis(300);
 
-/// How many requests cold back ends may get, beside their service's rate.
+/// How far requests to cold back ends may exceed their service's rate.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ColdBound {
-    /// What the service's rate is multiplied by.
+    /// Factor applied to the service's rate.
     pub excess: f64,
-    /// Requests a second more.
+    /// Requests per second added to the result.
     pub slack: f64,
 }
 
@@ -51,7 +52,7 @@
 }
 
 impl ColdBound {
-    /// The requests that one node may send to a cold back end in a second; at least 1.
+    /// The requests per second that one node may send to a cold back end; at least 1.
     fn share(self, rate_thousandths: u64) -> usize {
         #[allow(
             clippy::cast_precision_loss,
@@ -71,18 +72,19 @@
     }
 }
 
-/// What was sent to a cold back end lately.
+/// Warm-up state of a back end and the recent requests to it.
 #[derive(Debug, Default)]
 pub(crate) struct WarmUp {
-    /// Until when it is cold; none where it is warm.
+    /// When it becomes warm; none if it is warm.
     until: Option<Time>,
-    /// What its entry last said of that, so that only news counts.
+    /// The remaining warm-up time in its last description; only a changed value restarts the period.
     last_reported: Duration,
     sent_at: VecDeque<Time>,
 }
 
 impl WarmUp {
-    /// Takes in what a back end's entry says, heard now. `is_new` says that the entry was not there before.
+    /// Applies the remaining warm-up time from a description received at `now`. `is_new` tells whether the
+    /// back end was unlisted before.
     pub fn update(&mut self, now: Time, left: Duration, is_new: bool) {
         let has_changed = std::mem::replace(&mut self.last_reported, left) != left;
         if left > Duration::ZERO && (has_changed || is_new) {
@@ -101,14 +103,14 @@
         self.until.is_some_and(|until| now < until)
     }
 
-    /// A request was sent.
     pub fn sent(&mut self, now: Time) {
         if self.is_cold(now) {
             self.sent_at.push_back(now);
         }
     }
 
-    /// When another request may be sent, if `share` may be in any window; now or earlier where one may be at once.
+    /// When another request may be sent if any window may contain `share` requests; `now` or earlier if at
+    /// once.
     fn next_send_at(&mut self, now: Time, share: usize) -> Time {
         let span = WINDOW + WINDOW_MARGIN;
         while self.sent_at.front().is_some_and(|at| *at + span <= now) {
@@ -122,7 +124,7 @@
 }
 
 impl Engine {
-    /// Takes in what a back end's entry says of its warm-up.
+    /// Updates a back end's warm-up state from its description.
     pub(crate) fn update_warm_up(&mut self, now: Time, id: &BackendId, is_new: bool) {
         let Some(backend) = self.backends.get_mut(id) else {
             return;
@@ -142,7 +144,7 @@
         }
     }
 
-    /// A cold back end's time may be over.
+    /// Reports a back end as warm if its warm-up time has passed.
     pub(crate) fn warm_up_check_due(&mut self, now: Time, id: &BackendId) {
         let Some(backend) = self.backends.get(id) else {
             return;
@@ -157,7 +159,7 @@
         });
     }
 
-    /// Whether a back end is cold, and its service tells how much it may get meanwhile.
+    /// Whether a back end is cold and its service limits the rate to cold back ends.
     #[must_use]
     pub fn is_cold(&self, now: Time, id: &BackendId) -> bool {
         let backend = self.backends.get(id);
@@ -171,7 +173,7 @@
         limits.cold_rate_thousandths
     }
 
-    /// When this node may send another request to a back end. None where another node is to send it.
+    /// When this node may send another request to a back end; none if another node is the sender.
     pub(crate) fn next_send_at(&mut self, now: Time, id: &BackendId) -> Option<Time> {
         if !self.is_cold(now, id) {
             return Some(now);
@@ -190,7 +192,7 @@
 
     /// Whether this node is the one that sends to a service's cold back ends.
     fn may_send_to_cold(&self, now: Time, service: &ServiceName) -> bool {
-        // Where nobody was named yet, this node is one that knows of no other.
+        // No holder is named until another node is known.
         let first = self.holders.first(service);
         let is_first = first.is_none_or(|first| first == self.options.limits.node);
         let is_settled = now >= self.options.limits.started + STARTUP_DELAY;
@@ -220,8 +222,8 @@
         is_any_usable && usable.all(|id| self.is_cold(now, id))
     }
 
-    /// Whether a request may be sent to a back end now, as far as its warm-up is concerned; what becomes of the
-    /// request otherwise.
+    /// Checks whether the warm-up limit allows a request to a back end now; the error tells what to do with
+    /// the request otherwise.
     pub(crate) fn check_cold_limit(
         &mut self,
         now: Time,
@@ -235,7 +237,7 @@
         if request.kind == RequestKind::LeaderTransaction
             || request.kind == RequestKind::FreshTransaction
         {
-            // Its later statements could not be held back.
+            // The later statements of a transaction could not be delayed.
             let retry_after = self.cold_retry_after(now, &service);
             return Err(Choice::Refuse(ResultCode::Overloaded, retry_after));
         }
@@ -249,7 +251,8 @@
         }
     }
 
-    /// Whether a request may be sent on a connection now that it is set up: others may have taken the room meanwhile.
+    /// Whether a request may be sent now that its connection is set up: other requests may have used up the
+    /// limit since.
     pub(crate) fn may_send_on(&mut self, now: Time, connection: ConnectionId) -> bool {
         let connection = self.connections.get(&connection);
         let Some(backend) = connection.map(|connection| connection.backend.clone()) else {
@@ -258,7 +261,7 @@
         self.next_send_at(now, &backend).is_some_and(|at| at <= now)
     }
 
-    /// Puts a request back that found no room when its connection was set up.
+    /// Returns a request to the queue if the limit was used up while its connection was set up.
     pub(crate) fn wait_for_cold_limit(
         &mut self,
         now: Time,
@@ -276,7 +279,7 @@
         }
     }
 
-    /// Leaves cold copies out where a warm one can take a read. Where none can, those remain that have room.
+    /// Removes cold back ends if a warm one can answer a read. Otherwise keeps those that the limit allows.
     pub(crate) fn filter_cold(
         &mut self,
         now: Time,
@@ -310,7 +313,7 @@
         }
     }
 
-    /// How long a client should stay away from a cold back end that has no room for it.
+    /// Retry delay for a client that was refused by the limit of a cold back end.
     pub(crate) fn cold_retry_after(
         &mut self,
         now: Time,
