--- a/crates/stairward-engine/src/discovery.rs
+++ b/crates/stairward-engine/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Takes in what discovery lists, and lets go of back ends that leave.
+//! Applies discovery's back ends, and releases back ends that leave.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -14,13 +14,14 @@
 use crate::settings::{BackendDescription, DiscoveryChange};
 use crate::timers::Timer;
 
-/// How often leaving back ends are looked at.
+/// Interval at which leaving back ends are reviewed.
 const BACKEND_REVIEW_INTERVAL: Duration = Duration::from_millis(500);
-/// How long after a gone back end may no longer be used its connections are closed.
+/// Delay between the end of use of an unlisted back end and the removal of its state.
 const GONE_CLOSE_DELAY: Duration = Duration::from_secs(4);
 
 impl Engine {
-    /// Takes discovery's whole list in. What is new in it came about after `since`, or at any time.
+    /// Applies discovery's complete list. Its differences occurred after `since`, or at any time if it is
+    /// none.
     pub(crate) fn apply_backend_list(
         &mut self,
         now: Time,
@@ -37,7 +38,7 @@
         self.apply_discovery_change(now, DiscoveryChange { described, gone }, since);
     }
 
-    /// Takes in what has changed in discovery's list. It came about after `since`, or at any time.
+    /// Applies a change of discovery's list, which occurred after `since`, or at any time if it is none.
     pub(crate) fn apply_discovery_change(
         &mut self,
         now: Time,
@@ -116,7 +117,7 @@
             }
         }
         if is_leaving {
-            // One that is first heard of as leaving may have said so, and have been forgotten, long ago.
+            // A back end first listed as leaving may have announced it long ago, before this node forgot it.
             self.begin_leaving(now, &id, since.filter(|_| !is_unknown));
         } else {
             self.cancel_leaving(&id);
@@ -124,7 +125,7 @@
         self.update_warm_up(now, &id, is_new || is_new_start);
     }
 
-    /// A back end leaves, or has gone, as this node hears.
+    /// Notes that a back end leaves or is unlisted.
     pub(crate) fn begin_leaving(&mut self, now: Time, id: &BackendId, since: Option<Time>) {
         let limit = self.options.leaving_limit;
         let Some(backend) = self.backends.get_mut(id).filter(|b| b.leaving.is_none()) else {
@@ -146,7 +147,7 @@
         backend.is_none_or(|backend| !backend.is_usable(now))
     }
 
-    /// A back end is there to stay.
+    /// A back end no longer leaves.
     fn cancel_leaving(&mut self, id: &BackendId) {
         let Some(backend) = self.backends.get_mut(id) else {
             return;
@@ -170,7 +171,7 @@
         }
     }
 
-    /// Lets go of back ends whose time is over, and of connections that nobody needs.
+    /// Releases back ends whose use has ended, and connections that are not needed.
     pub(crate) fn review_backends(&mut self, now: Time) {
         self.is_reviewing = false;
         let mut over = Vec::new();
@@ -196,7 +197,7 @@
         }
     }
 
-    /// Tells, once, that a back end gets no more work.
+    /// Reports, once, that a back end gets no more work.
     fn report_drain_expired(&mut self, id: &BackendId) {
         let leaving = self.backends.get_mut(id).and_then(|b| b.leaving.as_mut());
         let Some(leaving) = leaving else {
--- a/crates/stairward-engine/src/engine.rs
+++ b/crates/stairward-engine/src/engine.rs
@@ -1,4 +1,4 @@
-//! The engine: its state, and the dispatch of events and timers.
+//! The engine's state, and the dispatch of events and timers.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -24,27 +24,27 @@
 use crate::tenants::TenantDirectory;
 use crate::timers::{Timer, Timers};
 
-/// A connection that nobody has used for this long is closed, but for one to each back end: what a node
-/// holds without kind its successor can't have when it loses power.
+/// Connections idle for this long are closed, except one per back end. After a power loss a node's successor
+/// can't use the connections that the node held needlessly.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(800);
-/// A tenant's connection is kept for longer: it serves nobody else, most tenants come seldom, and where room is
-/// needed the one that was used least recently gives way.
+/// A tenant's connection is kept longer: it serves no other tenant, and most tenants send requests rarely. If
+/// room is needed, the least recently used one is closed.
 const TENANT_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Connections per back end kept back for nodes that are not counted yet.
+/// Connections per back end reserved for nodes that are not counted yet.
 const RESERVED_CONNECTIONS: u32 = 1;
 
-/// Figures about the engine for metrics.
+/// Engine metrics.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct EngineStatistics {
     /// Open sessions.
     pub sessions: usize,
     /// Connections to back ends, open or being opened.
     pub connections: usize,
-    /// Requests that wait.
+    /// Requests in the waiting queues.
     pub waiting: usize,
 }
 
-/// A request that waits, in the order in which it is served.
+/// Sort key of a waiting request, in serving order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct WaitingKey {
     pub priority: u8,
@@ -53,7 +53,7 @@
 }
 
 impl WaitingKey {
-    /// The place of a session's request.
+    /// The key of a session's request.
     pub fn of(session: SessionId, request: &Request) -> Self {
         Self {
             priority: request.route.priority,
@@ -69,7 +69,7 @@
     pub(crate) options: EngineOptions,
     pub(crate) table: Option<Arc<RoutingTable>>,
     pub(crate) sessions: BTreeMap<SessionId, Session>,
-    /// Sessions that came before the first configuration.
+    /// Sessions received before the first configuration.
     pub(crate) pending: BTreeMap<SessionId, PendingSession>,
     pub(crate) connections: BTreeMap<ConnectionId, Connection>,
     pub(crate) backends: BTreeMap<BackendId, Box<Backend>>,
@@ -86,7 +86,7 @@
     pub(crate) evacuations: Evacuations,
     pub(crate) stop: Option<Stop>,
     pub(crate) limits: Limiter,
-    /// Requests that wait for their tenant's limit to have room.
+    /// Requests waiting for a grant under their tenant's limit.
     pub(crate) admissions: BTreeMap<TenantName, BTreeSet<WaitingKey>>,
     pub(crate) is_reviewing: bool,
     last_connection: u64,
@@ -94,7 +94,7 @@
 }
 
 impl Engine {
-    /// An engine that knows no configuration and no back end yet.
+    /// Creates an engine without a configuration or back ends.
     #[must_use]
     pub fn new(options: EngineOptions) -> Self {
         let limits = Limiter::new(options.limits.clone());
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Takes an event in and says what must be done.
+    /// Processes an event and returns the actions to carry out.
     pub fn handle(&mut self, now: Time, event: Event) -> Vec<Effect> {
         self.run_timers(now);
         if self.limits.next_wake().is_some_and(|at| at <= now) {
@@ -136,14 +136,14 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// When the engine wants a [`Event::Tick`] at the latest.
+    /// The latest time at which the engine needs an [`Event::Tick`].
     #[must_use]
     pub fn next_wake(&self) -> Option<Time> {
         let limits = self.limits.next_wake();
         self.timers.next().into_iter().chain(limits).min()
     }
 
-    /// Whether sessions can be served: a configuration is known and no stop is under way.
+    /// Whether sessions can be served: a configuration is known and no stop is in progress.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.table.is_some() && self.stop.is_none()
@@ -155,7 +155,7 @@
         self.table.as_ref()
     }
 
-    /// Figures for metrics.
+    /// Current metrics.
     #[must_use]
     pub fn statistics(&self) -> EngineStatistics {
         EngineStatistics {
@@ -317,9 +317,9 @@
         connections.iter().filter(is_idle).copied().collect()
     }
 
-    /// Closes connections that nobody has needed lately, but for one to each back end of the services that this node
-    /// holds. What it opened while it did not know the other holders is theirs: 72 nodes that keep one connection each
-    /// leave them none of 36.
+    /// Closes idle connections that are no longer needed, except one to each back end of the services that
+    /// this node holds. Connections that it opened before it knew the other holders must be closed too: 72
+    /// nodes that keep one connection each would leave the holders none of 36.
     pub(crate) fn close_unneeded_connections(&mut self, now: Time) {
         let mut unused = Vec::new();
         for backend in self.backends.values() {
@@ -353,8 +353,8 @@
         }
     }
 
-    /// The connections this node may hold to a back end: one before it has seen the others, since
-    /// hundreds of nodes that start together would fill all slots with opening connections.
+    /// The connections that this node may hold to a back end. It is one until the node has seen the others,
+    /// because hundreds of nodes that start together would fill all slots with openings.
     pub(crate) fn connection_share(&self, id: &BackendId) -> usize {
         let service = self
             .backends
@@ -384,7 +384,7 @@
         usize::try_from(share).unwrap_or(1)
     }
 
-    /// What decides how many nodes hold connections to a service's back ends.
+    /// The inputs that determine how many nodes hold connections to a service's back ends.
     fn holder_sizing(&self, service: &ServiceName) -> HolderSizing {
         let limits = self
             .table
@@ -403,14 +403,15 @@
         }
     }
 
-    /// Opens a first connection to each back end of the services that this node holds and that routes lead to, so that
-    /// the first requests find one. Not before the others are seen: most of the back ends may be for others to hold.
+    /// Opens a first connection to each back end of the routed services that this node holds, so that the
+    /// first requests find one. It waits until the other nodes are known, since most back ends may be theirs
+    /// to hold.
     pub(crate) fn open_initial_connections(&mut self, now: Time) {
         let services: Vec<ServiceName> = self.groups.keys().cloned().collect();
         self.open_initial_connections_of(now, &services);
     }
 
-    /// As [`Self::open_initial_connections`], for these services.
+    /// As [`Self::open_initial_connections`], for these services only.
     pub(crate) fn open_initial_connections_of(&mut self, now: Time, services: &[ServiceName]) {
         if !self.nodes.is_known() {
             return;
--- a/crates/stairward-engine/src/evacuation.rs
+++ b/crates/stairward-engine/src/evacuation.rs
@@ -1,4 +1,4 @@
-//! Evacuated zones: nothing new is sent to their back ends, and what is open there is ended in time.
+//! Evacuated zones: no new work is sent to their back ends, and open transactions there are ended in time.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -11,23 +11,23 @@
 use crate::reply::TransactionStatus;
 use crate::timers::Timer;
 
-/// How often connections that are still in use in an evacuated zone are looked at.
+/// Interval at which connections still in use in an evacuated zone are checked.
 const REVIEW_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The evacuated zones, each with when the use of its back ends ends.
+/// The evacuated zones, with the time at which the use of their back ends ends.
 #[derive(Debug, Default)]
 pub(crate) struct Evacuations {
     ends_at: BTreeMap<ZoneName, Time>,
 }
 
 impl Evacuations {
-    /// When the use of a zone's back ends ends; none where it is not evacuated, as far as this node has heard.
+    /// When the use of a zone's back ends ends; none if it is not evacuated.
     pub fn ends_at(&self, zone: &ZoneName) -> Option<Time> {
         self.ends_at.get(zone).copied()
     }
 
-    /// Takes the evacuated zones in, whole; for new ones the use ends then. Returns those that came and those that were
-    /// taken back.
+    /// Replaces the set of evacuated zones. The use of new ones ends at `ends_at`. Returns the added and the
+    /// removed zones.
     fn replace(
         &mut self,
         zones: &BTreeSet<ZoneName>,
@@ -44,17 +44,18 @@
     }
 }
 
-/// What is still going on in an evacuated zone.
+/// Remaining activity in an evacuated zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct ZoneActivity {
-    /// Connections to its back ends.
+    /// Open connections to its back ends.
     pub connections: usize,
-    /// Statements under way there.
+    /// Statements in flight there.
     pub statements: usize,
 }
 
 impl Engine {
-    /// Takes the evacuated zones in, whole. What is new in them was said after `since`, or at any time.
+    /// Applies the complete set of evacuated zones. Its differences occurred after `since`, or at any time if
+    /// it is none.
     pub(crate) fn set_evacuated(
         &mut self,
         now: Time,
@@ -79,19 +80,19 @@
         self.effects.extend(added.chain(removed));
     }
 
-    /// Whether a back end's zone has been evacuated for so long that nothing is sent there any more.
+    /// Whether a back end's zone is evacuated and its time limit has passed.
     pub(crate) fn is_evacuated(&self, now: Time, id: &BackendId) -> bool {
         let ends_at = self.backends.get(id).and_then(|b| b.evacuated_until);
         ends_at.is_some_and(|ends_at| now >= ends_at)
     }
 
-    /// Whether the transaction on a connection may not go on, since its back end's zone is evacuated.
+    /// Whether the transaction on a connection must end because its back end's zone is evacuated.
     pub(crate) fn is_on_evacuated_backend(&self, now: Time, connection: ConnectionId) -> bool {
         let connection = self.connections.get(&connection);
         connection.is_some_and(|connection| self.is_evacuated(now, &connection.backend))
     }
 
-    /// Ends what rests in evacuated zones, once their limit has passed.
+    /// Ends idle transactions and closes idle connections in evacuated zones after their time limit.
     pub(crate) fn end_work_in_evacuated_zones(&mut self, now: Time) {
         let there: Vec<ConnectionId> = self
             .backends
@@ -117,7 +118,7 @@
         }
     }
 
-    /// Sessions whose open transaction rests on one of these connections.
+    /// Sessions with an idle transaction on one of these connections.
     fn idle_transactions_on(&self, connections: &[ConnectionId]) -> Vec<SessionId> {
         let is_idle_there = |id: &SessionId| {
             let session = self.sessions.get(id);
@@ -135,7 +136,7 @@
             .collect()
     }
 
-    /// What still goes on in each evacuated zone.
+    /// The remaining activity in each evacuated zone.
     #[must_use]
     pub fn evacuated_zone_activity(&self) -> BTreeMap<ZoneName, ZoneActivity> {
         let zones = self.evacuations.ends_at.keys();
--- a/crates/stairward-engine/src/group.rs
+++ b/crates/stairward-engine/src/group.rs
@@ -1,4 +1,4 @@
-//! What the engine knows of a service's back ends together: who leads, and how far its log had come.
+//! State of a service's group of back ends: its leadership and the proved positions of the leader.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -8,38 +8,39 @@
 use crate::leadership::Leadership;
 use crate::proofs::{Proof, Proofs};
 
-/// A service's back ends together.
+/// State of a service's group of back ends.
 #[derive(Debug, Default)]
 pub(crate) struct Group {
-    /// Its back ends.
+    /// The members of the group.
     pub members: BTreeSet<BackendId>,
     /// Proofs of the leader's position.
     pub proofs: Proofs,
-    /// The newest term seen in any answer.
+    /// The highest term seen in any reply.
     pub newest_term: Term,
-    /// Back ends that said they don't lead, with the revision of the description that they denied.
+    /// Back ends that denied being the leader, with the revision of the description that they denied.
     pub denied: BTreeMap<BackendId, StoreRevision>,
-    /// What is known of its lead.
+    /// What is known of its leadership.
     pub leadership: Leadership,
     /// When peers were last asked for a newer proof.
     pub asked_peers_at: Option<Time>,
-    /// When the last probe of the leader's position was begun; none when it has ended.
+    /// When the current probe of the leader's position began; none if there is no probe.
     pub probing_since: Option<Time>,
 }
 
 impl Group {
-    /// Takes a proof in.
+    /// Records a proof of the leader's position.
     pub fn record_proof(&mut self, proof: Proof) {
         self.newest_term = self.newest_term.max(proof.freshness.term);
         self.proofs.insert(proof);
     }
 
-    /// What a log must hold for a read that may miss commits acknowledged less than `staleness` before
-    /// `start`, and none up to `own`. None when it is not known freshly enough. Of the proofs recency enough the
-    /// oldest counts, so that copies that lag less than the staleness may answer.
+    /// The log position required by a read that may miss commits acknowledged less than `staleness` before
+    /// `start`, but must not miss the session's own commit. None if the leader's position is not known
+    /// recently enough. Of the sufficiently recent proofs the oldest counts, so that replicas which lag less
+    /// than the staleness may answer.
     ///
-    /// A floor of an earlier term than the proof's may name a position that was rolled back; the
-    /// leader's position in the later term covers all of it that was kept.
+    /// A commit of an earlier term than the proof's may name a position that was rolled back; the leader's
+    /// position in the later term covers everything of it that was kept.
     pub fn floor(
         &self,
         start: Time,
--- a/crates/stairward-engine/src/holder_sizing.rs
+++ b/crates/stairward-engine/src/holder_sizing.rs
@@ -1,31 +1,33 @@
 //! How many nodes hold connections to a service's back ends, and how many connections each of them may hold.
 //!
-//! Both follow from what a back end can use, its slots and its zones, as long as its limit of connections allows more:
-//! a limit says what a back end bears, and many more holders than its slots can occupy only cost connections.
+//! Both follow from what a back end can use, its slots and its zones, as long as its connection limit allows
+//! more. The limit only says how many connections a back end can bear; far more holders than its slots can
+//! keep busy would waste connections.
 
-/// The smallest number of connections to a back end that a node may usefully hold.
+/// Smallest useful number of connections to a back end per holder.
 const MIN_CONNECTIONS_PER_HOLDER: u32 = 3;
-/// Holders that keep a slot occupied: a connection is on its way for several times as long as its statement takes a
-/// slot, where its back end is in another region.
+/// Holders needed to keep a slot busy: if the back end is in another region, a connection is in transit for
+/// several times as long as its statement occupies a slot.
 const HOLDERS_PER_SLOT: u32 = 5;
-/// Holders in each zone, so that a lost one leaves its zone another.
+/// Holders per zone, so that a zone that loses one has another.
 const HOLDERS_PER_ZONE: u32 = 2;
-/// Sets of holders that may hold connections at once, since nodes with different views name different ones.
+/// Number of holder sets that may hold connections at the same time, since nodes with different views select
+/// different holders.
 const CONCURRENT_VIEWS: u32 = 2;
 
-/// What decides how many nodes hold connections to the back ends of a service.
+/// The inputs that determine how many nodes hold connections to a service's back ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HolderSizing {
-    /// Connections that each back end takes from all nodes together.
+    /// Maximum connections to each back end from all nodes together.
     pub connections: u32,
-    /// Statements that each back end runs at once; none where that is not known.
+    /// Number of statements that each back end runs concurrently; none if unknown.
     pub slots: Option<u32>,
-    /// Zones that nodes run in.
+    /// Number of zones in which nodes run.
     pub zones: u32,
 }
 
 impl HolderSizing {
-    /// How many nodes hold connections to the service's back ends at most.
+    /// The maximum number of nodes that hold connections to the service's back ends.
     #[must_use]
     pub fn holder_count(self) -> u32 {
         let allowed = (self.connections.saturating_sub(1) / MIN_CONNECTIONS_PER_HOLDER).max(1);
@@ -38,8 +40,8 @@
     }
 }
 
-/// How many of a back end's `available` connections each of its holders may hold, where not all nodes are among them.
-/// Where it leaves a useful share, two sets of holders without a common node hold no more than `available` together.
+/// How many of a back end's `available` connections each holder may hold if not all nodes are holders. As
+/// long as the share stays useful, two disjoint sets of holders stay within `available` together.
 #[must_use]
 pub fn connections_per_holder(available: u32, holders: u32) -> u32 {
     let holders = holders.max(1);
--- a/crates/stairward-engine/src/holder_watch.rs
+++ b/crates/stairward-engine/src/holder_watch.rs
@@ -1,5 +1,6 @@
-//! Watching the holders that statements are forwarded to: one that says nothing is asked for a sign of life, and
-//! without one its work goes elsewhere, long before its connection or the membership view gives it up.
+//! Liveness checks of holders that statements are forwarded to. A holder that owes an answer and is quiet is
+//! pinged; without a reply its work is moved to others, long before its connection fails or the membership
+//! view drops it.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -12,27 +13,28 @@
 use crate::session::{Stage, Transaction};
 use crate::timers::Timer;
 
-/// A holder that owes an answer for this long and has said nothing meanwhile is asked for a sign of life.
+/// A holder that has owed an answer and has been quiet for this long is pinged.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(150);
-/// How long the sign may take: a few round trips between regions, and a slow node's turn.
+/// Time allowed for the ping reply: a few round trips between regions and the scheduling delay of a slow
+/// node.
 const PING_TIMEOUT: Duration = Duration::from_millis(200);
-/// Pause between two questions to a holder that has given no sign.
+/// Interval between pings to a silent holder.
 const PING_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What is known of a holder.
+/// Liveness state of a holder.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct HolderWatch {
-    /// Requests that it owes an answer, by when they were forwarded.
+    /// Requests without an answer, by the time at which they were forwarded.
     owed: BTreeSet<(Time, SessionId)>,
     heard_at: Time,
     asked_at: Option<Time>,
-    /// Whether it gave no sign of life when asked, and nothing since.
+    /// Whether it has not replied to a ping, and nothing was received since.
     pub is_silent: bool,
     timer_at: Option<Time>,
 }
 
 impl Engine {
-    /// A request was forwarded to a holder.
+    /// Starts watching a holder to which a request was forwarded.
     pub(crate) fn watch_holder(&mut self, now: Time, holder: NodeId, session: SessionId) {
         let watch = self.holder_watches.entry(holder).or_default();
         watch.owed.insert((now, session));
@@ -41,7 +43,7 @@
         }
     }
 
-    /// A holder gave a sign of life.
+    /// Records that a holder is alive.
     pub(crate) fn holder_alive(&mut self, now: Time, holder: NodeId) {
         let Some(watch) = self.holder_watches.get_mut(&holder) else {
             return;
@@ -56,7 +58,7 @@
         }
     }
 
-    /// A session's request is no longer owed by a holder.
+    /// Removes a session's request from those that a holder owes an answer.
     pub(crate) fn clear_owed_request(&mut self, holder: NodeId, session: SessionId) {
         let Some(watch) = self.holder_watches.get_mut(&holder) else {
             return;
@@ -71,7 +73,8 @@
         }
     }
 
-    /// A holder's connection has ended: it owes nothing any more, and is asked again only if it was silent.
+    /// The connection to a holder has ended: it owes no answers any more, and is pinged only if it was
+    /// silent.
     pub(crate) fn clear_owed(&mut self, holder: NodeId) {
         if let Some(watch) = self.holder_watches.get_mut(&holder) {
             watch.owed.clear();
@@ -86,7 +89,7 @@
         }
     }
 
-    /// Looks at a holder that owed something a while ago.
+    /// Checks a holder that owed an answer when the timer was set.
     pub(crate) fn check_holder(&mut self, now: Time, holder: NodeId) {
         let is_known_holder = self.holders.is_holder(holder);
         let Some(watch) = self.holder_watches.get_mut(&holder) else {
@@ -121,8 +124,8 @@
         }
     }
 
-    /// Forwards to others what a silent holder owes and may be run twice. What may not stays with it: its answer
-    /// may still come.
+    /// Forwards a silent holder's retryable requests to other holders. The others stay with it, as their
+    /// answers may still arrive.
     fn reforward_owed(&mut self, now: Time, holder: NodeId) {
         let owed = self.holder_watches.get(&holder).map(|watch| &watch.owed);
         let sessions: Vec<SessionId> = owed.into_iter().flatten().map(|(_, id)| *id).collect();
@@ -142,7 +145,7 @@
         }
     }
 
-    /// A holder was never reached: what was meant for it has provably not been sent.
+    /// A holder could not be reached: the requests for it have provably not been sent.
     pub(crate) fn holder_unreachable(&mut self, now: Time, holder: NodeId) {
         let sessions: Vec<SessionId> = self
             .sessions
@@ -170,7 +173,7 @@
         self.mark_holder_silent(now, holder);
     }
 
-    /// Takes a holder for silent until it gives a sign of life.
+    /// Treats a holder as silent until it shows that it is alive.
     fn mark_holder_silent(&mut self, now: Time, holder: NodeId) {
         if !self.holders.is_holder(holder) {
             return;
--- a/crates/stairward-engine/src/identifiers.rs
+++ b/crates/stairward-engine/src/identifiers.rs
@@ -1,6 +1,6 @@
-//! Numbers that identify things within one life of a process.
+//! Identifiers that are unique within one run of a process.
 
-/// A caller's session: one connection of a caller.
+/// A caller's session, one per caller connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SessionId(pub u64);
 
@@ -8,6 +8,6 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId(pub u64);
 
-/// One request of a session, unique within the engine's life.
+/// A request of a session, unique within the engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct RequestNumber(pub u64);
--- a/crates/stairward-engine/src/leaving.rs
+++ b/crates/stairward-engine/src/leaving.rs
@@ -1,45 +1,46 @@
-//! For how long what is to be left may still be used, and what is known of a back end that leaves.
+//! Limits on the use of draining back ends, and the state of a leaving back end.
 
 use std::time::Duration;
 
 use stairward_types::Time;
 
-/// For how long something that is to be left may still be used by this node.
+/// How long this node may still use something that is to be drained. The earlier of both limits applies.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DrainLimit {
-    /// From when this node heard of it.
+    /// Counted from the time at which this node received the notice.
     pub after_notice: Duration,
-    /// From the earliest moment at which it can have been said.
+    /// Counted from the earliest time at which it can have been announced.
     pub after_announcement: Duration,
 }
 
 impl DrainLimit {
-    /// When the use ends of what was heard of now, and was said after `since` or at any time.
+    /// When the use ends, for a notice received now and announced after `since`, or at any time if it is
+    /// none.
     ///
-    /// Who hears late has no time left: others count from when it was said.
+    /// A late notice leaves no time, because other nodes count from the announcement.
     pub(crate) fn ends_at(&self, now: Time, since: Option<Time>) -> Time {
         let by_begin = since.map_or(now, |since| since.min(now) + self.after_announcement);
         by_begin.min(now + self.after_notice)
     }
 }
 
-/// What is known of a back end that leaves, or has gone from discovery.
+/// State of a back end that leaves or is no longer listed by discovery.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Leaving {
-    /// When this node heard of it.
+    /// When this node received the notice.
     pub heard_at: Time,
-    /// When it gets the last work.
+    /// When its use ends.
     pub ends_at: Time,
-    /// Statements that were sent to it since.
+    /// Statements sent to it since the notice.
     pub sent: u64,
-    /// When the last of these was.
+    /// When the last of these was sent.
     pub last_sent_at: Time,
-    /// Whether it was told that its time is over.
+    /// Whether the end of its use was reported.
     pub is_expiry_reported: bool,
 }
 
 impl Leaving {
-    /// A back end that leaves as heard now.
+    /// State for a notice received now.
     pub const fn new(now: Time, ends_at: Time) -> Self {
         Self {
             heard_at: now,
@@ -51,23 +52,23 @@
     }
 }
 
-/// What this node hears, or does, of a back end that leaves.
+/// A change of a leaving back end's state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeavingChange {
-    /// It leaves, or has gone from discovery.
+    /// It leaves, or is no longer listed by discovery.
     Started {
-        /// How long ago it can have said so at the most; none where that is not known.
+        /// Longest possible time since the announcement; none if unknown.
         age: Option<Duration>,
-        /// For how much longer it gets work.
+        /// How long it still gets work.
         used_for: Duration,
     },
-    /// It is there to stay again.
+    /// It no longer leaves.
     Cancelled,
     /// It gets no more work.
     Expired {
-        /// Statements that this node sent to it since it had heard.
+        /// Statements that this node sent to it after the notice.
         sent: u64,
-        /// From hearing to the last of them.
+        /// Time from the notice to the last of them.
         last_after: Duration,
     },
 }
--- a/crates/stairward-engine/src/lost_connections.rs
+++ b/crates/stairward-engine/src/lost_connections.rs
@@ -1,4 +1,4 @@
-//! Connections that end, whoever ends them, and what that means for whoever used them.
+//! Ended connections and the consequences for their users.
 
 use stairward_types::{ResultCode, Time};
 
@@ -9,7 +9,7 @@
 use crate::session::{RequestKind, Stage, Transaction};
 
 impl Engine {
-    /// A connection has ended.
+    /// Handles the end of a connection.
     pub(crate) fn connection_lost(&mut self, now: Time, id: ConnectionId) {
         let Some(connection) = self.connections.get(&id) else {
             return;
@@ -25,18 +25,17 @@
             .map(|backend| backend.description.service.clone())
             .is_some_and(|service| self.leader(now, &service).as_ref() == Some(&backend_id));
         if had_user || is_leader {
-            // Whether anything still listens there shows at once.
+            // Reconnecting shows at once whether anything still listens there.
             self.open_connection(now, &backend_id, tenant.as_ref());
         }
     }
 
-    /// Closes a connection whose state is in doubt; what was on it is lost.
+    /// Closes a connection in an uncertain state; its pending work is lost.
     pub(crate) fn drop_connection(&mut self, now: Time, id: ConnectionId) {
         self.fail_users_of(now, id);
         self.close_connection(id);
     }
 
-    /// Closes a connection.
     pub(crate) fn close_connection(&mut self, id: ConnectionId) {
         if self.remove_connection(id) {
             self.effects
@@ -61,7 +60,7 @@
         true
     }
 
-    /// What a lost connection means for whoever used it.
+    /// Applies the loss of a connection to its user.
     fn fail_users_of(&mut self, now: Time, id: ConnectionId) {
         let Some(connection) = self.connections.get(&id) else {
             return;
@@ -92,7 +91,7 @@
         };
         let request = session.request.as_ref().filter(|r| r.number == number);
         let Some(request) = request else {
-            // A transaction that rests, or whose next statement is on its way elsewhere.
+            // The session's transaction is idle, or another request is in progress.
             let is_its = session
                 .open_transaction()
                 .is_some_and(|open| open.connection == id);
--- a/crates/stairward-engine/src/openings.rs
+++ b/crates/stairward-engine/src/openings.rs
@@ -1,4 +1,4 @@
-//! Connections to back ends that open or fail to, and what that tells of the back end.
+//! Results of opening connections, and what they show about the back end.
 
 use stairward_types::{BackendId, Freshness, Time};
 
@@ -51,7 +51,7 @@
             }
             OpenFailure::TimedOut => self.observe(&backend_id, BackendEvidence::Unresponsive),
             OpenFailure::WrongBackend => {
-                // Another one answers there: what discovery told is over.
+                // Another back end has this address now; the description is outdated.
                 self.begin_leaving(now, &backend_id, Some(now));
             }
             OpenFailure::ConnectionLimit => {
--- a/crates/stairward-engine/src/pending.rs
+++ b/crates/stairward-engine/src/pending.rs
@@ -1,4 +1,4 @@
-//! Sessions that come before the node knows its first configuration: they wait for it a moment.
+//! Sessions received before the node knows its first configuration; they wait for it for a short time.
 
 use std::time::Duration;
 
@@ -9,10 +9,10 @@
 use crate::identifiers::SessionId;
 use crate::timers::Timer;
 
-/// How long a session may wait. A node that starts knows its configuration after 0.1 s (p50 of 59 nodes that start
-/// together, simulated time); a client that is refused until then uses its few attempts up for nothing.
+/// How long a session may wait. A starting node knows its configuration after 0.1 s (p50 of 59 nodes that
+/// start together, simulated time); a client refused until then would use up its few attempts.
 const MAX_CONFIGURATION_WAIT: Duration = Duration::from_millis(1_000);
-/// Sessions that may wait at once.
+/// Maximum number of sessions that wait at the same time.
 const MAX_PENDING_SESSIONS: usize = 1_024;
 
 /// A session that waits for the first configuration.
@@ -23,7 +23,7 @@
 }
 
 impl Engine {
-    /// Begins a session, or keeps it until a configuration is known.
+    /// Opens a session, or keeps it until a configuration is known.
     pub(crate) fn accept_or_defer_session(
         &mut self,
         now: Time,
@@ -39,14 +39,14 @@
             .set(now + MAX_CONFIGURATION_WAIT, Timer::PendingSession(id));
     }
 
-    /// Begins all sessions that have waited for a configuration.
+    /// Opens all sessions that waited for a configuration.
     pub(crate) fn open_pending_sessions(&mut self) {
         for (id, pending) in std::mem::take(&mut self.pending) {
             self.open_session(id, pending.database, pending.key);
         }
     }
 
-    /// A session has waited long enough.
+    /// Refuses a session that has waited too long.
     pub(crate) fn pending_session_due(&mut self, id: SessionId) {
         if self.pending.remove(&id).is_some() {
             let code = ResultCode::NotReady;
--- a/crates/stairward-engine/src/probes.rs
+++ b/crates/stairward-engine/src/probes.rs
@@ -1,5 +1,5 @@
-//! Learning the leader's position: an empty transaction at the leader, which only the leader accepts,
-//! proves a position and takes no slot.
+//! Probes of the leader's position. A probe is an empty transaction that only a leader accepts; its reply
+//! proves a position without occupying a slot.
 
 use std::time::Duration;
 
@@ -11,17 +11,17 @@
 use crate::event::{BackendCommand, Effect};
 use crate::proofs::Proof;
 
-/// The part of the allowed staleness after which a proof is renewed ahead of kind, in percent.
+/// Percentage of the allowed staleness after which a proof is renewed in advance.
 const RENEWAL_AGE_PERCENT: u32 = 40;
-/// A probe without an answer for this long is given up.
+/// A probe without a reply is abandoned after this time.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
-/// A probe without an answer for this long makes the node ask its peers too.
+/// If a probe has no reply after this time, the node queries its peers too.
 const PEER_QUERY_DELAY: Duration = Duration::from_millis(150);
-/// Pause between two questions to peers.
+/// Minimum interval between queries to peers.
 const PEER_QUERY_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Engine {
-    /// Begins a probe of the leader's position when the newest proof grows old for this staleness.
+    /// Starts a probe of the leader's position if the newest proof is too old for this staleness.
     pub(crate) fn keep_proof_fresh(
         &mut self,
         now: Time,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Asks peers for what they know of the leader's position: this node can't ask the leader itself.
+    /// Queries peers for the leader's position because this node can't query the leader itself.
     fn ask_peers(&mut self, now: Time, service: &ServiceName) {
         let Some(group) = self.groups.get_mut(service) else {
             return;
@@ -62,8 +62,8 @@
         }
     }
 
-    /// A peer said what it knows. Its answer came after the question, so the leader was asked at most `age`
-    /// before that; no two clocks are compared.
+    /// Applies a peer's answer. The peer answered after the query was sent, so the position was requested
+    /// from the leader at most `age` before `asked_at`. No two clocks are compared.
     pub(crate) fn apply_peer_position(
         &mut self,
         service: &ServiceName,
@@ -72,7 +72,7 @@
         age: Duration,
     ) {
         if age > asked_at.since(Time::ZERO) {
-            // From before this node's clock began: it can't be dated here.
+            // The information predates the start of this node's clock and can't be dated.
             return;
         }
         if let Some(group) = self.groups.get_mut(service) {
@@ -84,7 +84,7 @@
         }
     }
 
-    /// The newest proved position of a service's leader, and how long ago it was asked for.
+    /// The newest proved position of a service's leader, and the time since it was requested.
     #[must_use]
     pub fn proved_position(
         &self,
@@ -95,7 +95,7 @@
         Some((proof.freshness, now.since(proof.asked_at)))
     }
 
-    /// Begins a probe; returns whether there was a leader and a connection for it.
+    /// Starts a probe; returns whether a leader and a connection were available.
     fn begin_probe(&mut self, now: Time, service: &ServiceName) -> bool {
         let Some(leader) = self.leader(now, service) else {
             return false;
--- a/crates/stairward-engine/src/proofs.rs
+++ b/crates/stairward-engine/src/proofs.rs
@@ -1,41 +1,41 @@
-//! Positions that a service's leader was proved to have had, by when it was asked.
+//! Proved positions of a service's leader, by the time at which they were requested.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use stairward_types::{Freshness, Time};
 
-/// How far back proofs are kept. A read that may be older than this is served as if it might not.
+/// How long proofs are kept. A read that allows a higher staleness is served as if it allowed only this.
 const RETENTION: Duration = Duration::from_secs(5);
-/// Proofs nearer to each other than this are not kept apart: copies lag by more than that before it matters.
+/// Proofs closer together than this are not kept separately; smaller lags of replicas make no difference.
 const MIN_SPACING: Duration = Duration::from_millis(25);
 
-/// A position that the leader was proved to have had.
+/// A proved position of the leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Proof {
     /// The position.
     pub freshness: Freshness,
-    /// When the question was sent that the leader answered with it. Every commit acknowledged before
-    /// this moment lies at or before the position.
+    /// When the command that the leader answered with the position was sent. Every commit acknowledged before
+    /// this time is at or before the position.
     pub asked_at: Time,
 }
 
-/// The proofs of the newest term that has one.
+/// The proofs of the highest term that has any.
 #[derive(Debug, Default)]
 pub(crate) struct Proofs {
     newest: Option<Proof>,
-    /// Some of the earlier ones of the same term, oldest first.
+    /// Earlier proofs of the same term, oldest first.
     history: VecDeque<Proof>,
 }
 
 impl Proofs {
-    /// The newest one.
+    /// The newest proof.
     pub fn newest(&self) -> Option<Proof> {
         self.newest
     }
 
-    /// Takes a proof in, unless a newer one is known. One of a later term ends all earlier ones: what they
-    /// name may have been rolled back.
+    /// Inserts a proof unless a newer one is known. A proof of a later term discards all earlier ones, whose
+    /// positions may have been rolled back.
     pub fn insert(&mut self, proof: Proof) {
         if let Some(known) = self.newest {
             let known_key = (known.freshness.term, known.asked_at);
@@ -61,7 +61,7 @@
         }
     }
 
-    /// The oldest one that is known and for which the leader was asked at a moment or later.
+    /// The oldest known proof requested at `moment` or later.
     pub fn oldest_since(&self, moment: Time) -> Option<Proof> {
         let is_since = |proof: &Proof| proof.asked_at >= moment;
         let first = self.history.partition_point(|proof| !is_since(proof));
--- a/crates/stairward-engine/src/reply.rs
+++ b/crates/stairward-engine/src/reply.rs
@@ -1,50 +1,50 @@
-//! Answers of back ends to the engine, and of the engine to callers.
+//! Replies of back ends to the engine, and responses of the engine to callers.
 
 use std::time::Duration;
 
 use bytes::Bytes;
 use stairward_types::{Freshness, MemberStatus, ResultCode};
 
-/// Where a connection or session stands with regard to a transaction.
+/// Transaction state of a connection or session.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TransactionStatus {
     /// No transaction is open.
     Idle,
     /// A transaction is open.
     Open,
-    /// A transaction is open and failed; only its end is accepted.
+    /// The open transaction failed; only its end is accepted.
     Failed,
 }
 
-/// Why a back end refused a statement or failed at it.
+/// Why a back end refused a statement or failed to run it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BackendErrorCode {
     /// All slots and the queue are full; not run.
     Busy,
-    /// The prepared name does not exist there; not run.
+    /// The prepared statement is unknown on this connection; not run.
     UnknownPreparedStatement,
-    /// The log lacks the asked position; not run.
+    /// The log has not reached the required position; not run.
     NotFresh,
-    /// It is not, or no longer, the primary; not run.
+    /// The back end is not the primary; not run.
     ReadOnly,
-    /// The statement is not understood or not allowed now; not run.
+    /// The statement is invalid or not allowed in this state; not run.
     Malformed,
-    /// Another back end answers at this address; not run.
+    /// A different back end answers at this address; not run.
     WrongBackend,
-    /// Too many connections; not run.
+    /// The connection limit is reached; not run.
     ConnectionLimit,
-    /// The transaction was ended by the back end; nothing is kept.
+    /// The back end aborted the transaction; nothing of it is kept.
     Aborted,
     /// It ran and failed.
     Failed,
-    /// It ran too long; its effect is not known.
+    /// It exceeded its time limit; its effect is unknown.
     TimedOut,
-    /// Its effect is not known.
+    /// Its effect is unknown.
     InDoubt,
 }
 
 impl BackendErrorCode {
-    /// Whether the back end says that the statement did not run.
+    /// Whether the error means that the statement did not run.
     #[must_use]
     pub const fn is_not_run(self) -> bool {
         !matches!(
@@ -54,7 +54,7 @@
     }
 }
 
-/// An error as a back end reported it.
+/// An error reported by a back end.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BackendError {
     /// Its kind.
@@ -63,49 +63,49 @@
     pub text: String,
 }
 
-/// A back end's whole answer to one command.
+/// A back end's complete reply to one command.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BackendReply {
-    /// The result rows, opaque.
+    /// The result rows, opaque to the engine.
     pub rows: Vec<Bytes>,
-    /// The signature of success, or the error.
+    /// The back end's signature of the completed command, or the error.
     pub result: Result<String, BackendError>,
-    /// The connection's transaction afterwards.
+    /// The connection's transaction state after the command.
     pub status: TransactionStatus,
-    /// How far the back end's log had come.
+    /// The back end's log position.
     pub position: Option<Freshness>,
-    /// What the back end says of itself, where it was asked for that.
+    /// The back end's status, if it was queried.
     pub member: Option<MemberStatus>,
 }
 
-/// How a request ended for its caller.
+/// The result of a request for its caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ResponseResult {
     /// It succeeded.
     Completed {
-        /// The back end's signature; none where no back end was needed.
+        /// The back end's signature of the completed statement; none if no back end was needed.
         signature: Option<String>,
     },
-    /// Stairward itself ends it.
+    /// Stairward itself refused or ended the request.
     Refused {
-        /// Why.
+        /// The reason.
         code: ResultCode,
-        /// When it may be worth asking again; given only where it did not run.
+        /// When a retry may succeed; set only if the request did not run.
         retry_after: Option<Duration>,
     },
-    /// The back end's own error.
+    /// The back end returned an error.
     Failed(BackendError),
 }
 
-/// The answer to a caller's statement.
+/// The response to a caller's statement.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Response {
-    /// The result rows, opaque.
+    /// The result rows, opaque to the engine.
     pub rows: Vec<Bytes>,
-    /// How it ended.
+    /// The result.
     pub result: ResponseResult,
-    /// The session's transaction afterwards.
+    /// The session's transaction state after the request.
     pub status: TransactionStatus,
-    /// How far the log of the back end that answered had come.
+    /// The log position of the back end that answered.
     pub position: Option<Freshness>,
 }
--- a/crates/stairward-engine/src/residency.rs
+++ b/crates/stairward-engine/src/residency.rs
@@ -1,4 +1,4 @@
-//! Residency: the regions in which work may be done, for routes and tenants that are bound to some.
+//! Residency: the regions in which the work of routes and tenants may run.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -8,24 +8,24 @@
 use crate::settings::{Route, RoutingTable};
 use crate::tenants::Tenant;
 
-/// The regions in which work may be done.
+/// The regions in which work may run.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub enum Residency {
-    /// All.
+    /// All regions.
     #[default]
     Anywhere,
-    /// These only; none where the set is empty.
+    /// Only these regions; an empty set allows none.
     Within(Arc<BTreeSet<RegionName>>),
 }
 
 impl Residency {
-    /// These regions only; none where there are none.
+    /// Allows only these regions; an empty list allows none.
     #[must_use]
     pub fn within(regions: impl IntoIterator<Item = RegionName>) -> Self {
         Self::Within(Arc::new(regions.into_iter().collect()))
     }
 
-    /// Both bind.
+    /// The regions that both allow.
     #[must_use]
     pub fn intersection(&self, other: &Self) -> Self {
         match (self, other) {
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Whether work may be done in a region; one that is not known may be any.
+    /// Whether work may run in a region. An unknown region is allowed only if all are.
     #[must_use]
     pub fn allows(&self, region: Option<&RegionName>) -> bool {
         match self {
@@ -46,13 +46,13 @@
         }
     }
 
-    /// Whether there is no region in which the work may be done.
+    /// Whether no region is allowed.
     #[must_use]
     pub fn excludes_all(&self) -> bool {
         matches!(self, Self::Within(regions) if regions.is_empty())
     }
 
-    /// Whether some region is excluded.
+    /// Whether the allowed regions are restricted.
     #[must_use]
     pub const fn is_restricted(&self) -> bool {
         matches!(self, Self::Within(_))
@@ -70,8 +70,8 @@
         }
     }
 
-    /// The weight of each service's work that may be done in each of these regions: the routes that allow a region,
-    /// times the limits of the tenants that do. Empty where nothing is bound to regions.
+    /// The weight of each service's work in each of these regions: the number of routes that allow the region
+    /// times the limits of the tenants that do. Empty if nothing is restricted to regions.
     #[must_use]
     pub fn allowed_work<'a>(
         &self,
@@ -108,8 +108,8 @@
     }
 }
 
-/// The limits of the tenants that allow a region, together; 1 for a tenant without one. 1 where tenants are not told
-/// apart.
+/// The sum of the limits of the tenants that allow a region, at least 1 per tenant; 1 if tenants are not
+/// distinguished.
 fn tenants_weight(tenants: &[&Tenant], region: &RegionName) -> u64 {
     if tenants.is_empty() {
         return 1;
--- a/crates/stairward-engine/src/revocation.rs
+++ b/crates/stairward-engine/src/revocation.rs
@@ -1,4 +1,4 @@
-//! Keys that a newer configuration no longer holds: nothing more runs for the sessions that carry them.
+//! Revocation of keys: sessions whose key is missing from a newer configuration run nothing more.
 
 use stairward_types::{ResultCode, Time};
 
@@ -8,7 +8,7 @@
 use crate::session::{Session, Stage};
 
 impl Engine {
-    /// Whether the configuration in force no longer allows a session's client on its route.
+    /// Whether the current configuration no longer allows a session's client on its route.
     pub(crate) fn is_revoked(&self, id: SessionId) -> bool {
         self.sessions
             .get(&id)
@@ -19,12 +19,12 @@
         let Some(table) = &self.table else {
             return false;
         };
-        // A route that is gone is refused by itself, with its own code.
+        // Statements on a removed route are refused separately, with their own code.
         let route = table.routes.get(&session.database);
         route.is_some_and(|route| !session.identity.is_allowed(table, route))
     }
 
-    /// Looks at all sessions after a change of the configuration.
+    /// Revokes sessions after a change of the configuration.
     pub(crate) fn end_revoked_sessions(&mut self, now: Time) {
         let revoked: Vec<SessionId> = self
             .sessions
@@ -37,7 +37,7 @@
         }
     }
 
-    /// What was not sent is refused, what was is waited for; then the session ends.
+    /// Refuses the session's unsent request, or awaits the sent one; then the session ends.
     fn revoke_session(&mut self, now: Time, id: SessionId) {
         let Some(session) = self.sessions.get(&id) else {
             return;
@@ -53,8 +53,8 @@
         }
     }
 
-    /// Ends a session whose client is no longer allowed, once nothing of it is under way. Its transaction is
-    /// rolled back.
+    /// Ends a session whose client is no longer allowed, once no request is in progress. Its open transaction
+    /// is rolled back.
     pub(crate) fn end_if_revoked(&mut self, now: Time, id: SessionId) {
         let is_idle = self
             .sessions
--- a/crates/stairward-engine/src/statement.rs
+++ b/crates/stairward-engine/src/statement.rs
@@ -1,44 +1,44 @@
-//! Statements by class, with opaque text.
+//! Statements, classified by their effect, with opaque text.
 
 use stairward_types::AccessClass;
 
-/// What a caller prepared: a named shape that reads or writes.
+/// A prepared statement.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PreparedStatement {
-    /// Whether running it reads or writes.
+    /// Whether it reads or writes.
     pub access: AccessClass,
-    /// The opaque shape.
+    /// Its text, opaque to the engine.
     pub shape: String,
 }
 
-/// What a statement does to its session, as far as the engine must know.
+/// What a statement does to its session, as far as the engine needs to know.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StatementKind {
-    /// Opens a transaction.
+    /// Begins a transaction.
     Begin {
-        /// Whether the caller promises only to read in it.
+        /// Whether the caller declares the transaction read-only.
         read_only: bool,
     },
-    /// Ends the transaction and keeps it.
+    /// Commits the transaction.
     Commit,
-    /// Ends the transaction and undoes it.
+    /// Rolls back the transaction.
     Rollback,
     /// Reads.
     Read,
     /// Writes.
     Write,
-    /// Sets a value of the session.
+    /// Sets a session value.
     SetValue {
         /// The value's name.
         name: String,
         /// The value.
         value: String,
     },
-    /// Gives a name to a statement.
+    /// Prepares a statement under a name.
     Prepare {
         /// The caller's name for it.
         name: String,
-        /// What is prepared.
+        /// The statement to prepare.
         prepared: PreparedStatement,
     },
     /// Runs a prepared statement.
@@ -48,19 +48,19 @@
         /// Opaque arguments.
         arguments: String,
     },
-    /// Forgets a prepared statement.
+    /// Removes a prepared statement.
     Deallocate {
         /// The caller's name for it.
         name: String,
     },
 }
 
-/// One statement of a caller.
+/// A caller's statement.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Statement {
     /// The caller's id for it.
     pub id: String,
-    /// What it does.
+    /// Its effect.
     pub kind: StatementKind,
     /// Its text, passed on unchanged.
     pub text: String,
--- a/crates/stairward-engine/src/stopping.rs
+++ b/crates/stairward-engine/src/stopping.rs
@@ -1,4 +1,4 @@
-//! A planned stop: sessions are closed at rest, open transactions get half of the time.
+//! Planned stop: idle sessions are closed, and open transactions get half of the grace period.
 
 use std::time::Duration;
 
@@ -10,22 +10,22 @@
 use crate::reply::TransactionStatus;
 use crate::timers::Timer;
 
-/// When sessions at rest begin to be closed, as a share of the grace: new ones come for a while after the
-/// node has said that it is not ready.
+/// When idle sessions start to be closed, as a percentage of the grace period. New sessions still arrive for
+/// a while after the node reports that it is not ready.
 const CLOSING_PERCENT: u32 = 36;
-/// When resting transactions are ended.
+/// When idle transactions are ended.
 const TRANSACTIONS_PERCENT: u32 = 52;
-/// From when new work is refused as not run, so that the client goes elsewhere: what is sent later would be cut by the
-/// end. Clients come until the end where most nodes of a zone stop at once.
+/// When new work starts to be refused as not run, so that clients retry elsewhere: the end of the process
+/// would interrupt later statements. If most nodes of a zone stop at once, clients arrive until the end.
 const REFUSING_PERCENT: u32 = 75;
-/// When everything is over, whatever is under way.
+/// When the stop completes, whatever is still in progress.
 const END_PERCENT: u32 = 92;
-/// How often sessions are looked at meanwhile.
+/// Interval at which sessions are checked during the stop.
 const REVIEW_INTERVAL: Duration = Duration::from_millis(100);
-/// Sessions closed in one review, so that they don't all connect elsewhere at once.
+/// Maximum number of sessions closed per check, so that they don't all reconnect elsewhere at once.
 const MAX_CLOSED_PER_REVIEW: usize = 12;
 
-/// A planned stop under way.
+/// A planned stop in progress.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Stop {
     began: Time,
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Closes a session that has come to rest, once sessions are being closed.
+    /// Closes a session that has become idle, if the closing phase has begun.
     pub(crate) fn close_if_stopping(&mut self, now: Time, id: SessionId) {
         let Some(stop) = self.stop else {
             return;
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Whether a planned stop has come so far that new work would be cut by its end.
+    /// Whether new work would be interrupted by the end of a planned stop.
     pub(crate) fn is_refusing_new_work(&self, now: Time) -> bool {
         let refusing = self.options.stop_grace * REFUSING_PERCENT / 100;
         self.stop.is_some_and(|stop| now >= stop.began + refusing)
--- a/crates/stairward-engine/src/tenants.rs
+++ b/crates/stairward-engine/src/tenants.rs
@@ -1,4 +1,4 @@
-//! Tenants: whose key a client carries, and what of that a session keeps.
+//! Tenants: identification of clients by API key, and the identity that a session keeps.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -9,14 +9,14 @@
 use crate::residency::Residency;
 use crate::settings::{Route, RoutingTable};
 
-/// A tenant of the configuration in force.
+/// A tenant of the current configuration.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Tenant {
-    /// Its name, as back ends are told.
+    /// Its name, as reported to back ends.
     pub name: TenantName,
-    /// Its keys. One without keys has no clients.
+    /// Its keys. A tenant without keys has no clients.
     pub keys: Vec<ApiKey>,
-    /// How many operations it may run over all nodes; none where that is not limited.
+    /// The limit on its operations over all nodes; none if unlimited.
     pub limit: Option<RateLimit>,
     /// Where its statements may run.
     pub residency: Residency,
@@ -30,8 +30,8 @@
 }
 
 impl TenantDirectory {
-    /// A directory of these tenants. An empty key, and one that two tenants claim, proves nothing: it belongs to
-    /// neither. Of two tenants with one name the last counts.
+    /// Creates a directory of these tenants. An empty key, or one claimed by two tenants, identifies neither.
+    /// Of two tenants with the same name the last one counts.
     #[must_use]
     pub fn new(tenants: impl IntoIterator<Item = Tenant>) -> Self {
         let named = tenants
@@ -54,13 +54,13 @@
         Self { by_key, by_name }
     }
 
-    /// The tenant that holds a key.
+    /// The tenant that a key identifies.
     #[must_use]
     pub fn tenant_by_key(&self, key: &ApiKey) -> Option<&Arc<Tenant>> {
         self.by_key.get(key)
     }
 
-    /// The tenant of a name, if a client may still carry one of its keys.
+    /// The tenant of this name, if at least one of its keys identifies a tenant.
     #[must_use]
     pub fn active_tenant(&self, name: &TenantName) -> Option<&Arc<Tenant>> {
         let tenant = self.by_name.get(name)?;
@@ -68,7 +68,7 @@
         has_key.then_some(tenant)
     }
 
-    /// Where a tenant's statements may run; none for a tenant that is not known.
+    /// Where a tenant's statements may run; none if the tenant is unknown.
     pub(crate) fn residency(&self, name: &TenantName) -> Option<&Residency> {
         self.by_name.get(name).map(|tenant| &tenant.residency)
     }
@@ -78,7 +78,7 @@
         self.by_name.values().map(AsRef::as_ref)
     }
 
-    /// The tenants that have a limit.
+    /// The limits of all tenants that have one.
     pub(crate) fn limits(&self) -> BTreeMap<TenantName, RateLimit> {
         let limited = self.by_name.iter();
         limited
@@ -86,20 +86,20 @@
             .collect()
     }
 
-    /// How many tenants there are.
+    /// The number of tenants.
     #[must_use]
     pub fn len(&self) -> usize {
         self.by_name.len()
     }
 
-    /// Whether there is none.
+    /// Whether there are no tenants.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.by_name.is_empty()
     }
 }
 
-/// Takes out each key that more than one tenant claims.
+/// Removes each key that more than one tenant claims.
 fn drop_ambiguous(
     by_key: &mut HashMap<ApiKey, Arc<Tenant>>,
     by_name: &BTreeMap<TenantName, Arc<Tenant>>,
@@ -114,19 +114,19 @@
     });
 }
 
-/// Who a client is.
+/// A client's identity.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Identity {
-    /// Nobody in particular: its route is public, or tenants are not told apart.
+    /// No tenant: the route is public, or tenants are not distinguished.
     Anonymous,
-    /// A tenant, by a key that this node has checked.
+    /// A tenant identified by a key that this node verified.
     Authenticated(ApiKey, TenantName),
-    /// A tenant, as another node has checked.
+    /// A tenant verified by another node.
     VerifiedByPeer(TenantName),
 }
 
 impl Identity {
-    /// The tenant whose name back ends are told.
+    /// The tenant reported to back ends.
     pub fn tenant(&self) -> Option<&TenantName> {
         match self {
             Self::Anonymous => None,
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Whether a configuration still allows it on a route.
+    /// Whether a configuration allows this identity on a route.
     pub fn is_allowed(&self, table: &RoutingTable, route: &Route) -> bool {
         let Some(tenants) = &table.tenants else {
             return true;
@@ -149,10 +149,11 @@
     }
 }
 
-/// Who a client with this key is on a route.
+/// Identifies a client with this key on a route.
 ///
 /// # Errors
-/// [`ResultCode::NotAuthenticated`] when the key is missing or not known.
+///
+/// [`ResultCode::NotAuthenticated`] if the key is missing or unknown.
 pub(crate) fn identify(
     table: &RoutingTable,
     route: &Route,
--- a/crates/stairward-engine/src/timers.rs
+++ b/crates/stairward-engine/src/timers.rs
@@ -1,4 +1,4 @@
-//! Moments at which the engine wants to be woken.
+//! Timers of the engine.
 
 use std::collections::BTreeSet;
 
@@ -6,34 +6,34 @@
 
 use crate::identifiers::{ConnectionId, RequestNumber, SessionId};
 
-/// What is due at a moment.
+/// What a timer triggers.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Timer {
-    /// A request that still waits is given up.
+    /// Refuses a request that is still unsent.
     HoldEnds(SessionId, RequestNumber),
-    /// A request without an answer is also sent elsewhere.
+    /// Sends an unanswered read to a second back end.
     Hedge(SessionId, RequestNumber),
-    /// A request's time is over.
+    /// Ends a request at its deadline.
     Deadline(SessionId, RequestNumber),
-    /// A transaction that rests is ended.
+    /// Ends an idle transaction.
     TransactionIdle(SessionId, RequestNumber),
-    /// A connection is looked at for commands without an answer.
+    /// Checks a connection for overdue replies.
     ReplyCheck(ConnectionId),
-    /// A holder that owes an answer is looked at.
+    /// Checks a holder that owes an answer.
     HolderCheck(NodeId),
-    /// A session that waits for the first configuration is refused.
+    /// Refuses a session that waits for the first configuration.
     PendingSession(SessionId),
-    /// A service's lead is to be confirmed again, if somebody waits for that.
+    /// Renews the confirmation of a service's leadership, if anything depends on it.
     LeadershipCheck(ServiceName),
-    /// Requests that wait for a service are tried again.
+    /// Retries the requests that wait for a service.
     RetryWaiting(ServiceName),
-    /// A cold back end's time may be over.
+    /// Checks whether a back end's warm-up has ended.
     WarmUpCheck(BackendId),
-    /// What is open in evacuated zones is ended.
+    /// Ends idle work in evacuated zones.
     Evacuation,
-    /// Leaving and lost back ends are looked at.
+    /// Reviews leaving and unlisted back ends.
     BackendReview,
-    /// The next step of a planned stop.
+    /// Performs the next step of a planned stop.
     Stop,
 }
 
@@ -56,7 +56,7 @@
         self.due.first().map(|(at, _)| *at)
     }
 
-    /// Takes the first timer that is due.
+    /// Removes and returns the first due timer.
     pub fn pop(&mut self, now: Time) -> Option<Timer> {
         if self.next()? > now {
             return None;
