--- a/crates/stairward-engine/src/admission.rs
+++ b/crates/stairward-engine/src/admission.rs
@@ -1,4 +1,5 @@
-//! Admission of operations by their tenant's limit: what comes waits for a grant, runs, or is refused at once.
+//! Admission of operations under their tenant's limit: an operation runs, waits for a grant or is refused at
+//! once.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
@@ -11,18 +12,18 @@
 use crate::engine::{Engine, WaitingKey};
 use crate::event::Effect;
 use crate::identifiers::SessionId;
-use crate::session::{Need, Request, Stage};
+use crate::session::{Request, RequestKind, Stage};
 use crate::timers::Timer;
 
 impl Engine {
-    /// Sends a new request on its way, once its tenant's limit has room for it. Statements of an open transaction
-    /// belong to an operation that was admitted, and forwarded ones were admitted where their client is.
+    /// Dispatches a new request once its tenant's limit allows it. Statements of an open transaction belong
+    /// to an admitted operation, and forwarded ones were admitted at their client's node.
     pub(crate) fn admit(&mut self, now: Time, id: SessionId) {
         let Some(tenant) = self.limited_tenant(id) else {
-            return self.send_out(now, id);
+            return self.dispatch(now, id);
         };
         match self.limits.admit(now, &tenant) {
-            Admission::Admitted => self.send_out(now, id),
+            Admission::Admitted => self.dispatch(now, id),
             Admission::Denied(retry_after) => self.refuse_over_limit(now, id, retry_after),
             Admission::Waiting => self.wait_for_admission(id, tenant),
         }
@@ -32,7 +33,8 @@
         let session = self.sessions.get(&id)?;
         let request = session.request.as_ref()?;
         let is_counted = !session.is_forwarded
-            && !matches!(request.need, Need::InTransaction { .. } | Need::Commit);
+            && !matches!(request.kind,
+                RequestKind::InTransaction { .. } | RequestKind::Commit);
         let tenant = session.identity.tenant().filter(|_| is_counted)?;
         self.limits.is_limited(tenant).then(|| tenant.clone())
     }
@@ -51,8 +53,8 @@
         self.refuse(now, id, ResultCode::LimitReached, Some(retry_after));
     }
 
-    /// A request has waited for admission as long as it may.
-    pub(crate) fn admission_ended(&mut self, now: Time, id: SessionId) {
+    /// A request has waited for admission until the end of its hold time.
+    pub(crate) fn admission_wait_expired(&mut self, now: Time, id: SessionId) {
         if self.wait_for_first_grants(now, id) {
             return;
         }
@@ -62,7 +64,8 @@
         }
     }
 
-    /// A node that has just started gets no grants for a moment. What waits is kept until then, if its time allows.
+    /// A node that has just started gets no grants at first. Waiting requests are kept until then if their
+    /// deadline allows.
     fn wait_for_first_grants(&mut self, now: Time, id: SessionId) -> bool {
         let Some(first_grants) = self.limits.first_grants_at(now) else {
             return false;
@@ -77,7 +80,7 @@
         true
     }
 
-    /// A request ends or goes on: it waits for admission no more.
+    /// Removes a request that ends or proceeds from the admission queue.
     pub(crate) fn leave_admission(
         &mut self,
         id: SessionId,
@@ -99,22 +102,22 @@
         }
     }
 
-    /// Tells the limits of something, and carries out what they decide.
-    pub(crate) fn tell_limits(&mut self, now: Time, event: LimitEvent) {
+    /// Passes an event to the limiter and applies its effects.
+    pub(crate) fn handle_limit_event(&mut self, now: Time, event: LimitEvent) {
         self.limits.handle(now, event);
-        self.carry_out_limits(now);
+        self.apply_limit_effects(now);
     }
 
-    /// Carries out what the limits have decided.
-    pub(crate) fn carry_out_limits(&mut self, now: Time) {
+    /// Applies the pending effects of the limiter.
+    pub(crate) fn apply_limit_effects(&mut self, now: Time) {
         let mut effects = VecDeque::from(self.limits.take_effects());
         while let Some(effect) = effects.pop_front() {
             match effect {
                 LimitEffect::RequestGrant(node, ask) => {
-                    self.effects.push(Effect::AskLimit(node, ask))
+                    self.effects.push(Effect::RequestLimitGrant(node, ask))
                 }
                 LimitEffect::RecordFleetSize(nodes) => {
-                    self.effects.push(Effect::RecordFleet(nodes))
+                    self.effects.push(Effect::RecordFleetSize(nodes))
                 }
                 LimitEffect::CoordinatorChanged { shard, silent, now } => {
                     self.effects
@@ -129,7 +132,7 @@
         }
     }
 
-    /// Sends out what waits of a tenant, most urgent first, as far as there are grants.
+    /// Dispatches a tenant's waiting requests, highest priority first, as far as grants allow.
     pub(crate) fn admit_waiting(&mut self, now: Time, tenant: &TenantName) {
         while let Some(first) = self
             .admissions
@@ -150,24 +153,24 @@
             let request = self.sessions.get_mut(&id).and_then(|s| s.request.as_mut());
             if let Some(request) = request {
                 request.stage = Stage::Waiting;
-                self.send_out(now, id);
+                self.dispatch(now, id);
             }
         }
     }
 
-    /// There is no room for this long: whoever can't wait until then is refused at once.
+    /// No grant will be available for `retry_after`; requests that can't wait that long are refused at once.
     fn refuse_waiting(&mut self, now: Time, tenant: &TenantName, retry_after: Duration) {
         let queue = self.admissions.get(tenant);
         let waiting: Vec<SessionId> = queue.into_iter().flatten().map(|key| key.session).collect();
         for id in waiting {
             let request = self.sessions.get(&id).and_then(|s| s.request.as_ref());
             if request.is_some_and(|request| now + retry_after >= request.hold_ends) {
-                self.admission_ended(now, id);
+                self.admission_wait_expired(now, id);
             }
         }
     }
 
-    /// Answers another node's question about limits, as coordinator.
+    /// Answers another node's request for a grant, as coordinator.
     pub fn answer_limit(&mut self, now: Time, node: NodeId, ask: &GrantRequest) -> GrantResponse {
         self.limits.answer(now, node, ask)
     }
--- a/crates/stairward-engine/src/choice.rs
+++ b/crates/stairward-engine/src/choice.rs
@@ -1,4 +1,4 @@
-//! The choice of a back end and of a connection for a request.
+//! Selection of a back end and a connection for a request.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,49 +15,49 @@
 use crate::session::{Request, Session, WaitReason};
 use crate::timers::Timer;
 
-/// A connection that has been opening for longer than this is no longer waited for.
-const OPENING_PATIENCE: Duration = Duration::from_millis(150);
-/// Connections to one back end that are opened at once.
-const OPENINGS_AT_ONCE: usize = 3;
-/// How long an opening may take before its back end counts as silent.
-const OPENING_SILENCE: Duration = Duration::from_millis(700);
+/// How long requests wait for a connection that is being opened before another back end is considered.
+const OPENING_WAIT: Duration = Duration::from_millis(150);
+/// Maximum number of connections to one back end that are opened concurrently.
+const MAX_CONCURRENT_OPENINGS: usize = 3;
+/// Time after which a pending opening makes its back end count as silent.
+const OPENING_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// When a client should come back whose leader is in another region than its work is allowed in: it is moved, in
-/// about the time of a planned replacement.
+/// Retry delay for a client whose leader is outside the regions allowed for its work. The leader is moved,
+/// which takes about as long as a planned replacement.
 const RETRY_LEADER_ELSEWHERE: Duration = Duration::from_millis(500);
 
-/// What the choice came to.
+/// Result of the selection.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Choice {
-    /// An idle connection, and what the log behind it must hold.
+    /// Use this idle connection; the back end must have reached the floor, if any.
     Use(ConnectionId, Option<Freshness>),
-    /// Nothing yet.
+    /// Wait; nothing suitable is available yet.
     Wait(WaitReason),
-    /// Every back end that could have taken it has refused it.
+    /// All suitable back ends have refused the request.
     Exhausted,
-    /// It can't be served here or now, and waiting would not help.
+    /// Refuse the request: it can't be served, and waiting would not help.
     Refuse(ResultCode, Option<Duration>),
 }
 
-/// Whether a connection may be opened where none that is idle suits.
+/// Whether a connection may be opened if no idle one is suitable.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Opening {
-    /// One is.
+    /// A connection may be opened.
     Allowed,
-    /// None is, and no other gives way.
+    /// No connection may be opened, and no idle one is closed to make room.
     Forbidden,
 }
 
-/// Which connections suit a use.
+/// Which connections are suitable, by tenant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Suitable<'a> {
-    /// Any: the system's own questions run nothing of a tenant's.
+pub(crate) enum TenantFilter<'a> {
+    /// Any connection: internal queries run no statement of a tenant.
     Any,
-    /// Those that were opened for this tenant, or for none.
+    /// Connections opened for this tenant, or for no tenant.
     For(Option<&'a TenantName>),
 }
 
-impl<'a> Suitable<'a> {
+impl<'a> TenantFilter<'a> {
     fn includes(self, connection: &Connection) -> bool {
         match self {
             Self::Any => true,
@@ -65,7 +65,7 @@
         }
     }
 
-    /// For whom a connection would be opened.
+    /// The tenant for which a new connection would be opened.
     const fn tenant(self) -> Option<&'a TenantName> {
         match self {
             Self::Any => None,
@@ -74,23 +74,23 @@
     }
 }
 
-/// A connection that is wanted.
+/// Requirements for a connection.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Wanted<'a> {
-    pub suitable: Suitable<'a>,
-    /// The values that should be set on it.
+pub(crate) struct ConnectionRequest<'a> {
+    pub tenant_filter: TenantFilter<'a>,
+    /// Session values that should be set on it.
     pub values: &'a BTreeMap<String, String>,
     pub opening: Opening,
 }
 
-/// The values of a connection that carries questions of the system's own.
+/// Session values for internal queries: none.
 static NO_VALUES: BTreeMap<String, String> = BTreeMap::new();
 
-impl Wanted<'static> {
-    /// Any connection, for a question of the system's own.
-    pub const fn for_question() -> Self {
+impl ConnectionRequest<'static> {
+    /// Requirements of an internal query: any connection will do.
+    pub const fn for_internal_query() -> Self {
         Self {
-            suitable: Suitable::Any,
+            tenant_filter: TenantFilter::Any,
             values: &NO_VALUES,
             opening: Opening::Allowed,
         }
@@ -98,8 +98,8 @@
 }
 
 impl Engine {
-    /// The back end believed to lead: of those that call themselves primary and have not denied it, the
-    /// one that was announced last.
+    /// The assumed leader: of the back ends that report themselves as primary and have not denied it, the one
+    /// announced last.
     pub(crate) fn leader(&self, now: Time, service: &ServiceName) -> Option<BackendId> {
         let group = self.groups.get(service)?;
         let candidates = group.members.iter().filter_map(|id| {
@@ -109,13 +109,13 @@
             let may_lead = description.role == BackendRole::Primary
                 && !backend.has_lost_log
                 && !is_denied
-                && backend.may_be_used(now);
+                && backend.is_usable(now);
             may_lead.then_some((backend.is_listed, description.revision, id))
         });
         candidates.max().map(|(_, _, id)| id.clone())
     }
 
-    /// Chooses where a request goes, opening connections where that helps and may be done.
+    /// Selects a connection for a request, opening connections where useful and allowed.
     pub(crate) fn choose(
         &mut self,
         now: Time,
@@ -124,13 +124,13 @@
         opening: Opening,
     ) -> Choice {
         let service = &request.route.service;
-        let wanted = Wanted {
-            suitable: Suitable::For(session.identity.tenant()),
+        let connection_request = ConnectionRequest {
+            tenant_filter: TenantFilter::For(session.identity.tenant()),
             values: &session.values,
             opening,
         };
-        if request.need.is_leader_only() {
-            return self.choose_leader(now, request, &wanted);
+        if request.kind.requires_leader() {
+            return self.choose_leader(now, request, &connection_request);
         }
         let staleness = request.route.consistency.staleness().unwrap_or_default();
         let own = session.commits.get(service).copied();
@@ -142,10 +142,15 @@
         let Some(floor) = floor else {
             return Choice::Wait(WaitReason::NotFresh);
         };
-        self.choose_copy(now, request, floor, &wanted)
+        self.choose_for_read(now, request, floor, &connection_request)
     }
 
-    fn choose_leader(&mut self, now: Time, request: &Request, wanted: &Wanted<'_>) -> Choice {
+    fn choose_leader(
+        &mut self,
+        now: Time,
+        request: &Request,
+        connection_request: &ConnectionRequest<'_>,
+    ) -> Choice {
         let service = &request.route.service;
         let Some(leader) = self.leader(now, service) else {
             return Choice::Wait(WaitReason::NoLeader);
@@ -154,12 +159,13 @@
             .backends
             .get(&leader)
             .is_some_and(|leader| leader.is_silent);
-        self.keep_lead_confirmed(now, service, &leader);
-        if self.is_lead_revoked(service, &leader) {
+        self.renew_leadership_confirmation(now, service, &leader);
+        if self.is_leadership_revoked(service, &leader) {
             return Choice::Wait(WaitReason::NoLeader);
         }
         if is_silent {
-            // What is sent there now would most likely end unknown. A probe shows when it is back.
+            // A statement sent now would most likely end with an unknown outcome. The probe detects when the
+            // leader is back.
             self.keep_proof_fresh(now, service, Duration::ZERO);
             return Choice::Wait(WaitReason::NoLeader);
         }
@@ -167,61 +173,63 @@
             let retry_after = Some(RETRY_LEADER_ELSEWHERE);
             return Choice::Refuse(ResultCode::LeaderOutsideRegion, retry_after);
         }
-        if let Err(choice) = self.check_room(now, &leader, request) {
+        if let Err(choice) = self.check_cold_limit(now, &leader, request) {
             return choice;
         }
-        match self.connection_to(now, &leader, wanted) {
+        match self.connection_to(now, &leader, connection_request) {
             Some(connection) => Choice::Use(connection, None),
             None => Choice::Wait(WaitReason::NoConnection),
         }
     }
 
-    fn choose_copy(
+    fn choose_for_read(
         &mut self,
         now: Time,
         request: &Request,
         floor: Freshness,
-        wanted: &Wanted<'_>,
+        connection_request: &ConnectionRequest<'_>,
     ) -> Choice {
-        let mut candidates = self.copies(now, request, floor, wanted.suitable);
+        let mut candidates =
+            self.read_candidates(now, request, floor, connection_request.tenant_filter);
         if candidates.is_empty() {
             return Choice::Wait(WaitReason::NoBackend);
         }
-        if let Err(choice) = self.leave_out_cold(now, &mut candidates, request) {
+        if let Err(choice) = self.filter_cold(now, &mut candidates, request) {
             return choice;
         }
         let mut reason = None;
         for id in candidates {
-            if request.tried.contains(&id) {
+            if request.tried_backends.contains(&id) {
                 continue;
             }
-            if let Some(connection) = self.connection_to(now, &id, wanted) {
+            if let Some(connection) = self.connection_to(now, &id, connection_request) {
                 return Choice::Use(connection, Some(floor));
             }
             if self.backends.get(&id).is_some_and(|copy| copy.is_silent) {
-                // One that does not answer is not worth waiting for.
+                // Don't wait for a back end that doesn't answer.
                 continue;
             }
             reason = Some(WaitReason::NoConnection);
-            let is_awaited = self.is_opening_soon(now, &id, wanted.suitable);
-            if is_awaited || wanted.opening == Opening::Forbidden {
+            let is_awaited = self.is_opening_soon(now, &id, connection_request.tenant_filter);
+            if is_awaited || connection_request.opening == Opening::Forbidden {
                 break;
             }
         }
         match reason {
             Some(reason) => Choice::Wait(reason),
-            None if request.tried.is_empty() => Choice::Wait(WaitReason::NoBackend),
+            None if request.tried_backends.is_empty() => Choice::Wait(WaitReason::NoBackend),
             None => Choice::Exhausted,
         }
     }
 
-    /// The copies that may answer a read, best first. One without a connection that suits costs an opening more.
-    fn copies(
+    /// The back ends that may answer a read, best first. The cost includes an opening if no suitable
+    /// connection is idle.
+    fn read_candidates(
         &self,
         now: Time,
         request: &Request,
         floor: Freshness,
-        suitable: Suitable<'_>,
+        tenant_filter: TenantFilter<'_>,
     ) -> Vec<BackendId> {
         let Some(group) = self.groups.get(&request.route.service) else {
             return Vec::new();
@@ -231,59 +239,59 @@
             .iter()
             .filter_map(|id| {
                 let backend = self.backends.get(id)?;
-                let may_be_used =
-                    backend.may_be_used(now) && request.residency.allows(backend.region.as_ref());
-                // Without tenants nearly every connection suits, and one is soon idle.
-                let is_connected = suitable.tenant().is_none()
+                let is_usable =
+                    backend.is_usable(now) && request.residency.allows(backend.region.as_ref());
+                // Without tenants nearly every connection is suitable and soon idle.
+                let is_connected = tenant_filter.tenant().is_none()
                     || self
                         .idle_connections(backend)
-                        .any(|(_, connection)| suitable.includes(connection));
+                        .any(|(_, connection)| tenant_filter.includes(connection));
                 let cost = backend.cost(now, Some(floor), is_connected);
-                may_be_used.then_some((!backend.is_healthy(), cost, id))
+                is_usable.then_some((!backend.is_healthy(), cost, id))
             })
             .collect();
         copies.sort();
         copies.into_iter().map(|(_, _, id)| id.clone()).collect()
     }
 
-    /// Whether a request may run at a back end, where it is.
+    /// Whether a request may run in a back end's region.
     fn is_allowed_at(&self, request: &Request, id: &BackendId) -> bool {
         let backend = self.backends.get(id);
         backend.is_some_and(|backend| request.residency.allows(backend.region.as_ref()))
     }
 
-    /// An idle connection to a back end, best suited to the values. Opens one when there is none and that may be
-    /// done.
+    /// The idle connection to a back end that needs the fewest set-up commands. Opens a connection if there
+    /// is none and that is allowed.
     pub(crate) fn connection_to(
         &mut self,
         now: Time,
         id: &BackendId,
-        wanted: &Wanted<'_>,
+        connection_request: &ConnectionRequest<'_>,
     ) -> Option<ConnectionId> {
         let backend = self.backends.get(id)?;
-        let suiting = self
+        let candidates = self
             .idle_connections(backend)
-            .filter(|(_, connection)| wanted.suitable.includes(connection))
-            .map(|(id, connection)| (connection.setup_cost(wanted.values), id));
-        let best = suiting.min().map(|(_, connection)| connection);
-        let tenant = wanted.suitable.tenant();
-        let may_open = best.is_none() && wanted.opening == Opening::Allowed;
-        if may_open && !self.has_openings_enough(id, tenant) {
+            .filter(|(_, connection)| connection_request.tenant_filter.includes(connection))
+            .map(|(id, connection)| (connection.setup_cost(connection_request.values), id));
+        let best = candidates.min().map(|(_, connection)| connection);
+        let tenant = connection_request.tenant_filter.tenant();
+        let may_open = best.is_none() && connection_request.opening == Opening::Allowed;
+        if may_open && !self.has_enough_openings(id, tenant) {
             self.open_connection(now, id, tenant);
         }
         best
     }
 
-    /// Whether as many connections to a back end are being opened for a tenant as requests of its wait, the present
-    /// one among them: each try of the same request would open another one otherwise, and an opening holds a slot of
-    /// the back end for longer than many statements do.
-    fn has_openings_enough(&self, id: &BackendId, tenant: Option<&TenantName>) -> bool {
+    /// Whether as many connections to a back end are being opened for a tenant as it has waiting requests,
+    /// including the current one. Otherwise each retry of the same request would open another connection, and
+    /// an opening occupies a slot of the back end for longer than many statements do.
+    fn has_enough_openings(&self, id: &BackendId, tenant: Option<&TenantName>) -> bool {
         let has_tenants = self
             .table
             .as_ref()
             .is_some_and(|table| table.tenants.is_some());
         if !has_tenants {
-            // Any connection serves any request there, and the next one to come finds it.
+            // Any connection serves any request here, and the next request will find it.
             return false;
         }
         let Some(backend) = self.backends.get(id) else {
@@ -299,7 +307,7 @@
         if opening == 0 {
             return false;
         }
-        // The session whose request is tried at the moment is not among these.
+        // The session whose request is being tried is not in the queue.
         let waiting = self.waiting.get(&backend.description.service);
         let of_tenant = waiting.into_iter().flatten().filter(|key| {
             let session = self.sessions.get(&key.session);
@@ -319,7 +327,7 @@
         })
     }
 
-    fn is_opening_soon(&self, now: Time, id: &BackendId, suitable: Suitable<'_>) -> bool {
+    fn is_opening_soon(&self, now: Time, id: &BackendId, tenant_filter: TenantFilter<'_>) -> bool {
         let Some(backend) = self.backends.get(id) else {
             return false;
         };
@@ -327,14 +335,14 @@
             let connection = self
                 .connections
                 .get(connection)
-                .filter(|connection| suitable.includes(connection));
+                .filter(|connection| tenant_filter.includes(connection));
             let opening_since = connection.and_then(|connection| connection.opening_since);
-            opening_since.is_some_and(|since| now < since + OPENING_PATIENCE)
+            opening_since.is_some_and(|since| now < since + OPENING_WAIT)
         })
     }
 
-    /// Opens a connection to a back end for a tenant, or for the system's own questions, if its limits allow.
-    /// Where they are reached an idle connection of another gives way.
+    /// Opens a connection to a back end for a tenant or for internal queries, if the limits allow. At the
+    /// limit an idle connection of another tenant is closed instead.
     pub(crate) fn open_connection(
         &mut self,
         now: Time,
@@ -347,14 +355,14 @@
         let service = backend.description.service.clone();
         if now < backend.open_after {
             self.timers
-                .set(backend.open_after, Timer::TryWaiting(service));
+                .set(backend.open_after, Timer::RetryWaiting(service));
             return;
         }
         let openings = backend.connections.iter().filter(|connection| {
             let state = self.connections.get(connection);
             state.is_some_and(|state| state.opening_since.is_some())
         });
-        if openings.count() >= OPENINGS_AT_ONCE || !self.make_room(id, tenant) {
+        if openings.count() >= MAX_CONCURRENT_OPENINGS || !self.make_room(id, tenant) {
             return;
         }
         let Some(backend) = self.backends.get(id) else {
@@ -375,14 +383,14 @@
             backend.connections.insert(connection);
         }
         self.timers
-            .set(now + OPENING_PATIENCE, Timer::TryWaiting(service));
+            .set(now + OPENING_WAIT, Timer::RetryWaiting(service));
         self.timers
-            .set(now + OPENING_SILENCE, Timer::Silence(connection));
+            .set(now + OPENING_TIMEOUT, Timer::ReplyCheck(connection));
         self.effects.push(Effect::Open { connection, target });
     }
 
-    /// Makes room for another connection to a back end; returns whether there is some. The idle connection that
-    /// was used least recently gives way. No tenant gets all connections where there are several.
+    /// Makes room for another connection to a back end; returns whether there is room. The least recently
+    /// used idle connection is closed if necessary. No tenant gets all connections if there are several.
     fn make_room(&mut self, id: &BackendId, tenant: Option<&TenantName>) -> bool {
         let Some(backend) = self.backends.get(id) else {
             return false;
--- a/crates/stairward-engine/src/discovery.rs
+++ b/crates/stairward-engine/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Takes in what discovery lists, and lets go of back ends that leave.
+//! Applies discovery's back ends, and releases back ends that leave.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -14,14 +14,15 @@
 use crate::settings::{BackendDescription, DiscoveryChange};
 use crate::timers::Timer;
 
-/// How often leaving back ends are looked at.
-const BACKEND_REVIEW: Duration = Duration::from_millis(500);
-/// How long after a gone back end may no longer be used its connections are closed.
+/// Interval at which leaving back ends are reviewed.
+const BACKEND_REVIEW_INTERVAL: Duration = Duration::from_millis(500);
+/// Delay between the end of use of an unlisted back end and the removal of its state.
 const GONE_CLOSE_DELAY: Duration = Duration::from_secs(4);
 
 impl Engine {
-    /// Takes discovery's whole list in. What is new in it came about after `since`, or at any time.
-    pub(crate) fn take_backends(
+    /// Applies discovery's complete list. Its differences occurred after `since`, or at any time if it is
+    /// none.
+    pub(crate) fn apply_backend_list(
         &mut self,
         now: Time,
         list: Vec<BackendDescription>,
@@ -34,11 +35,11 @@
             .filter(|(id, backend)| backend.is_listed && !listed.contains(id));
         let gone: Vec<_> = gone.map(|(id, _)| id.clone()).collect();
         let described = list.into_iter().map(Arc::new).collect();
-        self.change_backends(now, DiscoveryChange { described, gone }, since);
+        self.apply_discovery_change(now, DiscoveryChange { described, gone }, since);
     }
 
-    /// Takes in what has changed in discovery's list. It came about after `since`, or at any time.
-    pub(crate) fn change_backends(
+    /// Applies a change of discovery's list, which occurred after `since`, or at any time if it is none.
+    pub(crate) fn apply_discovery_change(
         &mut self,
         now: Time,
         change: DiscoveryChange,
@@ -50,26 +51,26 @@
             .map(|description| description.service.clone())
             .collect();
         for description in change.described {
-            self.take_backend(now, description, since);
+            self.apply_description(now, description, since);
         }
         for id in change.gone {
-            self.no_longer_listed(now, &id, since);
+            self.mark_unlisted(now, &id, since);
         }
-        self.plan_review(now);
+        self.schedule_backend_review(now);
         let services: Vec<_> = services.into_iter().collect();
-        self.warm_up_services(now, &services);
+        self.open_initial_connections_of(now, &services);
     }
 
-    fn no_longer_listed(&mut self, now: Time, id: &BackendId, since: Option<Time>) {
+    fn mark_unlisted(&mut self, now: Time, id: &BackendId, since: Option<Time>) {
         let Some(backend) = self.backends.get_mut(id) else {
             return;
         };
         backend.is_listed = false;
         self.changed.insert(backend.description.service.clone());
-        self.leaves(now, id, since);
+        self.begin_leaving(now, id, since);
     }
 
-    fn take_backend(
+    fn apply_description(
         &mut self,
         now: Time,
         description: Arc<BackendDescription>,
@@ -96,13 +97,13 @@
         backend.evacuated_until = evacuated_until;
         let has_moved = backend.description.address != description.address;
         let is_new_start = description.is_new_start_after(&backend.description);
-        backend.take_role(description.role);
+        backend.apply_role(description.role);
         backend.description = description;
         backend.is_listed = true;
         if is_new_start {
             backend.start_again();
             let backend = id.clone();
-            self.effects.push(Effect::StartObserved { backend });
+            self.effects.push(Effect::RestartObserved { backend });
         }
         if let Some(backend) = self.backends.get_mut(&id)
             && (has_moved || is_new_start)
@@ -116,23 +117,23 @@
             }
         }
         if is_leaving {
-            // One that is first heard of as leaving may have said so, and have been forgotten, long ago.
-            self.leaves(now, &id, since.filter(|_| !is_unknown));
+            // A back end first listed as leaving may have announced it long ago, before this node forgot it.
+            self.begin_leaving(now, &id, since.filter(|_| !is_unknown));
         } else {
-            self.stays(&id);
+            self.cancel_leaving(&id);
         }
-        self.note_cold(now, &id, is_new || is_new_start);
+        self.update_warm_up(now, &id, is_new || is_new_start);
     }
 
-    /// A back end leaves, or has gone, as this node hears.
-    pub(crate) fn leaves(&mut self, now: Time, id: &BackendId, since: Option<Time>) {
+    /// Notes that a back end leaves or is unlisted.
+    pub(crate) fn begin_leaving(&mut self, now: Time, id: &BackendId, since: Option<Time>) {
         let limit = self.options.leaving_limit;
         let Some(backend) = self.backends.get_mut(id).filter(|b| b.leaving.is_none()) else {
             return;
         };
         let ends_at = limit.ends_at(now, since);
         backend.leaving = Some(Leaving::new(now, ends_at));
-        let change = LeavingChange::Began {
+        let change = LeavingChange::Started {
             age: since.map(|since| now.since(since)),
             used_for: ends_at.since(now),
         };
@@ -140,19 +141,19 @@
     }
 
     /// Whether the back end behind a connection may no longer be used for new work.
-    pub(crate) fn is_use_over(&self, now: Time, connection: ConnectionId) -> bool {
+    pub(crate) fn is_backend_unusable(&self, now: Time, connection: ConnectionId) -> bool {
         let connection = self.connections.get(&connection);
         let backend = connection.and_then(|connection| self.backends.get(&connection.backend));
-        backend.is_none_or(|backend| !backend.may_be_used(now))
+        backend.is_none_or(|backend| !backend.is_usable(now))
     }
 
-    /// A back end is there to stay.
-    fn stays(&mut self, id: &BackendId) {
+    /// A back end no longer leaves.
+    fn cancel_leaving(&mut self, id: &BackendId) {
         let Some(backend) = self.backends.get_mut(id) else {
             return;
         };
         if backend.leaving.take().is_some() {
-            self.leaving_observed(id, LeavingChange::TakenBack);
+            self.leaving_observed(id, LeavingChange::Cancelled);
         }
     }
 
@@ -163,13 +164,14 @@
         });
     }
 
-    pub(crate) fn plan_review(&mut self, now: Time) {
+    pub(crate) fn schedule_backend_review(&mut self, now: Time) {
         if !std::mem::replace(&mut self.is_reviewing, true) {
-            self.timers.set(now + BACKEND_REVIEW, Timer::Backends);
+            self.timers
+                .set(now + BACKEND_REVIEW_INTERVAL, Timer::BackendReview);
         }
     }
 
-    /// Lets go of back ends whose time is over, and of connections that nobody needs.
+    /// Releases back ends whose use has ended, and connections that are not needed.
     pub(crate) fn review_backends(&mut self, now: Time) {
         self.is_reviewing = false;
         let mut over = Vec::new();
@@ -186,32 +188,32 @@
             over.push((id.clone(), is_forgotten));
         }
         for (id, is_forgotten) in over {
-            self.tell_over(&id);
-            self.let_go(&id, is_forgotten);
+            self.report_drain_expired(&id);
+            self.release_backend(&id, is_forgotten);
         }
-        self.trim(now);
+        self.close_unneeded_connections(now);
         if is_any_leaving || !self.connections.is_empty() {
-            self.plan_review(now);
+            self.schedule_backend_review(now);
         }
     }
 
-    /// Tells, once, that a back end gets no more work.
-    fn tell_over(&mut self, id: &BackendId) {
+    /// Reports, once, that a back end gets no more work.
+    fn report_drain_expired(&mut self, id: &BackendId) {
         let leaving = self.backends.get_mut(id).and_then(|b| b.leaving.as_mut());
         let Some(leaving) = leaving else {
             return;
         };
-        if std::mem::replace(&mut leaving.is_over_told, true) {
+        if std::mem::replace(&mut leaving.is_expiry_reported, true) {
             return;
         }
-        let change = LeavingChange::Over {
+        let change = LeavingChange::Expired {
             sent: leaving.sent,
             last_after: leaving.last_sent_at.since(leaving.heard_at),
         };
         self.leaving_observed(id, change);
     }
 
-    fn let_go(&mut self, id: &BackendId, is_forgotten: bool) {
+    fn release_backend(&mut self, id: &BackendId, is_forgotten: bool) {
         let Some(backend) = self.backends.get(id) else {
             return;
         };
--- a/crates/stairward-engine/src/engine.rs
+++ b/crates/stairward-engine/src/engine.rs
@@ -1,4 +1,4 @@
-//! The engine: its state, and the dispatch of events and timers.
+//! The engine's state, and the dispatch of events and timers.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -10,10 +10,10 @@
 use crate::backend::Backend;
 use crate::connection::Connection;
 use crate::evacuation::Evacuations;
-use crate::event::{Effect, Event, Evidence};
+use crate::event::{BackendEvidence,Effect, Event};
 use crate::group::Group;
-use crate::holder_demand::{HolderDemand, share_of};
 use crate::holder_directory::HolderDirectory;
+use crate::holder_sizing::{HolderSizing, connections_per_holder};
 use crate::holder_watch::HolderWatch;
 use crate::identifiers::{ConnectionId, RequestNumber, SessionId};
 use crate::node_count::NodeCount;
@@ -24,27 +24,27 @@
 use crate::tenants::TenantDirectory;
 use crate::timers::{Timer, Timers};
 
-/// A connection that nobody has used for this long is closed, but for one to each back end: what a node
-/// holds without need its successor can't have when it loses power.
-const IDLE_LIMIT: Duration = Duration::from_millis(800);
-/// A tenant's connection is kept for longer: it serves nobody else, most tenants come seldom, and where room is
-/// needed the one that was used least recently gives way.
-const TENANT_IDLE_LIMIT: Duration = Duration::from_secs(10);
-/// Connections per back end kept back for nodes that are not counted yet.
+/// Connections idle for this long are closed, except one per back end. After a power loss a node's successor
+/// can't use the connections that the node held needlessly.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(800);
+/// A tenant's connection is kept longer: it serves no other tenant, and most tenants send requests rarely. If
+/// room is needed, the least recently used one is closed.
+const TENANT_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Connections per back end reserved for nodes that are not counted yet.
 const RESERVED_CONNECTIONS: u32 = 1;
 
-/// Figures about the engine for metrics.
+/// Engine metrics.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct EngineStatistics {
     /// Open sessions.
     pub sessions: usize,
     /// Connections to back ends, open or being opened.
     pub connections: usize,
-    /// Requests that wait.
+    /// Requests in the waiting queues.
     pub waiting: usize,
 }
 
-/// A request that waits, in the order in which it is served.
+/// Sort key of a waiting request, in serving order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct WaitingKey {
     pub priority: u8,
@@ -53,7 +53,7 @@
 }
 
 impl WaitingKey {
-    /// The place of a session's request.
+    /// The key of a session's request.
     pub fn of(session: SessionId, request: &Request) -> Self {
         Self {
             priority: request.route.priority,
@@ -69,7 +69,7 @@
     pub(crate) options: EngineOptions,
     pub(crate) table: Option<Arc<RoutingTable>>,
     pub(crate) sessions: BTreeMap<SessionId, Session>,
-    /// Sessions that came before the first configuration.
+    /// Sessions received before the first configuration.
     pub(crate) pending: BTreeMap<SessionId, PendingSession>,
     pub(crate) connections: BTreeMap<ConnectionId, Connection>,
     pub(crate) backends: BTreeMap<BackendId, Box<Backend>>,
@@ -86,7 +86,7 @@
     pub(crate) evacuations: Evacuations,
     pub(crate) stop: Option<Stop>,
     pub(crate) limits: Limiter,
-    /// Requests that wait for their tenant's limit to have room.
+    /// Requests waiting for a grant under their tenant's limit.
     pub(crate) admissions: BTreeMap<TenantName, BTreeSet<WaitingKey>>,
     pub(crate) is_reviewing: bool,
     last_connection: u64,
@@ -94,7 +94,7 @@
 }
 
 impl Engine {
-    /// An engine that knows no configuration and no back end yet.
+    /// Creates an engine without a configuration or back ends.
     #[must_use]
     pub fn new(options: EngineOptions) -> Self {
         let limits = Limiter::new(options.limits.clone());
@@ -124,26 +124,26 @@
         }
     }
 
-    /// Takes an event in and says what must be done.
+    /// Processes an event and returns the actions to carry out.
     pub fn handle(&mut self, now: Time, event: Event) -> Vec<Effect> {
         self.run_timers(now);
         if self.limits.next_wake().is_some_and(|at| at <= now) {
-            self.tell_limits(now, LimitEvent::Tick);
+            self.handle_limit_event(now, LimitEvent::Tick);
         }
         self.apply(now, event);
-        self.carry_out_limits(now);
+        self.apply_limit_effects(now);
         self.serve_waiting(now);
         std::mem::take(&mut self.effects)
     }
 
-    /// When the engine wants a [`Event::Tick`] at the latest.
+    /// The latest time at which the engine needs an [`Event::Tick`].
     #[must_use]
     pub fn next_wake(&self) -> Option<Time> {
         let limits = self.limits.next_wake();
         self.timers.next().into_iter().chain(limits).min()
     }
 
-    /// Whether sessions can be served: a configuration is known and no stop is under way.
+    /// Whether sessions can be served: a configuration is known and no stop is in progress.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.table.is_some() && self.stop.is_none()
@@ -155,7 +155,7 @@
         self.table.as_ref()
     }
 
-    /// Figures for metrics.
+    /// Current metrics.
     #[must_use]
     pub fn statistics(&self) -> EngineStatistics {
         EngineStatistics {
@@ -171,11 +171,11 @@
                 session,
                 database,
                 key,
-            } => self.receive_session(now, session, database, key),
+            } => self.accept_or_defer_session(now, session, database, key),
             Event::Statement { session, statement } => {
-                self.take_statement(now, session, Some(statement));
+                self.enqueue_statement(now, session, Some(statement));
             }
-            Event::BadStatement { session } => self.take_statement(now, session, None),
+            Event::InvalidStatement { session } => self.enqueue_statement(now, session, None),
             Event::SessionClosed { session } => self.session_closed(now, session),
             Event::ConnectionOpened {
                 connection,
@@ -185,17 +185,18 @@
                 connection,
                 failure,
             } => self.open_failed(now, connection, failure),
-            Event::Reply { connection, reply } => self.take_reply(now, connection, reply),
+            Event::Reply { connection, reply } => self.handle_reply(now, connection, reply),
             Event::ConnectionLost { connection } => self.connection_lost(now, connection),
-            Event::Configured(table) => self.configure(now, table),
-            Event::Backends { list, since } => self.take_backends(now, list, since),
-            Event::BackendsChanged { change, since } => self.change_backends(now, change, since),
-            Event::Nodes(nodes) => self.note_nodes(now, nodes),
-            Event::HoldersChanged(holders) => self.change_holders(holders),
+            Event::ConfigurationChanged(table) => self.configure(now, table),
+            Event::BackendsListed { list, since } => self.apply_backend_list(now, list, since),
+            Event::BackendsChanged { change, since } => { self.apply_discovery_change(now, change, since)
+            }
+            Event::NodeCountChanged(nodes) => self.record_node_count(now, nodes),
+            Event::HoldersChanged(holders) => self.apply_holder_change(holders),
             Event::NodeRegions(regions) => self.node_regions = regions,
-            Event::Evacuated { zones, since } => self.set_evacuated(now, &zones, since),
-            Event::Forwarded { session, forwarded } => {
-                self.take_forwarded(now, session, *forwarded);
+            Event::EvacuatedZonesChanged { zones, since } => self.set_evacuated(now, &zones, since),
+            Event::ForwardedRequest { session, forwarded } => {
+                self.handle_forwarded(now, session, *forwarded);
             }
             Event::ForwardAnswered {
                 holder,
@@ -208,33 +209,33 @@
                 freshness,
                 asked_at,
                 age,
-            } => self.take_peer_position(&service, freshness, asked_at, age),
-            Event::LeadRevoked(service, term) => self.revoke_lead(now, &service, term),
-            Event::LeadSettled(service) => self.settle_lead(now, &service),
-            Event::LeadAsked(service) => self.lead_asked(now, &service),
-            Event::PeerLead {
+            } => self.apply_peer_position(&service, freshness, asked_at, age),
+            Event::LeadershipRevoked(service, term) => self.revoke_leadership(now, &service, term),
+            Event::PromotionEnded(service) => self.promotion_ended(now, &service),
+            Event::LeadershipQueried(service) => self.leadership_queried(now, &service),
+            Event::PeerLeadership {
                 service,
-                possible,
+                possible_term,
                 asked_at,
                 age,
-            } => self.take_peer_lead(now, &service, possible, asked_at, age),
-            Event::HolderHeard(holder) => self.holder_heard(now, holder),
+            } => self.apply_peer_leadership(now, &service, possible_term, asked_at, age),
+            Event::HolderAlive(holder) => self.holder_alive(now, holder),
             Event::HolderLost(holder) => {
                 self.holder_lost(now, holder);
-                self.tell_limits(now, LimitEvent::PeerLost(holder));
+                self.handle_limit_event(now, LimitEvent::PeerLost(holder));
             }
             Event::HolderUnreachable(holder) => {
                 self.holder_unreachable(now, holder);
-                self.tell_limits(now, LimitEvent::PeerLost(holder));
+                self.handle_limit_event(now, LimitEvent::PeerLost(holder));
             }
             Event::Members { live, leaving } => {
-                self.tell_limits(now, LimitEvent::Members { live, leaving });
+                self.handle_limit_event(now, LimitEvent::Members { live, leaving });
             }
-            Event::FleetRecorded(nodes) => {
-                self.tell_limits(now, LimitEvent::RecordedFleetSize(nodes))
+            Event::FleetSizeRecorded(nodes) => {
+                self.handle_limit_event(now, LimitEvent::RecordedFleetSize(nodes))
             }
             Event::LimitGranted(node, grant) => {
-                self.tell_limits(now, LimitEvent::GrantReceived(node, grant));
+                self.handle_limit_event(now, LimitEvent::GrantReceived(node, grant));
             }
             Event::StopRequested => self.begin_stop(now),
             Event::Tick => {}
@@ -248,18 +249,18 @@
                 Timer::Hedge(session, number) => self.hedge(now, session, number),
                 Timer::Deadline(session, number) => self.deadline_passed(now, session, number),
                 Timer::TransactionIdle(session, number) => {
-                    self.transaction_rested(now, session, number);
+                    self.transaction_idle_expired(now, session, number);
                 }
-                Timer::Silence(connection) => self.check_silence(now, connection),
-                Timer::Holder(holder) => self.check_holder(now, holder),
-                Timer::TryWaiting(service) => {
+                Timer::ReplyCheck(connection) => self.check_replies(now, connection),
+                Timer::HolderCheck(holder) => self.check_holder(now, holder),
+                Timer::RetryWaiting(service) => {
                     self.changed.insert(service);
                 }
                 Timer::PendingSession(session) => self.pending_session_due(session),
-                Timer::Lead(service) => self.lead_due(now, &service),
-                Timer::Warm(backend) => self.warm_up_due(now, &backend),
-                Timer::Evacuation => self.end_work_in_evacuated(now),
-                Timer::Backends => self.review_backends(now),
+                Timer::LeadershipCheck(service) => self.leadership_check_due(now, &service),
+                Timer::WarmUpCheck(backend) => self.warm_up_check_due(now, &backend),
+                Timer::Evacuation => self.end_work_in_evacuated_zones(now),
+                Timer::BackendReview => self.review_backends(now),
                 Timer::Stop => self.continue_stop(now),
             }
         }
@@ -275,8 +276,8 @@
         RequestNumber(self.last_request)
     }
 
-    pub(crate) fn observe(&mut self, backend: &BackendId, evidence: Evidence) {
-        self.effects.push(Effect::Observed {
+    pub(crate) fn observe(&mut self, backend: &BackendId, evidence: BackendEvidence) {
+        self.effects.push(Effect::BackendObserved {
             backend: backend.clone(),
             evidence,
         });
@@ -292,7 +293,7 @@
         }
         let limits = table.tenants.as_ref().map(TenantDirectory::limits);
         self.table = Some(table);
-        self.tell_limits(now, LimitEvent::Limits(limits.unwrap_or_default()));
+        self.handle_limit_event(now, LimitEvent::Limits(limits.unwrap_or_default()));
         let queued: Vec<TenantName> = self.admissions.keys().cloned().collect();
         for tenant in queued {
             self.admit_waiting(now, &tenant);
@@ -300,7 +301,7 @@
         self.changed.extend(self.groups.keys().cloned());
         self.end_revoked_sessions(now);
         self.open_pending_sessions();
-        self.warm_up(now);
+        self.open_initial_connections(now);
     }
 
     pub(crate) fn idle_connections_of(
@@ -315,15 +316,15 @@
         connections.iter().filter(is_idle).copied().collect()
     }
 
-    /// Closes connections that nobody has needed lately, but for one to each back end of the services that this node
-    /// holds. What it opened while it did not know the other holders is theirs: 72 nodes that keep one connection each
-    /// leave them none of 36.
-    pub(crate) fn trim(&mut self, now: Time) {
+    /// Closes idle connections that are no longer needed, except one to each back end of the services that
+    /// this node holds. Connections that it opened before it knew the other holders must be closed too: 72
+    /// nodes that keep one connection each would leave the holders none of 36.
+    pub(crate) fn close_unneeded_connections(&mut self, now: Time) {
         let mut unused = Vec::new();
         for backend in self.backends.values() {
             let mut idle = self.idle_connections_of(&backend.connections);
             let is_any_in_use = idle.len() < backend.connections.len();
-            let is_held_here = !self.holders.is_elsewhere(&backend.description.service);
+            let is_held_here = !self.holders.is_held_by_others(&backend.description.service);
             if is_held_here && !is_any_in_use && !idle.is_empty() {
                 idle.remove(0);
             }
@@ -331,8 +332,8 @@
                 let connection = self.connections.get(id);
                 connection.is_some_and(|connection| {
                     let limit = match connection.tenant {
-                        Some(_) if is_held_here => TENANT_IDLE_LIMIT,
-                        _ => IDLE_LIMIT,
+                        Some(_) if is_held_here => TENANT_IDLE_TIMEOUT,
+                        _ => IDLE_TIMEOUT,
                     };
                     now.since(connection.idle_since) >= limit
                 })
@@ -343,16 +344,16 @@
         }
     }
 
-    fn note_nodes(&mut self, now: Time, nodes: u32) {
+    fn record_node_count(&mut self, now: Time, nodes: u32) {
         let is_first = !self.nodes.is_known();
-        self.nodes.note(now, nodes);
+        self.nodes.record(now, nodes);
         if is_first {
-            self.warm_up(now);
+            self.open_initial_connections(now);
         }
     }
 
-    /// The connections this node may hold to a back end: one before it has seen the others, since
-    /// hundreds of nodes that start together would fill all slots with opening connections.
+    /// The connections that this node may hold to a back end. It is one until the node has seen the others,
+    /// because hundreds of nodes that start together would fill all slots with openings.
     pub(crate) fn connection_share(&self, id: &BackendId) -> usize {
         let service = self
             .backends
@@ -367,20 +368,20 @@
             .and_then(|table| table.services.get(service));
         let limit = limits.map_or(1, |limits| limits.connections);
         let available = limit.saturating_sub(RESERVED_CONNECTIONS);
-        if let Some(share) = self.share_beside(id, available) {
+        if let Some(share) = self.same_zone_share(id, available) {
             return usize::try_from(share).unwrap_or(1);
         }
-        let (nodes, holders) = (self.nodes.most(), self.holder_demand(service).holders());
+        let (nodes, holders) = (self.nodes.max_recent(), self.holder_sizing(service).holder_count(),);
         let share = if nodes <= holders {
             (available / nodes).max(1)
         } else {
-            share_of(available, holders)
+            connections_per_holder(available, holders)
         };
         usize::try_from(share).unwrap_or(1)
     }
 
-    /// What decides how many nodes hold connections to a service's back ends.
-    fn holder_demand(&self, service: &ServiceName) -> HolderDemand {
+    /// The inputs that determine how many nodes hold connections to a service's back ends.
+    fn holder_sizing(&self, service: &ServiceName) -> HolderSizing {
         let limits = self
             .table
             .as_ref()
@@ -391,26 +392,27 @@
             .into_iter()
             .flat_map(|group| &group.members);
         let slots = members.filter_map(|id| self.backends.get(id)?.description.slots);
-        HolderDemand {
+        HolderSizing {
             connections: limits.map_or(1, |limits| limits.connections),
             slots: slots.max(),
             zones: self.options.zone_count(),
         }
     }
 
-    /// Opens a first connection to each back end of the services that this node holds and that routes lead to, so that
-    /// the first requests find one. Not before the others are seen: most of the back ends may be for others to hold.
-    pub(crate) fn warm_up(&mut self, now: Time) {
+    /// Opens a first connection to each back end of the routed services that this node holds, so that the
+    /// first requests find one. It waits until the other nodes are known, since most back ends may be theirs
+    /// to hold.
+    pub(crate) fn open_initial_connections(&mut self, now: Time) {
         let services: Vec<ServiceName> = self.groups.keys().cloned().collect();
-        self.warm_up_services(now, &services);
+        self.open_initial_connections_of(now, &services);
     }
 
-    /// As [`Self::warm_up`], for these services.
-    pub(crate) fn warm_up_services(&mut self, now: Time, services: &[ServiceName]) {
+    /// As [`Self::open_initial_connections`], for these services only.
+    pub(crate) fn open_initial_connections_of(&mut self, now: Time, services: &[ServiceName]) {
         if !self.nodes.is_known() {
             return;
         }
-        let is_held_here = |service: &&ServiceName| !self.holders.is_elsewhere(service);
+        let is_held_here = |service: &&ServiceName| !self.holders.is_held_by_others(service);
         let held: Vec<&ServiceName> = services.iter().filter(is_held_here).collect();
         let Some(table) = self.table.as_ref().filter(|_| !held.is_empty()) else {
             return;
@@ -424,7 +426,7 @@
         let is_unconnected = |id: &&BackendId| {
             let backend = self.backends.get(*id);
             backend
-                .is_some_and(|backend| backend.connections.is_empty() && !backend.is_to_be_left())
+                .is_some_and(|backend| backend.connections.is_empty() && !backend.is_draining())
         };
         let members = groups.flat_map(|group| &group.members);
         let unconnected: Vec<BackendId> = members.filter(is_unconnected).cloned().collect();
--- a/crates/stairward-engine/src/holder_watch.rs
+++ b/crates/stairward-engine/src/holder_watch.rs
@@ -1,5 +1,6 @@
-//! Watching the holders that statements are forwarded to: one that says nothing is asked for a sign of life, and
-//! without one its work goes elsewhere, long before its connection or the membership view gives it up.
+//! Liveness checks of holders that statements are forwarded to. A holder that owes an answer and is quiet is
+//! pinged; without a reply its work is moved to others, long before its connection fails or the membership
+//! view drops it.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -12,52 +13,53 @@
 use crate::session::{Stage, Transaction};
 use crate::timers::Timer;
 
-/// A holder that owes an answer for this long and has said nothing meanwhile is asked for a sign of life.
-const SILENCE: Duration = Duration::from_millis(150);
-/// How long the sign may take: a few round trips between regions, and a slow node's turn.
-const SIGN_PATIENCE: Duration = Duration::from_millis(200);
-/// Pause between two questions to a holder that has given no sign.
-const ASK_AGAIN: Duration = Duration::from_millis(500);
+/// A holder that has owed an answer and has been quiet for this long is pinged.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(150);
+/// Time allowed for the ping reply: a few round trips between regions and the scheduling delay of a slow
+/// node.
+const PING_TIMEOUT: Duration = Duration::from_millis(200);
+/// Interval between pings to a silent holder.
+const PING_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What is known of a holder.
+/// Liveness state of a holder.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct HolderWatch {
-    /// Requests that it owes an answer, by when they were forwarded.
+    /// Requests without an answer, by the time at which they were forwarded.
     owed: BTreeSet<(Time, SessionId)>,
     heard_at: Time,
     asked_at: Option<Time>,
-    /// Whether it gave no sign of life when asked, and nothing since.
+    /// Whether it has not replied to a ping, and nothing was received since.
     pub is_silent: bool,
     timer_at: Option<Time>,
 }
 
 impl Engine {
-    /// A request was forwarded to a holder.
+    /// Starts watching a holder to which a request was forwarded.
     pub(crate) fn watch_holder(&mut self, now: Time, holder: NodeId, session: SessionId) {
         let watch = self.holder_watches.entry(holder).or_default();
         watch.owed.insert((now, session));
         if watch.timer_at.is_none() {
-            self.set_holder_timer(holder, now + SILENCE);
+            self.set_holder_timer(holder, now + SILENCE_TIMEOUT);
         }
     }
 
-    /// A holder gave a sign of life.
-    pub(crate) fn holder_heard(&mut self, now: Time, holder: NodeId) {
+    /// Records that a holder is alive.
+    pub(crate) fn holder_alive(&mut self, now: Time, holder: NodeId) {
         let Some(watch) = self.holder_watches.get_mut(&holder) else {
             return;
         };
         watch.heard_at = now;
         watch.asked_at = None;
         if std::mem::replace(&mut watch.is_silent, false) {
-            self.effects.push(Effect::HolderObserved {
+            self.effects.push(Effect::HolderLivenessChanged {
                 holder,
                 is_silent: false,
             });
         }
     }
 
-    /// A session's request is no longer owed by a holder.
-    pub(crate) fn holder_settled(&mut self, holder: NodeId, session: SessionId) {
+    /// Removes a session's request from those that a holder owes an answer.
+    pub(crate) fn clear_owed_request(&mut self, holder: NodeId, session: SessionId) {
         let Some(watch) = self.holder_watches.get_mut(&holder) else {
             return;
         };
@@ -67,12 +69,13 @@
         }
         watch.asked_at = None;
         if let Some(at) = watch.timer_at.take() {
-            self.timers.cancel(at, Timer::Holder(holder));
+            self.timers.cancel(at, Timer::HolderCheck(holder));
         }
     }
 
-    /// A holder's connection has ended: it owes nothing any more, and is asked again only if it was silent.
-    pub(crate) fn forget_owed(&mut self, holder: NodeId) {
+    /// The connection to a holder has ended: it owes no answers any more, and is pinged only if it was
+    /// silent.
+    pub(crate) fn clear_owed(&mut self, holder: NodeId) {
         if let Some(watch) = self.holder_watches.get_mut(&holder) {
             watch.owed.clear();
             watch.asked_at = None;
@@ -82,18 +85,18 @@
     fn set_holder_timer(&mut self, holder: NodeId, at: Time) {
         if let Some(watch) = self.holder_watches.get_mut(&holder) {
             watch.timer_at = Some(at);
-            self.timers.set(at, Timer::Holder(holder));
+            self.timers.set(at, Timer::HolderCheck(holder));
         }
     }
 
-    /// Looks at a holder that owed something a while ago.
+    /// Checks a holder that owed an answer when the timer was set.
     pub(crate) fn check_holder(&mut self, now: Time, holder: NodeId) {
-        let is_ranked = self.holders.is_holder(holder);
+        let is_known_holder = self.holders.is_holder(holder);
         let Some(watch) = self.holder_watches.get_mut(&holder) else {
             return;
         };
         watch.timer_at = None;
-        if !is_ranked && (watch.is_silent || watch.owed.is_empty()) {
+        if !is_known_holder && (watch.is_silent || watch.owed.is_empty()) {
             self.holder_watches.remove(&holder);
             return;
         }
@@ -101,25 +104,29 @@
         let quiet_since = oldest.map(|at| at.max(watch.heard_at));
         match (watch.is_silent, quiet_since, watch.asked_at) {
             (false, None, _) => {}
-            (false, Some(since), None) if now < since + SILENCE => {
-                self.set_holder_timer(holder, since + SILENCE);
+            (false, Some(since), None) if now < since + SILENCE_TIMEOUT => {
+                self.set_holder_timer(holder, since + SILENCE_TIMEOUT);
             }
-            (false, Some(_), Some(asked)) if now >= asked + SIGN_PATIENCE => {
-                self.hold_for_silent(now, holder);
-                self.move_work_of(now, holder);
+            (false, Some(_), Some(asked)) if now >= asked + PING_TIMEOUT => {
+                self.mark_holder_silent(now, holder);
+                self.reforward_owed(now, holder);
             }
             (is_silent, _, _) => {
                 watch.asked_at = Some(now);
-                self.effects.push(Effect::AskHolder { holder });
-                let pause = if is_silent { ASK_AGAIN } else { SIGN_PATIENCE };
+                self.effects.push(Effect::PingHolder { holder });
+                let pause = if is_silent {
+                    PING_RETRY_INTERVAL
+                } else {
+                    PING_TIMEOUT
+                };
                 self.set_holder_timer(holder, now + pause);
             }
         }
     }
 
-    /// Forwards to others what a silent holder owes and may be run twice. What may not stays with it: its answer
-    /// may still come.
-    fn move_work_of(&mut self, now: Time, holder: NodeId) {
+    /// Forwards a silent holder's retryable requests to other holders. The others stay with it, as their
+    /// answers may still arrive.
+    fn reforward_owed(&mut self, now: Time, holder: NodeId) {
         let owed = self.holder_watches.get(&holder).map(|watch| &watch.owed);
         let sessions: Vec<SessionId> = owed.into_iter().flatten().map(|(_, id)| *id).collect();
         for id in sessions {
@@ -128,17 +135,17 @@
             };
             let request = session.request.as_ref();
             let is_owed = request.is_some_and(|request| {
-                request.stage == Stage::Forwarded(holder) && request.need.is_repeatable()
+                request.stage == Stage::Forwarded(holder) && request.kind.is_retryable()
             });
             if is_owed {
                 self.record(now, id, None, Decision::Retried);
-                self.leave_holder(id, holder);
+                self.release_holder(id, holder);
                 self.forward(now, id);
             }
         }
     }
 
-    /// A holder was never reached: what was meant for it has provably not been sent.
+    /// A holder could not be reached: the requests for it have provably not been sent.
     pub(crate) fn holder_unreachable(&mut self, now: Time, holder: NodeId) {
         let sessions: Vec<SessionId> = self
             .sessions
@@ -147,7 +154,7 @@
                 let request = session.request.as_ref();
                 let is_waiting = request.is_some_and(|r| r.stage == Stage::Forwarded(holder));
                 let is_bound =
-                    matches!(&session.transaction, Transaction::Relayed(t) if t.holder == holder);
+                    matches!(&session.transaction, Transaction::Forwarded(t) if t.holder == holder);
                 is_waiting && !is_bound
             })
             .map(|(id, _)| *id)
@@ -163,21 +170,21 @@
             self.forward(now, id);
         }
         self.holder_lost(now, holder);
-        self.hold_for_silent(now, holder);
+        self.mark_holder_silent(now, holder);
     }
 
-    /// Takes a holder for silent until it gives a sign of life.
-    fn hold_for_silent(&mut self, now: Time, holder: NodeId) {
+    /// Treats a holder as silent until it shows that it is alive.
+    fn mark_holder_silent(&mut self, now: Time, holder: NodeId) {
         if !self.holders.is_holder(holder) {
             return;
         }
         let watch = self.holder_watches.entry(holder).or_default();
         let was_silent = std::mem::replace(&mut watch.is_silent, true);
         if watch.timer_at.is_none() {
-            self.set_holder_timer(holder, now + ASK_AGAIN);
+            self.set_holder_timer(holder, now + PING_RETRY_INTERVAL);
         }
         if !was_silent {
-            self.effects.push(Effect::HolderObserved {
+            self.effects.push(Effect::HolderLivenessChanged {
                 holder,
                 is_silent: true,
             });
--- /dev/null
+++ b/crates/stairward-engine/src/leadership.rs
@@ -0,0 +1,269 @@
+//! What a node knows of a service's leadership when a deposed leader may keep answering after another one was
+//! promoted.
+//!
+//! A node that replaces a leader that can't be asked to step down first puts all replicas on hold for the
+//! next term, and then waits one lease. The holds end when the promotion takes effect. Therefore:
+//!
+//! * Two replica reports, the second received less than a lease after the first was requested, can't lie on
+//!   both sides of such a promotion: if neither mentions a later term, no promotion began between them.
+//! * A report that mentions a later term means that this term may begin at any time from then on.
+//! * Reports of *all* other members, each requested less than a lease ago, give complete knowledge.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
+
+use stairward_types::{BackendId, Term, Time};
+
+use crate::event::LeadershipChange;
+
+/// Longest duration of an attempt to replace a leader, in leases.
+const ATTEMPT_IN_LEASES: u32 = 3;
+
+/// A member's report of the term that it follows or waits for.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) struct MemberReport {
+    /// The highest term that it follows or waits for.
+    pub awaited: Term,
+    /// When the report was requested.
+    pub asked_at: Time,
+    /// Whether the member can be put on hold; only replicas can.
+    pub can_be_held: bool,
+    /// Whether the member itself sent the report. Otherwise nothing listens at its address.
+    pub is_from_member: bool,
+}
+
+/// A status query without a reply.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+struct StatusQuery {
+    asked_at: Time,
+    /// Whether the member refused the query or its connection was lost.
+    has_failed: bool,
+}
+
+/// What is known of a service's leadership.
+#[derive(Debug, Default)]
+pub(crate) struct Leadership {
+    /// The highest term that may have begun; none if unknown.
+    possible_term: Option<Term>,
+    /// When the report that last confirmed `possible_term` was requested.
+    confirmed_at: Time,
+    /// The highest term that was ever announced. It may have begun, and its leader may be unreachable since;
+    /// only reports of all possible leaders show that it did not begin.
+    announced_term: Term,
+    /// Until this time the promotion to the announced term may be in progress, so reports can't show that it
+    /// did not begin.
+    announced_until: Time,
+    /// The members that may have been promoted in the announced term.
+    candidates: BTreeSet<BackendId>,
+    /// The last report of each member.
+    reports: BTreeMap<BackendId, MemberReport>,
+    /// Queries without a reply, by member.
+    pending_queries: BTreeMap<BackendId, StatusQuery>,
+    /// Since when the leadership source has been queried without sufficient information.
+    source_queried_since: Option<Time>,
+    /// When the source was last queried.
+    source_last_queried_at: Option<Time>,
+    /// The change that was last reported to the engine's driver.
+    pub reported: Option<LeadershipChange>,
+}
+
+impl Leadership {
+    /// Records a member's report received at `now`. `others` are the members that may be promoted instead of
+    /// the leader.
+    pub fn record_report(
+        &mut self,
+        now: Time,
+        lease: Duration,
+        member: &BackendId,
+        report: MemberReport,
+        others: &BTreeSet<BackendId>,
+    ) {
+        self.pending_queries.remove(member);
+        let known = self.reports.get(member);
+        if known.is_some_and(|known| known.asked_at > report.asked_at) {
+            return;
+        }
+        self.reports.insert(member.clone(), report);
+        self.record_announced_term(now, lease, report.awaited, others);
+        let is_continuous = now < self.confirmed_at + lease;
+        self.possible_term = self.possible_term.filter(|_| is_continuous);
+        if let Some(possible_term) = self.possible_term
+            && report.can_be_held
+            && others.contains(member)
+        {
+            self.possible_term = Some(possible_term.max(report.awaited));
+            self.confirmed_at = self.confirmed_at.max(report.asked_at);
+        }
+        self.update_from_all_reports(now, lease, others);
+    }
+
+    fn record_announced_term(
+        &mut self,
+        now: Time,
+        lease: Duration,
+        term: Term,
+        others: &BTreeSet<BackendId>,
+    ) {
+        if term > self.announced_term {
+            // Longer than the announcing attempt may take.
+            self.announced_until = now + lease * ATTEMPT_IN_LEASES;
+            self.announced_term = term;
+            self.candidates.extend(others.iter().cloned());
+        }
+    }
+
+    /// Drops an announced term once fresh reports of all possible leaders show that it did not begin.
+    fn review_announced_term(&mut self, now: Time, lease: Duration, awaited: Term) {
+        let is_recent = |id: &BackendId| {
+            self.reports
+                .get(id)
+                .is_some_and(|report| report.is_from_member && now < report.asked_at + lease)
+        };
+        let is_over = now >= self.announced_until;
+        if awaited < self.announced_term && is_over && self.candidates.iter().all(is_recent) {
+            self.announced_term = awaited;
+            self.candidates.clear();
+        }
+    }
+
+    /// Derives the possible term from the reports of all other members, if each is recent enough.
+    fn update_from_all_reports(
+        &mut self,
+        now: Time,
+        lease: Duration,
+        others: &BTreeSet<BackendId>,
+    ) {
+        let mut awaited = Term::default();
+        let mut asked_at = now;
+        for other in others {
+            match self.reports.get(other) {
+                Some(report) if now < report.asked_at + lease => {
+                    awaited = awaited.max(report.awaited);
+                    asked_at = asked_at.min(report.asked_at);
+                }
+                _ => return,
+            }
+        }
+        self.review_announced_term(now, lease, awaited);
+        let tells_more = self
+            .possible_term
+            .is_none_or(|possible_term| awaited < possible_term);
+        if tells_more || asked_at > self.confirmed_at {
+            self.possible_term = Some(awaited);
+            self.confirmed_at = asked_at;
+        }
+    }
+
+    /// Whether a term later than `term` may have begun.
+    pub fn is_revoked(&self, term: Term) -> bool {
+        self.announced_term > term
+            || self
+                .possible_term
+                .is_some_and(|possible_term| possible_term > term)
+    }
+
+    /// Whether no term later than `term` can have begun, based on reports requested less than `age` ago.
+    pub fn is_confirmed(&self, now: Time, term: Term, age: Duration) -> bool {
+        let is_recent = now < self.confirmed_at + age && self.announced_term <= term;
+        is_recent
+            && self
+                .possible_term
+                .is_some_and(|possible_term| possible_term <= term)
+    }
+
+    /// The highest term that may have begun, and when the underlying report was requested.
+    pub fn known(&self) -> Option<(Term, Time)> {
+        let possible_term = self.possible_term?;
+        Some((possible_term.max(self.announced_term), self.confirmed_at))
+    }
+
+    /// A later term, led by one of `others`, may begin from now on.
+    pub fn revoke(&mut self, now: Time, lease: Duration, term: Term, others: &BTreeSet<BackendId>) {
+        self.record_announced_term(now, lease, term, others);
+        if term == self.announced_term {
+            self.announced_until = now + lease * ATTEMPT_IN_LEASES;
+        }
+        self.possible_term = self
+            .possible_term
+            .map(|possible_term| possible_term.max(term));
+    }
+
+    /// The attempt that announced a term has ended, with or without a promotion.
+    pub fn promotion_ended(&mut self) {
+        self.announced_until = Time::ZERO;
+    }
+
+    /// Adopts another node's knowledge if it is newer than the local knowledge.
+    pub fn record_peer_knowledge(&mut self, possible_term: Term, asked_at: Time) {
+        if asked_at > self.confirmed_at || self.possible_term.is_none() {
+            self.possible_term = Some(possible_term);
+            self.confirmed_at = asked_at;
+        }
+    }
+
+    /// Whether querying the source is still sufficient: it is, unless queries have been fruitless for
+    /// `timeout`.
+    pub fn may_query_source(&mut self, now: Time, recency: Duration, timeout: Duration) -> bool {
+        let is_recent = now < self.confirmed_at + recency;
+        if is_recent {
+            self.source_queried_since = None;
+        }
+        let since = *self.source_queried_since.get_or_insert(now);
+        // An old series of queries is over; start a new one.
+        if now >= since + timeout * 2 {
+            self.source_queried_since = Some(now);
+            return true;
+        }
+        now < since + timeout
+    }
+
+    /// Records that the source is queried; returns false if the last query is less than `pause` ago.
+    pub fn record_source_query(&mut self, now: Time, pause: Duration) -> bool {
+        let is_due = self
+            .source_last_queried_at
+            .is_none_or(|at| now >= at + pause);
+        if is_due {
+            self.source_last_queried_at = Some(now);
+        }
+        is_due
+    }
+
+    pub fn record_query(&mut self, now: Time, member: &BackendId) {
+        let query = StatusQuery {
+            asked_at: now,
+            has_failed: false,
+        };
+        self.pending_queries.insert(member.clone(), query);
+    }
+
+    /// Records that a query failed.
+    pub fn query_failed(&mut self, now: Time, member: &BackendId) {
+        if let Some(query) = self.pending_queries.get_mut(member) {
+            query.asked_at = now;
+            query.has_failed = true;
+        }
+    }
+
+    /// Whether a member was queried less than `timeout` ago without a reply; failed queries count too.
+    pub fn was_queried_within(&self, now: Time, member: &BackendId, timeout: Duration) -> bool {
+        let query = self.pending_queries.get(member);
+        query.is_some_and(|query| now < query.asked_at + timeout)
+    }
+
+    /// Whether a member was queried less than `timeout` ago and may still reply.
+    pub fn is_reply_awaited(&self, now: Time, member: &BackendId, timeout: Duration) -> bool {
+        let query = self.pending_queries.get(member);
+        query.is_some_and(|query| !query.has_failed && now < query.asked_at + timeout)
+    }
+
+    /// Whether the last query to a member has had no reply.
+    pub fn owes_report(&self, member: &BackendId) -> bool {
+        self.pending_queries.contains_key(member)
+    }
+
+    /// Whether a member's report was requested less than `age` ago.
+    pub fn has_report_within(&self, now: Time, member: &BackendId, age: Duration) -> bool {
+        let report = self.reports.get(member);
+        report.is_some_and(|report| now < report.asked_at + age)
+    }
+}
--- a/crates/stairward-engine/src/lib.rs
+++ b/crates/stairward-engine/src/lib.rs
@@ -1,8 +1,9 @@
-//! The statement-level engine of one node: sessions, transactions, freshness floors, the choice of back
-//! end, retries, hold and outcome, and on the back-end side admission, connection state and reset.
+//! The statement-level engine of one node: sessions, transactions, freshness floors, back-end selection,
+//! retries, request queueing and outcomes; and, towards the back ends, admission, connection state and reset.
 //!
-//! Everything here is pure: [`Engine::handle`] takes the time and an [`Event`] and returns [`Effect`]s.
-//! Statements are opaque text with a class; no protocol is known here.
+//! The engine performs no I/O: [`Engine::handle`] takes the current time and an [`Event`] and returns the
+//! [`Effect`]s to carry out. Statements are opaque text with an access class; the engine knows no wire
+//! protocol.
 
 #![forbid(unsafe_code)]
 
@@ -15,12 +16,13 @@
 mod engine;
 mod evacuation;
 mod event;
+mod forwarding;
 mod group;
-mod holder_demand;
 mod holder_directory;
+mod holder_sizing;
 mod holder_watch;
 mod identifiers;
-mod lead;
+mod leadership;
 mod leaving;
 mod lost_connections;
 mod node_count;
@@ -29,7 +31,6 @@
 mod placement;
 mod probes;
 mod proofs;
-mod relay;
 mod replies;
 mod reply;
 mod requests;
@@ -47,16 +48,16 @@
 mod withholding;
 
 pub use engine::{Engine, EngineStatistics};
-pub use evacuation::ZoneWork;
+pub use evacuation::ZoneActivity;
 pub use event::{
-    BackendCommand, Decision, Effect, Event, Evidence, LeadChange, OpenFailure, OpenTarget,
-    RequestMeasure, RequestRecord,
+    BackendCommand, BackendEvidence, Decision, Effect, Event, LeadershipChange, OpenFailure,
+    OpenTarget, RequestMeasurement, RequestRecord,
 };
-pub use holder_demand::{HolderDemand, share_of};
+pub use forwarding::ForwardedRequest;
 pub use holder_directory::{Holder, ServiceHolders};
+pub use holder_sizing::{HolderSizing, connections_per_holder};
 pub use identifiers::{ConnectionId, SessionId};
-pub use leaving::{LeavingChange, UseLimit};
-pub use relay::Forwarded;
+pub use leaving::{DrainLimit, LeavingChange};
 pub use reply::{
     BackendError, BackendErrorCode, BackendReply, Response, ResponseResult, TransactionStatus,
 };
--- a/crates/stairward-engine/src/stopping.rs
+++ b/crates/stairward-engine/src/stopping.rs
@@ -1,4 +1,4 @@
-//! A planned stop: sessions are closed at rest, open transactions get half of the time.
+//! Planned stop: idle sessions are closed, and open transactions get half of the grace period.
 
 use std::time::Duration;
 
@@ -10,22 +10,22 @@
 use crate::reply::TransactionStatus;
 use crate::timers::Timer;
 
-/// When sessions at rest begin to be closed, as a share of the grace: new ones come for a while after the
-/// node has said that it is not ready.
+/// When idle sessions start to be closed, as a percentage of the grace period. New sessions still arrive for
+/// a while after the node reports that it is not ready.
 const CLOSING_PERCENT: u32 = 36;
-/// When resting transactions are ended.
+/// When idle transactions are ended.
 const TRANSACTIONS_PERCENT: u32 = 52;
-/// From when new work is refused as not run, so that the client goes elsewhere: what is sent later would be cut by the
-/// end. Clients come until the end where most nodes of a zone stop at once.
+/// When new work starts to be refused as not run, so that clients retry elsewhere: the end of the process
+/// would interrupt later statements. If most nodes of a zone stop at once, clients arrive until the end.
 const REFUSING_PERCENT: u32 = 75;
-/// When everything is over, whatever is under way.
+/// When the stop completes, whatever is still in progress.
 const END_PERCENT: u32 = 92;
-/// How often sessions are looked at meanwhile.
-const REVIEW: Duration = Duration::from_millis(100);
-/// Sessions closed in one review, so that they don't all connect elsewhere at once.
-const CLOSED_AT_ONCE: usize = 12;
+/// Interval at which sessions are checked during the stop.
+const REVIEW_INTERVAL: Duration = Duration::from_millis(100);
+/// Maximum number of sessions closed per check, so that they don't all reconnect elsewhere at once.
+const MAX_CLOSED_PER_REVIEW: usize = 12;
 
-/// A planned stop under way.
+/// A planned stop in progress.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Stop {
     began: Time,
@@ -55,24 +55,24 @@
             return self.end_stop();
         }
         if elapsed >= grace * TRANSACTIONS_PERCENT / 100 {
-            self.end_resting_transactions(now);
+            self.end_idle_transactions(now);
         }
-        let is_at_rest = |id: &SessionId| self.sessions.get(id).is_some_and(|s| s.is_at_rest());
-        let at_rest: Vec<_> = self
+        let is_idle = |id: &SessionId| self.sessions.get(id).is_some_and(|s| s.is_idle());
+        let idle_sessions: Vec<_> = self
             .sessions
             .keys()
             .copied()
-            .filter(is_at_rest)
-            .take(CLOSED_AT_ONCE)
+            .filter(is_idle)
+            .take(MAX_CLOSED_PER_REVIEW)
             .collect();
-        for id in at_rest {
+        for id in idle_sessions {
             self.close_session(now, id);
         }
         self.stop_if_empty(now);
-        self.timers.set(now + REVIEW, Timer::Stop);
+        self.timers.set(now + REVIEW_INTERVAL, Timer::Stop);
     }
 
-    fn end_resting_transactions(&mut self, now: Time) {
+    fn end_idle_transactions(&mut self, now: Time) {
         let resting: Vec<_> = self
             .sessions
             .iter()
@@ -86,20 +86,20 @@
         }
     }
 
-    /// Closes a session that has come to rest, once sessions are being closed.
+    /// Closes a session that has become idle, if the closing phase has begun.
     pub(crate) fn close_if_stopping(&mut self, now: Time, id: SessionId) {
         let Some(stop) = self.stop else {
             return;
         };
         let closing = self.options.stop_grace * CLOSING_PERCENT / 100;
-        let is_at_rest = self.sessions.get(&id).is_some_and(|s| s.is_at_rest());
-        if now >= stop.began + closing && is_at_rest {
+        let is_idle = self.sessions.get(&id).is_some_and(|s| s.is_idle());
+        if now >= stop.began + closing && is_idle {
             self.close_session(now, id);
         }
     }
 
-    /// Whether a planned stop has come so far that new work would be cut by its end.
-    pub(crate) fn is_too_late_to_begin(&self, now: Time) -> bool {
+    /// Whether new work would be interrupted by the end of a planned stop.
+    pub(crate) fn is_refusing_new_work(&self, now: Time) -> bool {
         let refusing = self.options.stop_grace * REFUSING_PERCENT / 100;
         self.stop.is_some_and(|stop| now >= stop.began + refusing)
     }
@@ -114,7 +114,7 @@
             return;
         };
         let closing = self.options.stop_grace * CLOSING_PERCENT / 100;
-        if self.sessions.is_empty() && now >= stop.began + closing + REVIEW {
+        if self.sessions.is_empty() && now >= stop.began + closing + REVIEW_INTERVAL {
             self.end_stop();
         }
     }
--- a/crates/stairward-engine/src/waiting.rs
+++ b/crates/stairward-engine/src/waiting.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for a back end, a connection or a proof.
+//! Requests that wait for a back end, a connection or a position proof.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -11,9 +11,9 @@
 use crate::session::{Request, Stage, WaitReason};
 
 impl Engine {
-    /// Tries each waiting request of the services in which something has changed.
+    /// Retries the waiting requests of each service whose state has changed.
     pub(crate) fn serve_waiting(&mut self, now: Time) {
-        for _ in 0..MOST_ROUNDS {
+        for _ in 0..MAX_ROUNDS {
             let changed = std::mem::take(&mut self.changed);
             if changed.is_empty() {
                 return;
@@ -29,7 +29,8 @@
             return;
         };
         let keys: Vec<WaitingKey> = waiting.iter().copied().collect();
-        // Each tenant's connections serve its own requests first. Only then may they give way to others'.
+        // A tenant's idle connections serve its own requests first. Only then may they be closed to make room
+        // for others.
         let has_tenant = |key: &WaitingKey| {
             let session = self.sessions.get(&key.session);
             session.is_some_and(|session| session.identity.tenant().is_some())
@@ -41,8 +42,8 @@
     }
 
     fn serve_in_order(&mut self, now: Time, keys: &[WaitingKey], opening: Opening) {
-        // One request that finds no connection stands for all later ones of its kind.
-        let mut hopeless: BTreeSet<(bool, u8, Option<TenantName>)> = BTreeSet::new();
+        // If one request finds no connection, neither do later ones of the same kind.
+        let mut unservable: BTreeSet<(bool, u8, Option<TenantName>)> = BTreeSet::new();
         for key in keys {
             let Some(session) = self.sessions.get(&key.session) else {
                 continue;
@@ -51,16 +52,16 @@
                 continue;
             };
             let tenant = session.identity.tenant().cloned();
-            let kind = (request.need.is_leader_only(), key.priority, tenant);
-            if hopeless.contains(&kind) {
+            let kind = (request.kind.requires_leader(), key.priority, tenant);
+            if unservable.contains(&kind) {
                 continue;
             }
             self.attempt_with(now, key.session, opening);
             if self
                 .waiting_request(key.session)
-                .is_some_and(|request| request.waits_for == WaitReason::NoConnection)
+                .is_some_and(|request| request.wait_reason == WaitReason::NoConnection)
             {
-                hopeless.insert(kind);
+                unservable.insert(kind);
             }
         }
     }
@@ -70,13 +71,13 @@
         (request.stage == Stage::Waiting).then_some(request)
     }
 
-    /// Sends a waiting request, if a back end and a connection can be had.
+    /// Sends a waiting request if a back end and a connection are available.
     pub(crate) fn attempt(&mut self, now: Time, id: SessionId) {
         self.attempt_with(now, id, Opening::Allowed);
     }
 
     fn attempt_with(&mut self, now: Time, id: SessionId, opening: Opening) {
-        // Taken out while the choice looks at the rest of the engine.
+        // The session is removed temporarily because the selection borrows the rest of the engine.
         let Some(session) = self.sessions.remove(&id) else {
             return;
         };
@@ -93,7 +94,7 @@
                 self.prepare(now, id, connection, floor);
             }
             Some(Choice::Wait(reason)) => self.enter_queue(now, id, reason),
-            Some(Choice::Exhausted) => self.exhausted(now, id),
+            Some(Choice::Exhausted) => self.no_backend_left(now, id),
             Some(Choice::Refuse(code, retry_after)) => {
                 self.leave_queue(id);
                 self.refuse_unless_sent(now, id, code, retry_after);
@@ -102,18 +103,18 @@
         }
     }
 
-    /// No back end is left to try; one that was tried may still answer.
-    fn exhausted(&mut self, now: Time, id: SessionId) {
+    /// No back end is left to try; one that was tried may still reply.
+    fn no_backend_left(&mut self, now: Time, id: SessionId) {
         let Some(request) = self.sessions.get_mut(&id).and_then(|s| s.request.as_mut()) else {
             return;
         };
         match request.unanswered.first() {
             Some(connection) => request.stage = Stage::Sent(*connection),
-            None => self.give_up(now, id),
+            None => self.refuse_unsent(now, id),
         }
     }
 
-    /// It can't be served; a back end that it was sent to may still answer.
+    /// Refuses a request that can't be served, unless a back end it was sent to may still reply.
     fn refuse_unless_sent(
         &mut self,
         now: Time,
@@ -135,7 +136,7 @@
         let Some(request) = self.sessions.get_mut(&id).and_then(|s| s.request.as_mut()) else {
             return;
         };
-        request.waits_for = reason;
+        request.wait_reason = reason;
         let key = WaitingKey::of(id, request);
         let is_over = now >= request.hold_ends;
         let queue = self
@@ -144,7 +145,7 @@
             .or_default();
         let is_full = queue.len() >= limit && !queue.contains(&key);
         if is_over || is_full {
-            self.exhausted(now, id);
+            self.no_backend_left(now, id);
         } else {
             queue.insert(key);
         }
@@ -161,5 +162,5 @@
     }
 }
 
-/// Rounds of looking at waiting requests within one event; what changes after them waits for the next.
-const MOST_ROUNDS: usize = 4;
+/// Maximum rounds over waiting requests within one event; further changes are served in the next event.
+const MAX_ROUNDS: usize = 4;
--- a/crates/stairward-engine/src/warm_up.rs
+++ b/crates/stairward-engine/src/warm_up.rs
@@ -1,8 +1,8 @@
-//! Warm-up of cold back ends: one that has just started gets few requests from all nodes together.
+//! Warm-up of cold back ends: a back end that has just started gets few requests from all nodes together.
 //!
-//! Load pattern: a fleet of hundreds turns to a leader that was just started, in one wave. Only the first holder of the
-//! service sends there, and it spends half of the bound, so that two nodes which both take themselves for the first
-//! holder stay within it together.
+//! Without a limit, a fleet of hundreds of nodes would turn to a newly started leader in one wave. Therefore
+//! only the first-ranked holder of the service sends to its cold back ends, and it uses half of the limit, so
+//! that two nodes which both consider themselves first-ranked stay within it together.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -13,31 +13,32 @@
 use crate::engine::Engine;
 use crate::event::Effect;
 use crate::identifiers::{ConnectionId, SessionId};
-use crate::session::{Need, Request, Stage, WaitReason};
+use crate::session::{Request, RequestKind, Stage, WaitReason};
 use crate::timers::Timer;
 
-/// The span in which requests to a cold back end are counted.
+/// Period over which requests to a cold back end are counted.
 const WINDOW: Duration = Duration::from_secs(1);
-/// Requests of one second may arrive in a shorter one where the way's delay varies: so much longer is counted.
-const WINDOW_SLACK: Duration = Duration::from_millis(250);
-/// Nodes that may take themselves for the first holder at the same time while views differ.
-const SENDERS: f64 = 2.0;
-/// A node sends nothing to a cold back end in the first part of its life: an earlier life may have sent something
-/// a moment ago, and its view of the others is not complete.
-const SETTLING: Duration = Duration::from_secs(1);
-/// A node that sees less than this share of the nodes that it saw lately, in percent, may be cut off from them.
-const SEEN_PERCENT: u32 = 51;
+/// Requests sent within one second may arrive in a shorter period if the network delay varies; the counted
+/// period is longer by this margin.
+const WINDOW_MARGIN: Duration = Duration::from_millis(250);
+/// Number of nodes that may consider themselves first-ranked at the same time while their views differ.
+const CONCURRENT_SENDERS: f64 = 2.0;
+/// A node sends nothing to a cold back end for this long after its start: its previous process may have sent
+/// requests a moment ago, and its view of the other nodes is incomplete.
+const STARTUP_DELAY: Duration = Duration::from_secs(1);
+/// A node that sees less than this percentage of the nodes that it saw recently may be partitioned from them.
+const MIN_VISIBLE_PERCENT: u32 = 51;
 
-/// When a client should come back whose statement met a node that is not the one to send it: views differ for about
-/// as long.
-const RETRY_NOT_FIRST: Duration = Duration::from_millis(300);
+/// Retry delay for clients whose statement reached a node that is not the sender. Views differ for about as
+/// long.
+const RETRY_NOT_SENDER: Duration = Duration::from_millis(300);
 
-/// How many requests cold back ends may get, beside their service's rate.
+/// How far requests to cold back ends may exceed their service's rate.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ColdBound {
-    /// What the service's rate is multiplied by.
+    /// Factor applied to the service's rate.
     pub excess: f64,
-    /// Requests a second more.
+    /// Requests per second added to the result.
     pub slack: f64,
 }
 
@@ -51,14 +52,14 @@
 }
 
 impl ColdBound {
-    /// The requests that one node may send to a cold back end in a second; at least 1.
+    /// The requests per second that one node may send to a cold back end; at least 1.
     fn share(self, rate_thousandths: u64) -> usize {
         #[allow(
             clippy::cast_precision_loss,
             reason = "rates are far below 2^53 thousandths; above, the error is one in 2^53"
         )]
         let rate = rate_thousandths as f64 / 1_000.0;
-        let share = ((rate * self.excess + self.slack) / SENDERS)
+        let share = ((rate * self.excess + self.slack) / CONCURRENT_SENDERS)
             .floor()
             .max(1.0);
         #[allow(
@@ -71,20 +72,21 @@
     }
 }
 
-/// What was sent to a cold back end lately.
+/// Warm-up state of a back end and the recent requests to it.
 #[derive(Debug, Default)]
 pub(crate) struct WarmUp {
-    /// Until when it is cold; none where it is warm.
+    /// When it becomes warm; none if it is warm.
     until: Option<Time>,
-    /// What its entry last said of that, so that only news counts.
-    told: Duration,
+    /// The remaining warm-up time in its last description; only a changed value restarts the period.
+    last_reported: Duration,
     sent_at: VecDeque<Time>,
 }
 
 impl WarmUp {
-    /// Takes in what a back end's entry says, heard now. `is_new` says that the entry was not there before.
-    pub fn note(&mut self, now: Time, left: Duration, is_new: bool) {
-        let has_changed = std::mem::replace(&mut self.told, left) != left;
+    /// Applies the remaining warm-up time from a description received at `now`. `is_new` tells whether the
+    /// back end was unlisted before.
+    pub fn update(&mut self, now: Time, left: Duration, is_new: bool) {
+        let has_changed = std::mem::replace(&mut self.last_reported, left) != left;
         if left > Duration::ZERO && (has_changed || is_new) {
             self.until = Some(now + left);
         }
@@ -101,16 +103,16 @@
         self.until.is_some_and(|until| now < until)
     }
 
-    /// A request was sent.
     pub fn sent(&mut self, now: Time) {
         if self.is_cold(now) {
             self.sent_at.push_back(now);
         }
     }
 
-    /// When another request may be sent, if `share` may be in any window; now or earlier where one may be at once.
-    fn room_at(&mut self, now: Time, share: usize) -> Time {
-        let span = WINDOW + WINDOW_SLACK;
+    /// When another request may be sent if any window may contain `share` requests; `now` or earlier if at
+    /// once.
+    fn next_send_at(&mut self, now: Time, share: usize) -> Time {
+        let span = WINDOW + WINDOW_MARGIN;
         while self.sent_at.front().is_some_and(|at| *at + span <= now) {
             self.sent_at.pop_front();
         }
@@ -122,17 +124,17 @@
 }
 
 impl Engine {
-    /// Takes in what a back end's entry says of its warm-up.
-    pub(crate) fn note_cold(&mut self, now: Time, id: &BackendId, is_new: bool) {
+    /// Updates a back end's warm-up state from its description.
+    pub(crate) fn update_warm_up(&mut self, now: Time, id: &BackendId, is_new: bool) {
         let Some(backend) = self.backends.get_mut(id) else {
             return;
         };
         let was_cold = backend.warm_up.is_cold(now);
         let left = backend.description.cold_left;
-        backend.warm_up.note(now, left, is_new);
+        backend.warm_up.update(now, left, is_new);
         let until = backend.warm_up.until().filter(|until| now < *until);
         if let Some(until) = until {
-            self.timers.set(until, Timer::Warm(id.clone()));
+            self.timers.set(until, Timer::WarmUpCheck(id.clone()));
         }
         if was_cold != until.is_some() {
             self.effects.push(Effect::WarmUpObserved {
@@ -142,8 +144,8 @@
         }
     }
 
-    /// A cold back end's time may be over.
-    pub(crate) fn warm_up_due(&mut self, now: Time, id: &BackendId) {
+    /// Reports a back end as warm if its warm-up time has passed.
+    pub(crate) fn warm_up_check_due(&mut self, now: Time, id: &BackendId) {
         let Some(backend) = self.backends.get(id) else {
             return;
         };
@@ -157,7 +159,7 @@
         });
     }
 
-    /// Whether a back end is cold, and its service tells how much it may get meanwhile.
+    /// Whether a back end is cold and its service limits the rate to cold back ends.
     #[must_use]
     pub fn is_cold(&self, now: Time, id: &BackendId) -> bool {
         let backend = self.backends.get(id);
@@ -171,13 +173,13 @@
         limits.cold_rate_thousandths
     }
 
-    /// When this node may send another request to a back end. None where another node is to send it.
-    pub(crate) fn room_at(&mut self, now: Time, id: &BackendId) -> Option<Time> {
+    /// When this node may send another request to a back end; none if another node is the sender.
+    pub(crate) fn next_send_at(&mut self, now: Time, id: &BackendId) -> Option<Time> {
         if !self.is_cold(now, id) {
             return Some(now);
         }
         let service = self.backends.get(id)?.description.service.clone();
-        if !self.may_warm_up(now, &service) {
+        if !self.may_send_to_cold(now, &service) {
             return None;
         }
         let share = self
@@ -185,27 +187,27 @@
             .cold_bound
             .share(self.cold_rate(&service).unwrap_or_default());
         let backend = self.backends.get_mut(id)?;
-        Some(backend.warm_up.room_at(now, share))
+        Some(backend.warm_up.next_send_at(now, share))
     }
 
     /// Whether this node is the one that sends to a service's cold back ends.
-    fn may_warm_up(&self, now: Time, service: &ServiceName) -> bool {
-        // Where nobody was named yet, this node is one that knows of no other.
+    fn may_send_to_cold(&self, now: Time, service: &ServiceName) -> bool {
+        // No holder is named until another node is known.
         let first = self.holders.first(service);
         let is_first = first.is_none_or(|first| first == self.options.limits.node);
-        let is_settled = now >= self.options.limits.started + SETTLING;
-        let seen = u64::from(self.nodes.newest()) * 100;
-        let needed = u64::from(self.nodes.most_seen()) * u64::from(SEEN_PERCENT);
+        let is_settled = now >= self.options.limits.started + STARTUP_DELAY;
+        let seen = u64::from(self.nodes.latest()) * 100;
+        let needed = u64::from(self.nodes.max_observed()) * u64::from(MIN_VISIBLE_PERCENT);
         is_first && is_settled && self.nodes.is_known() && seen >= needed
     }
 
     /// Whether only cold back ends of its service can take a request.
-    pub(crate) fn needs_cold(&self, now: Time, request: &Request) -> bool {
+    pub(crate) fn needs_cold_backend(&self, now: Time, request: &Request) -> bool {
         let service = &request.route.service;
         if self.cold_rate(service).is_none() {
             return false;
         }
-        if request.need.is_leader_only() {
+        if request.kind.requires_leader() {
             let leader = self.leader(now, service);
             return leader.is_some_and(|leader| self.is_cold(now, &leader));
         }
@@ -214,15 +216,15 @@
         };
         let mut usable = group.members.iter().filter(|id| {
             let backend = self.backends.get(*id);
-            backend.is_some_and(|backend| backend.may_be_used(now))
+            backend.is_some_and(|backend| backend.is_usable(now))
         });
         let is_any_usable = usable.clone().next().is_some();
         is_any_usable && usable.all(|id| self.is_cold(now, id))
     }
 
-    /// Whether a request may be sent to a back end now, as far as its warm-up is concerned; what becomes of the
-    /// request otherwise.
-    pub(crate) fn check_room(
+    /// Checks whether the warm-up limit allows a request to a back end now; the error tells what to do with
+    /// the request otherwise.
+    pub(crate) fn check_cold_limit(
         &mut self,
         now: Time,
         id: &BackendId,
@@ -232,32 +234,40 @@
             return Ok(());
         }
         let service = request.route.service.clone();
-        if request.need == Need::LeaderTransaction || request.need == Need::FreshTransaction {
-            // Its later statements could not be held back.
-            let retry_after = self.cold_retry(now, &service);
+        if request.kind == RequestKind::LeaderTransaction
+            || request.kind == RequestKind::FreshTransaction
+        {
+            // The later statements of a transaction could not be delayed.
+            let retry_after = self.cold_retry_after(now, &service);
             return Err(Choice::Refuse(ResultCode::Overloaded, retry_after));
         }
-        match self.room_at(now, id) {
-            None => Err(Choice::Refuse(ResultCode::NotOwner, Some(RETRY_NOT_FIRST))),
+        match self.next_send_at(now, id) {
+            None => Err(Choice::Refuse(ResultCode::NotOwner, Some(RETRY_NOT_SENDER))),
             Some(at) if at > now => {
-                self.timers.set(at, Timer::TryWaiting(service));
+                self.timers.set(at, Timer::RetryWaiting(service));
                 Err(Choice::Wait(WaitReason::Cold))
             }
             Some(_) => Ok(()),
         }
     }
 
-    /// Whether a request may be sent on a connection now that it is set up: others may have taken the room meanwhile.
-    pub(crate) fn has_room_on(&mut self, now: Time, connection: ConnectionId) -> bool {
+    /// Whether a request may be sent now that its connection is set up: other requests may have used up the
+    /// limit since.
+    pub(crate) fn may_send_on(&mut self, now: Time, connection: ConnectionId) -> bool {
         let connection = self.connections.get(&connection);
         let Some(backend) = connection.map(|connection| connection.backend.clone()) else {
             return true;
         };
-        self.room_at(now, &backend).is_some_and(|at| at <= now)
+        self.next_send_at(now, &backend).is_some_and(|at| at <= now)
     }
 
-    /// Puts a request back that found no room when its connection was set up.
-    pub(crate) fn wait_for_room(&mut self, now: Time, id: SessionId, connection: ConnectionId) {
+    /// Returns a request to the queue if the limit was used up while its connection was set up.
+    pub(crate) fn wait_for_cold_limit(
+        &mut self,
+        now: Time,
+        id: SessionId,
+        connection: ConnectionId,
+    ) {
         self.free_connection(now, connection);
         let Some(request) = self.sessions.get_mut(&id).and_then(|s| s.request.as_mut()) else {
             return;
@@ -269,8 +279,8 @@
         }
     }
 
-    /// Leaves cold copies out where a warm one can take a read. Where none can, those remain that have room.
-    pub(crate) fn leave_out_cold(
+    /// Removes cold back ends if a warm one can answer a read. Otherwise keeps those that the limit allows.
+    pub(crate) fn filter_cold(
         &mut self,
         now: Time,
         candidates: &mut Vec<BackendId>,
@@ -289,7 +299,7 @@
             return Ok(());
         }
         let mut last = Choice::Wait(WaitReason::Cold);
-        candidates.retain(|id| match self.check_room(now, id, request) {
+        candidates.retain(|id| match self.check_cold_limit(now, id, request) {
             Ok(()) => true,
             Err(choice) => {
                 last = choice;
@@ -303,8 +313,12 @@
         }
     }
 
-    /// How long a client should stay away from a cold back end that has no room for it.
-    pub(crate) fn cold_retry(&mut self, now: Time, service: &ServiceName) -> Option<Duration> {
+    /// Retry delay for a client that was refused by the limit of a cold back end.
+    pub(crate) fn cold_retry_after(
+        &mut self,
+        now: Time,
+        service: &ServiceName,
+    ) -> Option<Duration> {
         let members = self.groups.get(service)?.members.clone();
         let cold = members.iter().filter(|id| self.is_cold(now, id));
         let ends = cold.filter_map(|id| self.backends.get(id)?.warm_up.until());
--- a/crates/stairward-engine/src/withholding.rs
+++ b/crates/stairward-engine/src/withholding.rs
@@ -1,5 +1,5 @@
-//! Withholding what a leader answers until its lead is confirmed: it is passed on once it is, and ends with its
-//! outcome unknown, or goes elsewhere, once another is known to lead.
+//! Withholds a leader's replies until its leadership is confirmed. A confirmed reply is passed on. Once
+//! another member is known to lead, the request ends with an unknown outcome or is retried.
 
 use stairward_types::{BackendId, ResultCode, ServiceName, Time};
 
@@ -7,10 +7,10 @@
 use crate::engine::Engine;
 use crate::identifiers::ConnectionId;
 use crate::reply::BackendReply;
-use crate::session::Need;
+use crate::session::RequestKind;
 
 impl Engine {
-    /// Whether an answer to a command must wait until the lead of the one that gave it is confirmed.
+    /// Whether a reply must wait until its sender's leadership is confirmed.
     fn must_withhold(
         &self,
         now: Time,
@@ -26,21 +26,21 @@
             Step::Statement => self.is_commit(id),
             _ => false,
         };
-        let has_user = connection.user != Some(User::Nobody);
+        let has_user = connection.user != Some(User::Abandoned);
         is_proof
             && has_user
             && reply.result.is_ok()
-            && !self.is_lead_confirmed(now, &connection.service, &connection.backend)
+            && !self.is_leadership_confirmed(now, &connection.service, &connection.backend)
     }
 
-    /// Whether the statement on a connection, if it succeeds, keeps a write.
+    /// Whether the statement on a connection commits a write if it succeeds.
     fn is_commit(&self, id: ConnectionId) -> bool {
         let Some((session, request)) = self.request_on(id) else {
             return false;
         };
-        match request.need {
-            Need::Write => true,
-            Need::Commit => self
+        match request.kind {
+            RequestKind::Write => true,
+            RequestKind::Commit => self
                 .sessions
                 .get(&session)
                 .is_some_and(|session| session.has_written()),
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Withholds an answer that can't be believed yet; gives it back when it can.
+    /// Withholds a reply that can't be trusted yet; returns it if it can.
     pub(crate) fn withhold(
         &mut self,
         now: Time,
@@ -62,8 +62,8 @@
         let connection = self.connections.get_mut(&id)?;
         let (service, leader) = (connection.service.clone(), connection.backend.clone());
         connection.withheld = Some((sent, reply));
-        self.keep_lead_confirmed(now, &service, &leader);
-        self.ask_again_soon(now, &service);
+        self.renew_leadership_confirmation(now, &service, &leader);
+        self.schedule_query_retry(now, &service);
         None
     }
 
@@ -80,28 +80,28 @@
         connections.filter(is_withholding).collect()
     }
 
-    /// Lets go of withheld answers whose leader is confirmed, and ends those whose leader was replaced.
-    pub(crate) fn review_withheld(&mut self, now: Time, service: &ServiceName) {
+    /// Releases withheld replies of confirmed leaders, and ends those of replaced leaders.
+    pub(crate) fn recheck_withheld(&mut self, now: Time, service: &ServiceName) {
         for id in self.withheld(service) {
             let Some(connection) = self.connections.get_mut(&id) else {
                 continue;
             };
             let leader = connection.backend.clone();
-            let is_abandoned = connection.user == Some(User::Nobody);
-            if is_abandoned || self.is_lead_confirmed(now, service, &leader) {
+            let is_abandoned = connection.user == Some(User::Abandoned);
+            if is_abandoned || self.is_leadership_confirmed(now, service, &leader) {
                 let connection = self.connections.get_mut(&id);
                 let withheld = connection.and_then(|connection| connection.withheld.take());
                 if let Some((sent, reply)) = withheld {
-                    self.believe_reply(now, id, sent, reply);
+                    self.process_reply(now, id, sent, reply);
                 }
-            } else if self.is_replaced(service, &leader) {
-                self.disown(now, id);
+            } else if self.is_leader_replaced(service, &leader) {
+                self.reject_withheld(now, id);
             }
         }
     }
 
-    /// Whether a later term than a leader's has begun.
-    fn is_replaced(&self, service: &ServiceName, leader: &BackendId) -> bool {
+    /// Whether a later term than the leader's has begun.
+    fn is_leader_replaced(&self, service: &ServiceName, leader: &BackendId) -> bool {
         let (Some(group), Some(backend)) = (self.groups.get(service), self.backends.get(leader))
         else {
             return true;
@@ -109,12 +109,12 @@
         group.newest_term > backend.term
     }
 
-    /// The answer withheld on a connection is a replaced leader's: whether it is kept is not known.
-    fn disown(&mut self, now: Time, id: ConnectionId) {
+    /// Ends a request whose withheld reply came from a replaced leader: its outcome is unknown.
+    fn reject_withheld(&mut self, now: Time, id: ConnectionId) {
         if let Some((session, request)) = self.request_on(id) {
-            match request.need {
-                Need::Write => self.leave_unknown(now, session, ResultCode::FenceNotProved),
-                Need::Commit => self.lose_commit(now, session, ResultCode::FenceNotProved),
+            match request.kind {
+                RequestKind::Write => self.finish_unknown(now, session, ResultCode::FenceNotProved),
+                RequestKind::Commit => self.fail_commit(now, session, ResultCode::FenceNotProved),
                 _ => {}
             }
         }
--- a/crates/stairward-engine/tests/residency.rs
+++ b/crates/stairward-engine/tests/residency.rs
@@ -51,7 +51,7 @@
     let mut world = World::new();
     world.prove(at(1, 5));
     world.sent.clear();
-    world.tell(Event::Configured(Arc::new(bound(2, residency))));
+    world.tell(Event::ConfigurationChanged(Arc::new(bound(2, residency))));
     world
 }
 
@@ -122,7 +122,7 @@
         tenants: Some(tenant(within(&[FAR_REGION]))),
         ..bound(3, &within(&[NEAR_REGION, FAR_REGION]))
     };
-    world.tell(Event::Configured(Arc::new(both)));
+    world.tell(Event::ConfigurationChanged(Arc::new(both)));
     let session = open_with_key(&mut world);
     world.say(session, StatementKind::Read);
     assert_eq!(world.sent[0].backend.as_str(), FAR_REPLICA);
@@ -135,7 +135,7 @@
         tenants: Some(tenant(within(&[FAR_REGION]))),
         ..bound(3, &within(&[NEAR_REGION]))
     };
-    world.tell(Event::Configured(Arc::new(apart)));
+    world.tell(Event::ConfigurationChanged(Arc::new(apart)));
     let session = open_with_key(&mut world);
     world.say(session, StatementKind::Read);
     let refused = world.response().result;
@@ -166,14 +166,14 @@
     ])));
     let holders = vec![NEAR_HOLDER, FAR_HOLDER];
     let places = [(NEAR_HOLDER, true, "zone-a"), (FAR_HOLDER, false, "zone-b")];
-    let places = places.map(|(node, is_near, zone)| Holder {
+    let places = places.map(|(node, is_same_region, zone)| Holder {
         node,
-        is_near,
+        is_same_region,
         zone: ZoneName::new(zone).unwrap(),
     });
     world.tell(held_by(ServiceHolders {
-        places: places.to_vec(),
-        elsewhere: holders,
+        holders: places.to_vec(),
+        forward_targets: holders,
         ..ServiceHolders::default()
     }));
     world.sent.clear();
@@ -254,12 +254,12 @@
         .with_type::<(u8, u8)>()
         .for_each(|(first, second)| {
             let (first, second) = (drawn(*first), drawn(*second));
-            let both = first.and(&second);
+            let both = first.intersection(&second);
             for name in ["a", "b", "c"] {
                 let region = region(name);
                 let expected = first.allows(Some(&region)) && second.allows(Some(&region));
                 assert_eq!(both.allows(Some(&region)), expected, "{first:?} {second:?}");
             }
-            assert_eq!(both, second.and(&first));
+            assert_eq!(both, second.intersection(&first));
         });
 }
--- a/crates/stairward-engine/tests/support/mod.rs
+++ b/crates/stairward-engine/tests/support/mod.rs
@@ -9,11 +9,11 @@
 use std::time::Duration;
 
 use stairward_engine::{
-    BackendCommand, BackendDescription, BackendError, BackendErrorCode, BackendReply, ConnectionId,
-    Consistency, Effect, Engine, EngineOptions, Event, Evidence, Forwarded, LeadChange,
-    LeavingChange, OpenFailure, OpenTarget, Residency, Response, ResponseResult, Route,
-    RoutingTable, ServiceHolders, ServiceLimits, SessionId, Statement, StatementKind,
-    TransactionStatus, ZoneDistance,
+    BackendCommand, BackendDescription, BackendError, BackendErrorCode, BackendEvidence,
+    BackendReply, ConnectionId, Consistency, Effect, Engine, EngineOptions, Event,
+    ForwardedRequest, LeadershipChange, LeavingChange, OpenFailure, OpenTarget, Residency,
+    Response, ResponseResult, Route, RoutingTable, ServiceHolders, ServiceLimits, SessionId,
+    Statement, StatementKind, TransactionStatus, ZoneDistance,
 };
 use stairward_types::{
     BackendId, BackendRole, Freshness, GroupId, LogPosition, NodeId, RegionName, ResultCode,
@@ -126,7 +126,7 @@
 
 /// Discovery's list, of which all that is new has just come about.
 pub fn listed(list: Vec<BackendDescription>) -> Event {
-    Event::Backends {
+    Event::BackendsListed {
         list,
         since: Some(Time::NEVER),
     }
@@ -140,14 +140,14 @@
 /// Only these nodes hold the service's connections, nearest first.
 pub fn held_elsewhere(nodes: &[NodeId]) -> Event {
     held_by(ServiceHolders {
-        elsewhere: nodes.to_vec(),
+        forward_targets: nodes.to_vec(),
         ..ServiceHolders::default()
     })
 }
 
 /// The evacuated zones, of which all that is new has just come about.
 pub fn evacuated(zones: BTreeSet<ZoneName>) -> Event {
-    Event::Evacuated {
+    Event::EvacuatedZonesChanged {
         zones,
         since: Some(Time::NEVER),
     }
@@ -185,15 +185,15 @@
     pub closed_sessions: Vec<SessionId>,
     pub closed_connections: Vec<ConnectionId>,
     pub opened: Vec<(ConnectionId, BackendId)>,
-    pub forwarded: Vec<(NodeId, SessionId, u64, Forwarded)>,
+    pub forwarded: Vec<(NodeId, SessionId, u64, ForwardedRequest)>,
     pub asked_peers: Vec<ServiceName>,
     pub asked_holders: Vec<NodeId>,
     pub asked_leads: Vec<(NodeId, ServiceName)>,
-    pub lead_changes: Vec<LeadChange>,
+    pub lead_changes: Vec<LeadershipChange>,
     pub leaving: Vec<LeavingChange>,
     pub starts: Vec<BackendId>,
     pub closed_forwarded: Vec<(NodeId, SessionId)>,
-    pub observed: Vec<(BackendId, Evidence)>,
+    pub observed: Vec<(BackendId, BackendEvidence)>,
     pub is_stopped: bool,
     connections: BTreeMap<ConnectionId, BackendId>,
     /// What each connection was opened to.
@@ -249,9 +249,9 @@
     /// An engine with a configuration, three back ends and a connection to each.
     pub fn new() -> Self {
         let mut world = Self::empty();
-        world.tell(Event::Configured(Arc::new(table(1))));
+        world.tell(Event::ConfigurationChanged(Arc::new(table(1))));
         world.tell(listed(usual_backends()));
-        world.tell(Event::Nodes(1));
+        world.tell(Event::NodeCountChanged(1));
         world
     }
 
@@ -287,27 +287,31 @@
                     self.sent.retain(|sent| sent.connection != connection);
                 }
                 Effect::Stopped => self.is_stopped = true,
-                Effect::Observed { backend, evidence } => self.observed.push((backend, evidence)),
+                Effect::BackendObserved { backend, evidence } => {
+                    self.observed.push((backend, evidence))
+                }
                 Effect::Forward {
                     holder,
                     session,
                     request,
                     forwarded,
                 } => self.forwarded.push((holder, session, request, forwarded)),
-                Effect::CloseForwarded { holder, session } => {
+                Effect::CloseForwardedSession { holder, session } => {
                     self.closed_forwarded.push((holder, session));
                 }
-                Effect::AskHolder { holder } => self.asked_holders.push(holder),
-                Effect::AskPosition { service } => self.asked_peers.push(service),
-                Effect::AskLead { holder, service } => self.asked_leads.push((holder, service)),
-                Effect::LeadObserved { change, .. } => self.lead_changes.push(change),
+                Effect::PingHolder { holder } => self.asked_holders.push(holder),
+                Effect::QueryPosition { service } => self.asked_peers.push(service),
+                Effect::QueryLeadership { holder, service } => {
+                    self.asked_leads.push((holder, service))
+                }
+                Effect::LeadershipObserved { change, .. } => self.lead_changes.push(change),
                 Effect::LeavingObserved { change, .. } => self.leaving.push(change),
-                Effect::StartObserved { backend } => self.starts.push(backend),
+                Effect::RestartObserved { backend } => self.starts.push(backend),
                 Effect::AcceptSession { session } => self.accepted_sessions.push(session),
-                Effect::AskLimit(..)
-                | Effect::RecordFleet(_)
+                Effect::RequestLimitGrant(..)
+                | Effect::RecordFleetSize(_)
                 | Effect::CoordinatorChanged { .. }
-                | Effect::HolderObserved { .. }
+                | Effect::HolderLivenessChanged { .. }
                 | Effect::EvacuationObserved { .. }
                 | Effect::WarmUpObserved { .. }
                 | Effect::Record(_)
@@ -435,7 +439,7 @@
         text: format!("{kind:?}"),
         kind,
     };
-    let forwarded = Forwarded {
+    let forwarded = ForwardedRequest {
         database: GroupId::new(database).unwrap(),
         revision: Revision(1),
         tenant,
@@ -446,7 +450,7 @@
         statement,
         time_left: TIMEOUT,
     };
-    Event::Forwarded {
+    Event::ForwardedRequest {
         session: SessionId(900),
         forwarded: Box::new(forwarded),
     }
--- a/crates/stairward-runtime/src/log.rs
+++ b/crates/stairward-runtime/src/log.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use stairward_engine::{
-    Decision, EngineStatistics, LeadChange, LeavingChange, RequestRecord, SessionId,
+    Decision, EngineStatistics, LeadershipChange, LeavingChange, RequestRecord, SessionId,
 };
 use stairward_failover::{FailoverStep, MemberCallResult, Via};
 use stairward_limits::Shard;
@@ -31,7 +31,7 @@
 pub(crate) struct LeadLine<'a> {
     pub service: &'a ServiceName,
     pub leader: &'a BackendId,
-    pub change: LeadChange,
+    pub change: LeadershipChange,
     pub term: Term,
     pub awaited: Option<Term>,
     pub age: Option<Duration>,
@@ -140,25 +140,25 @@
     /// What is known of a back end that leaves.
     pub fn leaving(&self, now: Time, backend: &BackendId, change: LeavingChange) {
         let event = match change {
-            LeavingChange::Began { .. } => LogEvent::BackendLeaving,
-            LeavingChange::Over { .. } => LogEvent::BackendLeft,
-            LeavingChange::TakenBack => LogEvent::BackendStays,
+            LeavingChange::Started { .. } => LogEvent::BackendLeaving,
+            LeavingChange::Expired { .. } => LogEvent::BackendLeft,
+            LeavingChange::Cancelled => LogEvent::BackendStays,
         };
         let Some(left_out) = self.admit(now, event) else {
             return;
         };
         let (number, name, backend) = (event.number(), event.name(), backend.as_str());
         match change {
-            LeavingChange::Began { age, used_for } => {
+            LeavingChange::Started { age, used_for } => {
                 let age_ms = age.map(|age| age.as_millis());
                 let used_for_ms = used_for.as_millis();
                 tracing::info!(event = number, name, backend, age_ms, used_for_ms, left_out);
             }
-            LeavingChange::Over { sent, last_after } => {
+            LeavingChange::Expired { sent, last_after } => {
                 let last_after_ms = last_after.as_millis();
                 tracing::info!(event = number, name, backend, sent, last_after_ms, left_out);
             }
-            LeavingChange::TakenBack => {
+            LeavingChange::Cancelled => {
                 tracing::info!(event = number, name, backend, left_out);
             }
         }
@@ -264,9 +264,9 @@
     /// A change of what is believed of a service's lead.
     pub fn lead(&self, now: Time, lead: &LeadLine<'_>) {
         let event = match lead.change {
-            LeadChange::Confirmed => LogEvent::LeadConfirmed,
-            LeadChange::Revoked => LogEvent::LeadRevoked,
-            LeadChange::Lapsed => LogEvent::LeaseLapsed,
+            LeadershipChange::Confirmed => LogEvent::LeadConfirmed,
+            LeadershipChange::Revoked => LogEvent::LeadRevoked,
+            LeadershipChange::Lapsed => LogEvent::LeaseLapsed,
         };
         if let Some(left_out) = self.admit(now, event) {
             tracing::info!(
--- a/crates/stairward-runtime/src/neighbours.rs
+++ b/crates/stairward-runtime/src/neighbours.rs
@@ -7,7 +7,7 @@
 
 use bytes::BytesMut;
 use rand::seq::IndexedRandom as _;
-use stairward_engine::{Event, Forwarded, Response, SessionId};
+use stairward_engine::{Event, ForwardedRequest, Response, SessionId};
 use stairward_membership::PeerClock;
 use stairward_protocol::neighbour::{ForwardedStatement, LimitAsk, NeighbourMessage};
 use stairward_protocol::{OptionalFreshness, Text};
@@ -159,7 +159,7 @@
             }
             NeighbourMessage::SettleLead { service } => {
                 if let Ok(service) = ServiceName::new(service.as_str()) {
-                    self.handle(Event::LeadSettled(service));
+                    self.handle(Event::PromotionEnded(service));
                 }
                 None
             }
@@ -207,7 +207,7 @@
             return false;
         };
         let session = self.guest(link, outgoing, message.session, message.request);
-        self.handle(Event::Forwarded {
+        self.handle(Event::ForwardedRequest {
             session,
             forwarded: Box::new(forwarded),
         });
@@ -280,7 +280,7 @@
         holder: NodeId,
         session: SessionId,
         request: u64,
-        forwarded: Forwarded,
+        forwarded: ForwardedRequest,
     ) {
         if let Some(message) = statement_message(session.0, request, forwarded) {
             self.tell_neighbour(holder, &NeighbourMessage::Forward(message));
@@ -367,9 +367,9 @@
                     age_microseconds,
                 } => {
                     if let Ok(service) = ServiceName::new(service.as_str()) {
-                        self.handle(Event::PeerLead {
+                        self.handle(Event::PeerLeadership {
                             service,
-                            possible: Term(possible_term),
+                            possible_term: Term(possible_term),
                             asked_at: Time(asked_at_microseconds),
                             age: Duration::from_micros(age_microseconds),
                         });
@@ -381,7 +381,7 @@
                     };
                     self.handle(Event::LimitGranted(holder, grant));
                 }
-                NeighbourMessage::Alive => self.handle(Event::HolderHeard(holder)),
+                NeighbourMessage::Alive => self.handle(Event::HolderAlive(holder)),
                 NeighbourMessage::Clock {
                     asked_at_microseconds,
                     told_at_microseconds,
@@ -448,7 +448,7 @@
         asked_at_microseconds: u64,
     ) -> Option<NeighbourMessage> {
         let name = ServiceName::new(service.as_str()).ok()?;
-        self.handle(Event::LeadAsked(name.clone()));
+        self.handle(Event::LeadershipQueried(name.clone()));
         let (possible, age) = self.known_lead(&name)?;
         Some(NeighbourMessage::Lead {
             service,
--- a/crates/stairward-runtime/src/node.rs
+++ b/crates/stairward-runtime/src/node.rs
@@ -8,8 +8,9 @@
 
 use bytes::BytesMut;
 use stairward_engine::{
-    ConnectionId, DiscoveryChange, Effect, Engine, EngineOptions, EngineStatistics, Event,
-    Evidence, LeadChange, LeavingChange, RoutingTable, SessionId, ZoneWork,
+    BackendEvidence,
+    ConnectionId, DiscoveryChange, Effect, Engine, EngineOptions, EngineStatistics, Event, LeadershipChange, LeavingChange, RoutingTable, SessionId,
+    ZoneActivity,
 };
 use stairward_failover::{
     FailoverController, FailoverOptions, LastKnownPrimaries, LeaderEvidence, RecordVersion,
@@ -174,7 +175,7 @@
         // Before the engine opens connections: other nodes may hold them.
         self.set_services(&table);
         *self.allowed_work.borrow_mut() = table.allowed_work(self.zone_regions.values());
-        self.handle(Event::Configured(Arc::new(table)));
+        self.handle(Event::ConfigurationChanged(Arc::new(table)));
         tracing::info!(
             event = LogEvent::ConfigurationApplied.number(),
             revision = revision.0,
@@ -190,7 +191,7 @@
             return;
         }
         self.evacuated.borrow_mut().clone_from(&zones);
-        self.handle(Event::Evacuated { zones, since });
+        self.handle(Event::EvacuatedZonesChanged { zones, since });
         self.tell_duty_of_groups();
     }
 
@@ -206,7 +207,7 @@
     /// The number of nodes on record, as the store shows it; 0 where it shows no record.
     pub fn learn_fleet_size(self: &Rc<Self>, version: RecordVersion, nodes: u32) {
         self.fleet_version.set(version);
-        self.handle(Event::FleetRecorded(nodes));
+        self.handle(Event::FleetSizeRecorded(nodes));
     }
 
     fn record_fleet(self: &Rc<Self>, nodes: u32) {
@@ -229,7 +230,7 @@
 
     /// How many nodes share the back ends.
     pub(crate) fn set_nodes(self: &Rc<Self>, nodes: u32) {
-        self.handle(Event::Nodes(nodes));
+        self.handle(Event::NodeCountChanged(nodes));
         self.tell_duty(stairward_failover::Event::NodeCount(nodes));
     }
 
@@ -270,7 +271,7 @@
     /// What is known of a service's lead: the newest term that may have begun, and the age of that.
     pub(crate) fn known_lead(&self, service: &ServiceName) -> Option<(Term, Duration)> {
         let now = self.now();
-        self.engine.borrow().known_lead(now, service)
+        self.engine.borrow().known_leadership(now, service)
     }
 
     /// The newest term of a service that was seen in any answer.
@@ -358,11 +359,12 @@
                 request,
                 forwarded,
             } => self.forward(holder, session, request, forwarded),
-            Effect::AskHolder { holder } => {
+            Effect::PingHolder { holder } => {
                 self.tell_neighbour(holder, &NeighbourMessage::AskAlive);
             }
-            Effect::HolderObserved { holder, is_silent } => self.log.holder(now, holder, is_silent),
-            Effect::LeadObserved {
+            Effect::HolderLivenessChanged { holder, is_silent } => { self.log.holder(now, holder, is_silent)
+            }
+            Effect::LeadershipObserved {
                 service,
                 leader,
                 change,
@@ -379,17 +381,17 @@
                     age,
                 };
                 self.log.lead(now, &lead);
-                let is_revoked = change == LeadChange::Revoked;
+                let is_revoked = change == LeadershipChange::Revoked;
                 self.tell_duty(stairward_failover::Event::LeadershipRevoked(
                     service, is_revoked,
                 ));
             }
-            Effect::AskLead { holder, service } => self.ask_lead(holder, &service),
-            Effect::AskLimit(node, ask) => {
+            Effect::QueryLeadership { holder, service } => self.ask_lead(holder, &service),
+            Effect::RequestLimitGrant(node, ask) => {
                 let message = ask_message(self.peer.node, ask);
                 self.tell_neighbour(node, &NeighbourMessage::AskLimit(message));
             }
-            Effect::RecordFleet(nodes) => self.record_fleet(nodes),
+            Effect::RecordFleetSize(nodes) => self.record_fleet(nodes),
             Effect::CoordinatorChanged {
                 shard,
                 silent,
@@ -397,8 +399,9 @@
             } => {
                 self.log.coordinator(now, shard, silent, coordinator);
             }
-            Effect::AskPosition { service } => self.ask_peers_for_position(&service),
-            Effect::CloseForwarded { holder, session } => self.close_forwarded(holder, session),
+            Effect::QueryPosition { service } => self.ask_peers_for_position(&service),
+            Effect::CloseForwardedSession { holder, session } => { self.close_forwarded(holder, session)
+            }
             Effect::RefuseSession { session, code } => {
                 self.log.session_refused(now, session, code);
                 W::encode_refusal(code, turn.to_sessions.entry(session).or_default());
@@ -426,17 +429,17 @@
                     outgoing.close();
                 }
             }
-            Effect::Observed { backend, evidence } => self.observed(now, backend, evidence),
+            Effect::BackendObserved { backend, evidence } => self.observed(now, backend, evidence),
             Effect::EvacuationObserved { zone, is_evacuated } => {
                 self.evacuation_observed(now, &zone, is_evacuated);
             }
             Effect::LeavingObserved { backend, change } => {
-                if let LeavingChange::Over { sent, .. } = change {
+                if let LeavingChange::Expired { sent, .. } = change {
                     figures::count_sent_to_leaving(sent);
                 }
                 self.log.leaving(now, &backend, change);
             }
-            Effect::StartObserved { backend } => {
+            Effect::RestartObserved { backend } => {
                 if let Some(backend) = self.discovered.borrow().get(&backend) {
                     figures::count_start(&backend.service);
                 }
@@ -522,18 +525,21 @@
         };
         self.log.evacuation(now, &line);
         if !is_evacuated {
-            figures::show_evacuated(zone, ZoneWork::default());
+            figures::show_evacuated(zone, ZoneActivity::default());
         }
     }
 
-    fn observed(self: &Rc<Self>, now: Time, backend: BackendId, evidence: Evidence) {
+    fn observed(self: &Rc<Self>, now: Time, backend: BackendId, evidence: BackendEvidence) {
         let (event, evidence) = match evidence {
-            Evidence::Answered => (LogEvent::BackendReachable, Some(LeaderEvidence::Answered)),
-            Evidence::Refused => (LogEvent::BackendUnreachable, Some(LeaderEvidence::Refused)),
-            Evidence::Silent => (LogEvent::BackendUnreachable, Some(LeaderEvidence::Silent)),
-            Evidence::NotLeader => (LogEvent::LeadershipDenied, None),
-            Evidence::LostLog => (LogEvent::LogLost, Some(LeaderEvidence::LostLog)),
-            Evidence::Full => (LogEvent::BackendFull, None),
+            BackendEvidence::Answered => { (LogEvent::BackendReachable, Some(LeaderEvidence::Answered))
+            }
+            BackendEvidence::Refused => { (LogEvent::BackendUnreachable, Some(LeaderEvidence::Refused))
+            }
+            BackendEvidence::Unresponsive => { (LogEvent::BackendUnreachable, Some(LeaderEvidence::Silent))
+            }
+            BackendEvidence::NotLeader => (LogEvent::LeadershipDenied, None),
+            BackendEvidence::LostLog => (LogEvent::LogLost, Some(LeaderEvidence::LostLog)),
+            BackendEvidence::ConnectionLimitReached => (LogEvent::BackendFull, None),
         };
         self.log.backend(now, event, backend.as_str());
         if let Some(evidence) = evidence {
--- a/crates/stairward-simulation/src/guests.rs
+++ b/crates/stairward-simulation/src/guests.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use rand::RngExt as _;
-use stairward_engine::{Event, Forwarded, HolderDemand, Response, SessionId};
+use stairward_engine::{Event, ForwardedRequest, HolderSizing, Response, SessionId};
 use stairward_types::NodeId;
 
 use crate::world::{FAR_DELAY, Happening, World};
@@ -35,12 +35,12 @@
 impl World {
     /// The holders that a node must forward to; none where it holds connections itself.
     pub(crate) fn holders_for(&self, node: usize) -> Vec<NodeId> {
-        let demand = HolderDemand {
+        let demand = HolderSizing {
             connections: self.options.connections,
             slots: None,
             zones: 0,
         };
-        let count = usize::try_from(demand.holders()).unwrap_or(1);
+        let count = usize::try_from(demand.holder_count()).unwrap_or(1);
         if self.nodes.len() <= count || node < count {
             return Vec::new();
         }
@@ -55,7 +55,7 @@
         holder: NodeId,
         session: SessionId,
         request: u64,
-        forwarded: Forwarded,
+        forwarded: ForwardedRequest,
     ) {
         let place = usize::try_from(holder.0).unwrap_or(0);
         let holder_life = self.nodes[place].life;
@@ -78,7 +78,7 @@
         self.guests
             .by_own
             .insert(own, (origin, (place, holder_life), request));
-        let event = Event::Forwarded {
+        let event = Event::ForwardedRequest {
             session: own,
             forwarded: Box::new(forwarded),
         };
@@ -131,7 +131,7 @@
         let place = usize::try_from(holder.0).unwrap_or(0);
         // One that does not run is silent; that its connection has ended is told by `links_lost`.
         if self.nodes[place].is_running && self.random.random_range(0..SIGNS_LOST_ONE_IN) > 0 {
-            let event = Event::HolderHeard(holder);
+            let event = Event::HolderAlive(holder);
             let sign = Happening::Engine(node, life, Box::new(event));
             self.queue.plan(FAR_DELAY * 2, sign);
         }
--- a/crates/stairward-simulation/src/world_nodes.rs
+++ b/crates/stairward-simulation/src/world_nodes.rs
@@ -4,7 +4,7 @@
 
 use rand::RngExt as _;
 use stairward_engine::{
-    BackendCommand, ConnectionId, Effect, Event, Evidence, LeadChange, Response,
+    BackendCommand, BackendEvidence, ConnectionId, Effect, Event, LeadershipChange, Response,
 };
 use stairward_failover::{Event as DutyEvent, LeaderEvidence};
 use stairward_limits::GrantRequest;
@@ -43,7 +43,7 @@
     /// A broken node does not know that back ends leave.
     pub(crate) fn damage_event(&self, mut event: Event) -> Event {
         if self.options.broken == Some(BrokenVariant::Drain)
-            && let Event::Backends { list, .. } = &mut event
+            && let Event::BackendsListed { list, .. } = &mut event
         {
             for description in list {
                 description.is_leaving = false;
@@ -97,25 +97,25 @@
             Effect::AcceptSession { .. }
             | Effect::Record(_)
             | Effect::Measured(_)
-            | Effect::HolderObserved { .. }
+            | Effect::HolderLivenessChanged { .. }
             | Effect::EvacuationObserved { .. }
             | Effect::LeavingObserved { .. }
-            | Effect::StartObserved { .. }
+            | Effect::RestartObserved { .. }
             | Effect::WarmUpObserved { .. }
-            | Effect::RecordFleet(_)
+            | Effect::RecordFleetSize(_)
             | Effect::CoordinatorChanged { .. }
             | Effect::Stopped => {}
-            Effect::AskHolder { holder } => self.ask_holder(index, life, holder),
+            Effect::PingHolder { holder } => self.ask_holder(index, life, holder),
             Effect::Forward {
                 holder,
                 session,
                 request,
                 forwarded,
             } => self.forward(index, life, holder, session, request, forwarded),
-            Effect::CloseForwarded { holder, session } => {
+            Effect::CloseForwardedSession { holder, session } => {
                 self.close_forwarded(index, life, holder, session);
             }
-            Effect::LeadObserved {
+            Effect::LeadershipObserved {
                 service,
                 leader,
                 change,
@@ -127,25 +127,25 @@
                 let seen =
                     format!("{now:?} node-{index}: {leader} of {term:?} {change:?}, {awaited:?}");
                 self.decisions.push(seen);
-                let is_revoked = change == LeadChange::Revoked;
+                let is_revoked = change == LeadershipChange::Revoked;
                 self.tell_duty(
                     index,
                     life,
                     DutyEvent::LeadershipRevoked(service, is_revoked),
                 );
             }
-            Effect::AskLead { holder, .. } => {
+            Effect::QueryLeadership { holder, .. } => {
                 let asked_at = self.now();
                 let peer = usize::try_from(holder.0).unwrap_or(0);
                 let ask = Happening::AskLeadAt(index, life, peer, asked_at);
                 self.queue.plan(NEAR_DELAY, ask);
             }
-            Effect::AskLimit(coordinator, ask) => {
+            Effect::RequestLimitGrant(coordinator, ask) => {
                 let peer = usize::try_from(coordinator.0).unwrap_or(0);
                 let ask = Happening::AskLimitAt(index, life, peer, Box::new(ask));
                 self.queue.plan(FAR_DELAY, ask);
             }
-            Effect::AskPosition { .. } => {
+            Effect::QueryPosition { .. } => {
                 let asked_at = self.now();
                 let peer = (index + 1) % self.nodes.len();
                 let ask = Happening::AskPeerAt(index, life, peer, asked_at);
@@ -190,13 +190,13 @@
                     self.queue.plan(delay, Happening::CloseAt(link, backend));
                 }
             }
-            Effect::Observed { backend, evidence } => {
+            Effect::BackendObserved { backend, evidence } => {
                 let evidence = match evidence {
-                    Evidence::Answered => LeaderEvidence::Answered,
-                    Evidence::Refused => LeaderEvidence::Refused,
-                    Evidence::Silent => LeaderEvidence::Silent,
-                    Evidence::LostLog => LeaderEvidence::LostLog,
-                    Evidence::NotLeader | Evidence::Full => return,
+                    BackendEvidence::Answered => LeaderEvidence::Answered,
+                    BackendEvidence::Refused => LeaderEvidence::Refused,
+                    BackendEvidence::Unresponsive => LeaderEvidence::Silent,
+                    BackendEvidence::LostLog => LeaderEvidence::LostLog,
+                    BackendEvidence::NotLeader | BackendEvidence::ConnectionLimitReached => return,
                 };
                 self.tell_duty(index, life, DutyEvent::Evidence(backend, evidence));
             }
--- a/crates/stairward-simulation/src/world_store.rs
+++ b/crates/stairward-simulation/src/world_store.rs
@@ -70,20 +70,20 @@
             self.options.cold,
         );
         self.show_members(node, life);
-        self.tell_engine(node, life, Event::Configured(table));
+        self.tell_engine(node, life, Event::ConfigurationChanged(table));
         let (list, since) = self.show_entries(node);
-        let backends = Event::Backends {
+        let backends = Event::BackendsListed {
             list: list.clone(),
             since,
         };
         self.tell_engine(node, life, backends);
         self.show_evacuated(node, life, since);
         let nodes = u32::try_from(self.nodes.len()).unwrap_or(1);
-        self.tell_engine(node, life, Event::Nodes(nodes));
+        self.tell_engine(node, life, Event::NodeCountChanged(nodes));
         let holders = ServiceHolders {
-            first: self.first_holder_for(node),
-            lead_source: self.lead_source_for(node),
-            elsewhere: self.holders_for(node),
+            first_ranked: self.first_holder_for(node),
+            leadership_source: self.lead_source_for(node),
+            forward_targets: self.holders_for(node),
             ..ServiceHolders::default()
         };
         let holders = BTreeMap::from([(crate::group::service(), holders)]);
@@ -221,7 +221,7 @@
                 for user in users.into_iter().chain([own]) {
                     let place = usize::try_from(user.0).unwrap_or(0);
                     let told = self.nodes[place].life;
-                    let event = Event::LeadSettled(service.clone());
+                    let event = Event::PromotionEnded(service.clone());
                     let settle = Happening::Engine(place, told, Box::new(event));
                     self.queue.plan(FAR_DELAY * 3, settle);
                 }
@@ -257,7 +257,7 @@
             // The node answers but goes on as before.
             Some(BrokenVariant::Revocation) => {}
             _ => {
-                let event = Event::LeadRevoked(service.clone(), term);
+                let event = Event::LeadershipRevoked(service.clone(), term);
                 self.tell_engine(place, told_life, event);
             }
         }
