--- a/crates/stairward-lab/src/ownership/node_side.rs
+++ b/crates/stairward-lab/src/ownership/node_side.rs
@@ -32,7 +32,7 @@
             } => {
                 self.attempt_answered(claim, session, sent_at, locked);
             }
-            Event::LeftoversEnded(claim) => self.tell(claim, LeaseEvent::LeftoversEnded),
+            Event::LeftoversEnded(claim) => self.tell(claim, LeaseEvent::StaleSessionsEnded),
             Event::SendProbe { claim, session } => self.send_probe(claim, session),
             Event::ProbeAnswered {
                 claim,
@@ -56,9 +56,9 @@
             }
             Event::WorkEnded(claim) => {
                 self.close_all(claim);
-                self.tell(claim, LeaseEvent::GivenUp);
+                self.tell(claim, LeaseEvent::ConnectionsClosed);
             }
-            Event::HandedOver(claim) => self.tell(claim, LeaseEvent::HandedOver),
+            Event::HandedOver(claim) => self.tell(claim, LeaseEvent::ReleasedByPredecessor),
             Event::Learnt {
                 node,
                 other,
@@ -106,7 +106,7 @@
         let now = self.agenda.now();
         let Claim { backend, role, .. } = self.claims[claim];
         match effect {
-            LeaseEffect::Attempt => {
+            LeaseEffect::AcquireLock => {
                 let session = self.next_session;
                 self.next_session += 1;
                 let attempt = BackendEvent::Attempt {
@@ -115,7 +115,7 @@
                 };
                 self.send(claim, OPENING_TIME, attempt);
             }
-            LeaseEffect::EndLeftovers => {
+            LeaseEffect::EndStaleSessions => {
                 self.send(claim, Duration::ZERO, BackendEvent::EndLeftovers);
             }
             LeaseEffect::StartUse => {
@@ -131,12 +131,12 @@
                 self.watch.stops(backend, role, claim, now);
                 self.close_all(claim);
             }
-            LeaseEffect::GiveUp => {
+            LeaseEffect::CloseConnections => {
                 let work = self.random.random_range(0..=LONGEST_WORK_MILLIS);
                 let work = Duration::from_millis(work);
                 self.agenda.after(work, Event::WorkEnded(claim));
             }
-            LeaseEffect::Release => self.release(claim),
+            LeaseEffect::ReleaseLock => self.release(claim),
         }
     }
 
@@ -163,12 +163,12 @@
     fn attempt_answered(&mut self, claim: ClaimIndex, session: u64, sent_at: Time, locked: bool) {
         if locked {
             self.claims[claim].session = Some(session);
-            self.tell(claim, LeaseEvent::Locked { sent_at });
+            self.tell(claim, LeaseEvent::LockAcquired { sent_at });
             self.agenda
                 .after(PROBE_INTERVAL, Event::SendProbe { claim, session });
         } else {
             self.send(claim, Duration::ZERO, BackendEvent::CloseContender);
-            self.tell(claim, LeaseEvent::NotLocked);
+            self.tell(claim, LeaseEvent::LockNotAcquired);
         }
     }
 
@@ -196,7 +196,7 @@
             }
             None => {
                 self.claims[claim].session = None;
-                self.tell(claim, LeaseEvent::ControlLost);
+                self.tell(claim, LeaseEvent::ControlConnectionLost);
             }
         }
     }
--- a/crates/stairward-lab/src/simulate/owner/claim.rs
+++ b/crates/stairward-lab/src/simulate/owner/claim.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use stairward_pool::fence::{
-    AcknowledgementFence, CommitId, FenceSettings, FenceWeakness, QuestionId,
+    AcknowledgementFence, CommitId, FenceSettings, InjectedFenceFault, QuestionId,
 };
 use stairward_pool::lease::{LeaseEffect, LeaseEvent, LeaseSettings};
 use stairward_pool::pool::{ConnectionId, PoolEvent, PoolSettings, RequestId};
@@ -61,8 +61,8 @@
             AdminState::Leaving if ignores_leaving => AdminState::Active,
             state => state,
         };
-        let weakness =
-            (broken == Some(BrokenVariant::Fence)).then_some(FenceWeakness::ProvesUnasked);
+        let injected_fault =
+            (broken == Some(BrokenVariant::Fence)).then_some(InjectedFenceFault::ProvesUnasked);
         Self {
             key: (backend.backend.clone(), role),
             group: group.group.clone(),
@@ -81,7 +81,7 @@
                 primary: backend.backend.clone(),
                 retry_interval: FENCE_RETRY,
                 waiting_limit: FENCE_LIMIT,
-                weakness,
+                injected_fault,
             },
             fence_timeout: group.fence_timeout,
             broken,
@@ -253,7 +253,7 @@
 
     /// The earlier holder has let go.
     pub(super) fn handed_over(&mut self, out: &mut Outbox<'_>) {
-        self.feed_lease(LeaseEvent::HandedOver, out);
+        self.feed_lease(LeaseEvent::ReleasedByPredecessor, out);
     }
 
     /// Whether the back end can be asked for its state.
@@ -297,14 +297,14 @@
                 let sent_at = self.control.begun_at;
                 match self.control.ran(batch, &answers, error.is_some()) {
                     Some(JobEnded::Locked(true)) => {
-                        self.feed_lease(LeaseEvent::Locked { sent_at }, out);
+                        self.feed_lease(LeaseEvent::LockAcquired { sent_at }, out);
                     }
                     Some(JobEnded::Locked(false)) => {
                         self.close_control(out);
-                        self.feed_lease(LeaseEvent::NotLocked, out);
+                        self.feed_lease(LeaseEvent::LockNotAcquired, out);
                     }
                     Some(JobEnded::LeftoversEnded) => {
-                        self.feed_lease(LeaseEvent::LeftoversEnded, out);
+                        self.feed_lease(LeaseEvent::StaleSessionsEnded, out);
                     }
                     Some(JobEnded::Probed(status)) => self.probed(sent_at, status, out),
                     None => {}
@@ -349,7 +349,7 @@
         out.log(|| format!("{} {} control lost", self.backend, self.role.name()));
         self.close_control(out);
         self.feed_pool(PoolEvent::ProbeFailed, out);
-        self.feed_lease(LeaseEvent::ControlLost, out);
+        self.feed_lease(LeaseEvent::ControlConnectionLost, out);
     }
 
     fn close_control(&mut self, out: &mut Outbox<'_>) {
@@ -370,20 +370,20 @@
     fn lease_effect(&mut self, effect: LeaseEffect, out: &mut Outbox<'_>) {
         out.log(|| format!("{} {} lease {effect:?}", self.backend, self.role.name()));
         match effect {
-            LeaseEffect::Attempt => {
+            LeaseEffect::AcquireLock => {
                 let connection = self.control.open(&self.backend, self.role, out);
                 self.requests.push(ClaimRequest::Connected(connection));
             }
-            LeaseEffect::EndLeftovers => {
+            LeaseEffect::EndStaleSessions => {
                 self.control
                     .run(Job::EndLeftovers, &self.backend, self.role, out);
             }
             LeaseEffect::StartUse => self.feed_pool(PoolEvent::LeaseHeld(true), out),
             LeaseEffect::StopUse => self.feed_pool(PoolEvent::LeaseHeld(false), out),
-            LeaseEffect::GiveUp => {
+            LeaseEffect::CloseConnections => {
                 self.feed_pool(PoolEvent::DrainUntil(out.now + DRAIN_TIME), out);
             }
-            LeaseEffect::Release => {
+            LeaseEffect::ReleaseLock => {
                 self.close_control(out);
                 self.renew_pool();
                 self.requests.push(ClaimRequest::HandOver);
--- a/crates/stairward-lab/src/simulate/owner/stream.rs
+++ b/crates/stairward-lab/src/simulate/owner/stream.rs
@@ -118,7 +118,7 @@
         stream.is_ending = true;
         match stream.phase {
             Phase::Waiting => {
-                self.feed_pool(PoolEvent::Withdrawn(request), out);
+                self.feed_pool(PoolEvent::Cancelled(request), out);
                 self.forget_stream(request);
             }
             Phase::Between => self.roll_back(request, out),
--- a/crates/stairward-lab/src/simulate/owner/work.rs
+++ b/crates/stairward-lab/src/simulate/owner/work.rs
@@ -64,7 +64,7 @@
                 }
             }
             PoolEffect::EndStream(request) => self.end_stream(request, out),
-            PoolEffect::Drained => self.feed_lease(LeaseEvent::GivenUp, out),
+            PoolEffect::Drained => self.feed_lease(LeaseEvent::ConnectionsClosed, out),
         }
     }
 
--- a/crates/stairward-pool/src/fence/mod.rs
+++ b/crates/stairward-pool/src/fence/mod.rs
@@ -33,7 +33,7 @@
 
 /// A deliberately broken rule, with which checkers show that they can fail. Never set in service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum FenceWeakness {
+pub enum InjectedFenceFault {
     /// Proves each commit without asking.
     ProvesUnasked,
     /// Takes one member too few for a majority.
@@ -56,7 +56,7 @@
     /// Commits that may wait at once; a further one is not proved.
     pub waiting_limit: usize,
     /// A broken rule, for tests only.
-    pub weakness: Option<FenceWeakness>,
+    pub injected_fault: Option<InjectedFenceFault>,
 }
 
 /// What a member says of itself.
@@ -192,7 +192,7 @@
 
     fn majority(&self) -> usize {
         let majority = self.settings.members.len() / 2 + 1;
-        if self.settings.weakness == Some(FenceWeakness::CountsMinority) {
+        if self.settings.injected_fault == Some(InjectedFenceFault::CountsMinority) {
             majority - 1
         } else {
             majority
@@ -206,7 +206,7 @@
         deadline: Time,
         effects: &mut Vec<FenceEffect>,
     ) {
-        if self.settings.weakness == Some(FenceWeakness::ProvesUnasked) {
+        if self.settings.injected_fault == Some(InjectedFenceFault::ProvesUnasked) {
             let freshness = Freshness::new(term, stairward_types::LogPosition::default());
             effects.push(FenceEffect::Proved { commit, freshness });
         } else if self.waiting.len() >= self.settings.waiting_limit {
@@ -221,7 +221,8 @@
         let Some(question) = self.end_question(now, question, false) else {
             return;
         };
-        let counts_all = self.settings.weakness == Some(FenceWeakness::CountsEarlierQuestions);
+        let counts_all =
+            self.settings.injected_fault == Some(InjectedFenceFault::CountsEarlierQuestions);
         for (commit, waiting) in &mut self.waiting {
             let was_asked_after = question.covers.is_some_and(|newest| *commit <= newest);
             if was_asked_after || counts_all {
--- a/crates/stairward-pool/src/lease.rs
+++ b/crates/stairward-pool/src/lease.rs
@@ -43,25 +43,25 @@
     /// Whether this node should hold the role, by its membership view.
     Wanted(bool),
     /// The attempt got the lock. `sent_at` is the moment before it was asked for.
-    Locked {
+    LockAcquired {
         /// By the holder's clock.
         sent_at: Time,
     },
     /// The attempt failed: another session holds the lock, or the back end cannot be reached.
-    NotLocked,
+    LockNotAcquired,
     /// No session of an earlier holder is left at the back end.
-    LeftoversEnded,
+    StaleSessionsEnded,
     /// A probe on the control connection was answered. `sent_at` is the moment before it was sent.
     Renewed {
         /// By the holder's clock.
         sent_at: Time,
     },
     /// The control connection is lost, and the lock with it.
-    ControlLost,
+    ControlConnectionLost,
     /// This node holds no connection of the role any more, besides the control connection.
-    GivenUp,
+    ConnectionsClosed,
     /// The earlier holder says that it has let go.
-    HandedOver,
+    ReleasedByPredecessor,
     /// Time has passed; see [`Lease::next_wake`].
     Tick,
 }
@@ -70,17 +70,17 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeaseEffect {
     /// Open the control connection and try to take the lock. When that fails, close it again.
-    Attempt,
+    AcquireLock,
     /// End the sessions that earlier holders of the role left at the back end.
-    EndLeftovers,
+    EndStaleSessions,
     /// Connections may be opened and used from now on.
     StartUse,
     /// No connection may be opened and no new work be begun until [`LeaseEffect::StartUse`].
     StopUse,
-    /// Let what is in flight end, close every connection, then say [`LeaseEvent::GivenUp`].
-    GiveUp,
+    /// Let what is in flight end, close every connection, then say [`LeaseEvent::ConnectionsClosed`].
+    CloseConnections,
     /// Close the control connection, which frees the lock, and tell the successor.
-    Release,
+    ReleaseLock,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -153,13 +153,13 @@
         self.lapse(now, &mut effects);
         match event {
             LeaseEvent::Wanted(wanted) => self.want(now, wanted, &mut effects),
-            LeaseEvent::Locked { sent_at } => self.locked(sent_at, &mut effects),
-            LeaseEvent::NotLocked => self.not_locked(now),
-            LeaseEvent::LeftoversEnded => self.leftovers_ended(now, &mut effects),
+            LeaseEvent::LockAcquired { sent_at } => self.locked(sent_at, &mut effects),
+            LeaseEvent::LockNotAcquired => self.not_locked(now),
+            LeaseEvent::StaleSessionsEnded => self.leftovers_ended(now, &mut effects),
             LeaseEvent::Renewed { sent_at } => self.renewed(now, sent_at, &mut effects),
-            LeaseEvent::ControlLost => self.control_lost(now, &mut effects),
-            LeaseEvent::GivenUp => self.given_up(now, &mut effects),
-            LeaseEvent::HandedOver => self.handed_over(now),
+            LeaseEvent::ControlConnectionLost => self.control_lost(now, &mut effects),
+            LeaseEvent::ConnectionsClosed => self.given_up(now, &mut effects),
+            LeaseEvent::ReleasedByPredecessor => self.handed_over(now),
             LeaseEvent::Tick => {}
         }
         self.attempt_when_due(now, &mut effects);
@@ -187,7 +187,7 @@
             (false, State::Held { .. } | State::Clearing { .. } | State::Lapsed) => {
                 self.state = State::GivingUp;
                 effects.push(LeaseEffect::StopUse);
-                effects.push(LeaseEffect::GiveUp);
+                effects.push(LeaseEffect::CloseConnections);
             }
             _ => {}
         }
@@ -200,10 +200,10 @@
         if self.wanted {
             let valid_until = self.valid_until(sent_at);
             self.state = State::Clearing { valid_until };
-            effects.push(LeaseEffect::EndLeftovers);
+            effects.push(LeaseEffect::EndStaleSessions);
         } else {
             self.state = State::Absent;
-            effects.push(LeaseEffect::Release);
+            effects.push(LeaseEffect::ReleaseLock);
         }
     }
 
@@ -263,7 +263,7 @@
 
     fn given_up(&mut self, now: Time, effects: &mut Vec<LeaseEffect>) {
         if self.state == State::GivingUp {
-            effects.push(LeaseEffect::Release);
+            effects.push(LeaseEffect::ReleaseLock);
             self.wait(now + self.settings.retry_interval);
         }
     }
@@ -279,7 +279,7 @@
             && now >= attempt_at
         {
             self.state = State::Attempting;
-            effects.push(LeaseEffect::Attempt);
+            effects.push(LeaseEffect::AcquireLock);
         }
     }
 }
--- a/crates/stairward-pool/src/pool/message.rs
+++ b/crates/stairward-pool/src/pool/message.rs
@@ -68,7 +68,7 @@
     /// The back end reported it idle, and no session state was left on it.
     Idle,
     /// The back end reported it idle, but it must be reset before another session uses it.
-    Altered,
+    NeedsReset,
     /// Its state is in doubt: the driver closes it, and reports
     /// [`PoolEvent::ConnectionClosed`] once the back end has let go.
     InDoubt,
@@ -80,7 +80,7 @@
     /// A stream wants a connection and a slot.
     Requested(ConnectionRequest),
     /// A waiting request is given up. A request that was admitted meanwhile is unaffected.
-    Withdrawn(RequestId),
+    Cancelled(RequestId),
     /// A transaction that holds a connection wants a slot for its next batch.
     SlotWanted(RequestId),
     /// A batch has ended; its transaction goes on without a slot.
--- a/crates/stairward-pool/src/pool/mod.rs
+++ b/crates/stairward-pool/src/pool/mod.rs
@@ -156,7 +156,7 @@
     fn apply(&mut self, now: Time, event: PoolEvent) {
         match event {
             PoolEvent::Requested(request) => self.request(now, request),
-            PoolEvent::Withdrawn(request) => self.withdraw(request),
+            PoolEvent::Cancelled(request) => self.withdraw(request),
             PoolEvent::SlotWanted(request) => self.want_slot(now, request),
             PoolEvent::SlotReleased(request) => self.slots.release(now, request),
             PoolEvent::Returned { request, state } => self.take_back(now, request, state),
@@ -210,7 +210,7 @@
                 self.connections.put_back(lent.connection, now);
                 self.close_surplus();
             }
-            ReturnedState::Altered => {
+            ReturnedState::NeedsReset => {
                 self.connections.start_reset(lent.connection);
                 self.effects
                     .push(PoolEffect::ResetConnection(lent.connection));
--- a/crates/stairward-pool/tests/fence_model.rs
+++ b/crates/stairward-pool/tests/fence_model.rs
@@ -8,7 +8,7 @@
 
 use stairward_pool::AcknowledgementFence;
 use stairward_pool::fence::{
-    CommitId, FenceEffect, FenceEvent, FenceSettings, FenceWeakness, MemberAnswer, QuestionId,
+    CommitId, FenceEffect, FenceEvent, FenceSettings, InjectedFenceFault, MemberAnswer, QuestionId,
 };
 use stairward_types::{BackendId, FenceStrength, Freshness, LogPosition, Term, Time};
 use support::explorer::{Model, explore};
@@ -85,14 +85,18 @@
 }
 
 impl Group {
-    fn new(size: Size, strength: FenceStrength, weakness: Option<FenceWeakness>) -> Self {
+    fn new(
+        size: Size,
+        strength: FenceStrength,
+        injected_fault: Option<InjectedFenceFault>,
+    ) -> Self {
         let settings = FenceSettings {
             strength,
             members: (0..MEMBERS).map(name).collect(),
             primary: name(PRIMARY),
             retry_interval: Duration::ZERO,
             waiting_limit: 8,
-            weakness,
+            injected_fault,
         };
         let mut members: [Member; MEMBERS] = Default::default();
         for member in &mut members {
@@ -277,15 +281,18 @@
 }
 
 #[test]
-fn every_weakness_is_found() {
-    for weakness in [
-        FenceWeakness::ProvesUnasked,
-        FenceWeakness::CountsMinority,
-        FenceWeakness::CountsEarlierQuestions,
+fn every_injected_fault_is_found() {
+    for injected_fault in [
+        InjectedFenceFault::ProvesUnasked,
+        InjectedFenceFault::CountsMinority,
+        InjectedFenceFault::CountsEarlierQuestions,
     ] {
         for strength in [FenceStrength::Term, FenceStrength::Position] {
-            let exploration = explore(Group::new(LARGE, strength, Some(weakness)));
-            assert!(exploration.violation.is_some(), "{weakness:?} {strength:?}");
+            let exploration = explore(Group::new(LARGE, strength, Some(injected_fault)));
+            assert!(
+                exploration.violation.is_some(),
+                "{injected_fault:?} {strength:?}"
+            );
         }
     }
 }
--- a/crates/stairward-pool/tests/lease_model.rs
+++ b/crates/stairward-pool/tests/lease_model.rs
@@ -111,13 +111,13 @@
         let effects = self.nodes[node].lease.handle(Time(self.now), event);
         for effect in effects {
             match effect {
-                LeaseEffect::Attempt => self.nodes[node].attempting_since = Some(self.now),
-                LeaseEffect::EndLeftovers => self.end_leftovers(node),
+                LeaseEffect::AcquireLock => self.nodes[node].attempting_since = Some(self.now),
+                LeaseEffect::EndStaleSessions => self.end_leftovers(node),
                 LeaseEffect::StartUse => self.nodes[node].may_use = true,
                 LeaseEffect::StopUse => {
                     self.nodes[node].may_use = false;
                 }
-                LeaseEffect::GiveUp | LeaseEffect::Release => {}
+                LeaseEffect::CloseConnections | LeaseEffect::ReleaseLock => {}
             }
         }
     }
@@ -128,7 +128,7 @@
             // The other node hears that its connections ended, but not the one on its way.
             self.nodes[1 - node].counted = usize::from(self.nodes[1 - node].opening);
         }
-        self.tell(node, LeaseEvent::LeftoversEnded);
+        self.tell(node, LeaseEvent::StaleSessionsEnded);
     }
 
     fn may_open(&self, node: usize) -> bool {
@@ -197,7 +197,7 @@
                     self.nodes[node].probe = Probe::Answered { sent_at: at };
                 } else {
                     self.nodes[node].probe = Probe::None;
-                    self.tell(node, LeaseEvent::ControlLost);
+                    self.tell(node, LeaseEvent::ControlConnectionLost);
                 }
             }
             Action::DeliverAnswer(node) => {
@@ -220,9 +220,9 @@
                     self.lock = Some(node);
                     self.last_asked = self.now;
                     let sent_at = Time(sent_at);
-                    self.tell(node, LeaseEvent::Locked { sent_at });
+                    self.tell(node, LeaseEvent::LockAcquired { sent_at });
                 } else {
-                    self.tell(node, LeaseEvent::NotLocked);
+                    self.tell(node, LeaseEvent::LockNotAcquired);
                 }
             }
             Action::StartOpening(node) => {
--- a/crates/stairward-pool/tests/pool_properties.rs
+++ b/crates/stairward-pool/tests/pool_properties.rs
@@ -175,7 +175,7 @@
         let connection = self.mirror.admitted[&request];
         let (state, used) = match detail % 3 {
             0 => (ReturnedState::Idle, Use::Idle),
-            1 => (ReturnedState::Altered, Use::Resetting),
+            1 => (ReturnedState::NeedsReset, Use::Resetting),
             _ => (ReturnedState::InDoubt, Use::Closing),
         };
         self.mirror.connections.insert(connection, used);
--- a/crates/stairward-proxy/src/owner/backend/effects.rs
+++ b/crates/stairward-proxy/src/owner/backend/effects.rs
@@ -34,10 +34,10 @@
                     }
                     self.apply(state, PoolEvent::LeaseHeld(false));
                 }
-                LeaseEffect::Attempt
-                | LeaseEffect::EndLeftovers
-                | LeaseEffect::GiveUp
-                | LeaseEffect::Release => self.command(ControlCommand::Lease(effect)),
+                LeaseEffect::AcquireLock
+                | LeaseEffect::EndStaleSessions
+                | LeaseEffect::CloseConnections
+                | LeaseEffect::ReleaseLock => self.command(ControlCommand::Lease(effect)),
             }
         }
     }
--- a/crates/stairward-proxy/src/owner/backend/mod.rs
+++ b/crates/stairward-proxy/src/owner/backend/mod.rs
@@ -254,7 +254,7 @@
     ) {
         let mut state = self.lock();
         state.waiters.remove(&request);
-        self.pool_event(&mut state, PoolEvent::Withdrawn(request));
+        self.pool_event(&mut state, PoolEvent::Cancelled(request));
         drop(state);
         if let Ok(Ok(grant)) = answer.try_recv() {
             self.give_back(grant, ReturnedState::Idle);
@@ -316,7 +316,7 @@
             tokio::time::sleep(FENCE_POLL_INTERVAL).await;
         }
         self.lease_event(LeaseEvent::Wanted(false));
-        self.lease_event(LeaseEvent::GivenUp);
+        self.lease_event(LeaseEvent::ConnectionsClosed);
         let (reply, ended) = oneshot::channel();
         self.command(ControlCommand::End(reply));
         let _ = ended.await;
--- a/crates/stairward-proxy/src/owner/control.rs
+++ b/crates/stairward-proxy/src/owner/control.rs
@@ -114,11 +114,11 @@
 impl Control {
     async fn carry_out(&mut self, effect: LeaseEffect) {
         match effect {
-            LeaseEffect::Attempt => self.attempt().await,
-            LeaseEffect::EndLeftovers => self.end_leftovers().await,
-            LeaseEffect::Release => self.release(),
+            LeaseEffect::AcquireLock => self.attempt().await,
+            LeaseEffect::EndStaleSessions => self.end_leftovers().await,
+            LeaseEffect::ReleaseLock => self.release(),
             // The service stops the back end when it is wanted no longer.
-            LeaseEffect::GiveUp | LeaseEffect::StartUse | LeaseEffect::StopUse => {}
+            LeaseEffect::CloseConnections | LeaseEffect::StartUse | LeaseEffect::StopUse => {}
         }
     }
 
@@ -127,11 +127,12 @@
         match self.lock().await {
             Ok(Some(connection)) => {
                 self.connection = Some(connection);
-                self.backend.lease_event(LeaseEvent::Locked { sent_at });
+                self.backend
+                    .lease_event(LeaseEvent::LockAcquired { sent_at });
             }
             Ok(None) => {
                 self.backend.handle(PoolEvent::LockHeldElsewhere);
-                self.backend.lease_event(LeaseEvent::NotLocked);
+                self.backend.lease_event(LeaseEvent::LockNotAcquired);
             }
             // Whoever got the lock first ends the other sessions of the role, also one that only asks for it. The
             // next attempt finds out whether the back end itself is going down.
@@ -141,11 +142,11 @@
                     %error,
                     "an attempt at the lock was ended by the back end"
                 );
-                self.backend.lease_event(LeaseEvent::NotLocked);
+                self.backend.lease_event(LeaseEvent::LockNotAcquired);
             }
             Err(error) => {
                 self.unreachable(&error);
-                self.backend.lease_event(LeaseEvent::NotLocked);
+                self.backend.lease_event(LeaseEvent::LockNotAcquired);
             }
         }
     }
@@ -178,7 +179,7 @@
                     "took a back end"
                 );
                 self.learn(status);
-                self.backend.lease_event(LeaseEvent::LeftoversEnded);
+                self.backend.lease_event(LeaseEvent::StaleSessionsEnded);
             }
             Err(error) => self.lose_connection(&error),
         }
@@ -279,7 +280,7 @@
     fn lose_connection(&mut self, error: &BackendError) {
         self.connection = None;
         self.unreachable(error);
-        self.backend.lease_event(LeaseEvent::ControlLost);
+        self.backend.lease_event(LeaseEvent::ControlConnectionLost);
     }
 
     fn unreachable(&mut self, error: &BackendError) {
--- a/crates/stairward-proxy/src/owner/fence.rs
+++ b/crates/stairward-proxy/src/owner/fence.rs
@@ -172,7 +172,7 @@
         primary: backend.clone(),
         retry_interval: RETRY_INTERVAL,
         waiting_limit: WAITING_LIMIT,
-        weakness: None,
+        injected_fault: None,
     }
 }
 
--- a/crates/stairward-proxy/src/owner/service.rs
+++ b/crates/stairward-proxy/src/owner/service.rs
@@ -121,7 +121,7 @@
     /// Hears that another node has given a back end up, so that it may be taken at once.
     pub fn handed_over(&self, backend: &BackendId) {
         for backend in self.all_of(backend) {
-            backend.lease_event(LeaseEvent::HandedOver);
+            backend.lease_event(LeaseEvent::ReleasedByPredecessor);
         }
     }
 
--- a/crates/stairward-proxy/src/owner/stream.rs
+++ b/crates/stairward-proxy/src/owner/stream.rs
@@ -300,18 +300,18 @@
             return ReturnedState::InDoubt;
         }
         if !self.relay.in_transaction {
-            return ReturnedState::Altered;
+            return ReturnedState::NeedsReset;
         }
         let rolled_back = self.relay.grant.connection.query("ROLLBACK");
         match tokio::time::timeout(HOUSEKEEPING_TIMEOUT, rolled_back).await {
-            Ok(Ok(_)) => ReturnedState::Altered,
+            Ok(Ok(_)) => ReturnedState::NeedsReset,
             _ => ReturnedState::InDoubt,
         }
     }
 
     fn idle_state(&self) -> ReturnedState {
         if self.relay.altered {
-            ReturnedState::Altered
+            ReturnedState::NeedsReset
         } else {
             ReturnedState::Idle
         }
