--- a/crates/stairward-runtime/src/discovered.rs
+++ b/crates/stairward-runtime/src/backend_registry.rs
@@ -15,14 +15,14 @@
 
 /// What discovery tells. Changes cost what they touch, whatever the number of back ends.
 #[derive(Debug, Default)]
-pub struct Discovered {
+pub struct BackendRegistry {
     service_of: BTreeMap<BackendId, ServiceName>,
     by_service: BTreeMap<ServiceName, Members>,
     /// Back ends that are listed no more, and since when.
     gone: BTreeMap<BackendId, (Arc<BackendDescription>, Time)>,
 }
 
-impl Discovered {
+impl BackendRegistry {
     /// Whether no back end is listed.
     #[must_use]
     pub fn is_empty(&self) -> bool {
@@ -83,7 +83,7 @@
 
     /// A back end that is listed, or was a while ago.
     #[must_use]
-    pub fn get_or_remembered(&self, id: &BackendId) -> Option<&Arc<BackendDescription>> {
+    pub fn get_including_removed(&self, id: &BackendId) -> Option<&Arc<BackendDescription>> {
         let remembered = || self.gone.get(id).map(|(description, _)| description);
         self.get(id).or_else(remembered)
     }
--- a/crates/stairward-runtime/src/coordination.rs
+++ b/crates/stairward-runtime/src/coordination.rs
@@ -23,7 +23,7 @@
 
 /// How a conditional write of the number of nodes ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum FleetWrite {
+pub enum FleetSizeWrite {
     /// The record has this version and says this now, whoever wrote it.
     Known(RecordVersion, u32),
     /// It was not written, or that is not known.
@@ -47,7 +47,7 @@
         &self,
         expected: RecordVersion,
         nodes: u32,
-    ) -> CoordinationFuture<FleetWrite>;
+    ) -> CoordinationFuture<FleetSizeWrite>;
 
     /// Promotes a back end.
     fn promote(
--- a/crates/stairward-runtime/src/duty.rs
+++ b/crates/stairward-runtime/src/duty.rs
@@ -13,9 +13,9 @@
 use stairward_types::{BackendId, ServiceName};
 
 use crate::coordination::RecordWrite;
-use crate::figures;
 use crate::node::Node;
-use crate::wire::{MemberQuestion, Wire};
+use crate::prometheus;
+use crate::wire::{MemberRequest, Wire};
 
 /// How often the duty is looked at while nothing is due.
 const IDLE_PAUSE: Duration = Duration::from_millis(500);
@@ -47,10 +47,10 @@
             let pause = wake_at.map_or(IDLE_PAUSE, |at| at.since(now));
             Self::pause(pause.min(IDLE_PAUSE)).await;
             self.tell_duty(Event::Tick);
-            figures::show(self.statistics());
+            prometheus::set_engine_statistics(self.statistics());
             self.show_traffic();
             for (zone, work) in self.engine.borrow().work_in_evacuated() {
-                figures::show_evacuated(&zone, work);
+                prometheus::set_evacuated_zone_work(&zone, work);
             }
         }
     }
@@ -58,7 +58,7 @@
     /// Shows what the links carry; now and then also as a log line.
     fn show_traffic(&self) {
         let links = self.links.borrow().len();
-        figures::show_traffic(&self.traffic, links);
+        prometheus::set_peer_traffic(&self.traffic, links);
         let now = self.now();
         if self.traffic.is_line_due(now) {
             let figures = self.statistics();
@@ -74,19 +74,19 @@
             }
             Effect::Report(silent) => self.report_silent(&silent),
             Effect::Verify { backend, asker } => self.verify(backend, asker),
-            Effect::Ask(backend) => self.question(backend, MemberQuestion::Status),
-            Effect::Hold(backend, term) => self.question(backend, MemberQuestion::Hold(term)),
-            Effect::Resume(backend) => self.question(backend, MemberQuestion::Resume),
+            Effect::Ask(backend) => self.question(backend, MemberRequest::Status),
+            Effect::Hold(backend, term) => self.question(backend, MemberRequest::Hold(term)),
+            Effect::Resume(backend) => self.question(backend, MemberRequest::Resume),
             Effect::AskReceived(backend, all) => {
-                self.question(backend, MemberQuestion::Received(all));
+                self.question(backend, MemberRequest::Received(all));
             }
             Effect::StepDown(backend, term, ways) => {
-                self.reach_for(&backend, MemberQuestion::StepDown(term), ways);
+                self.reach_for(&backend, MemberRequest::StepDown(term), ways);
             }
             Effect::Revoke(service, term, users) => self.revoke(&service, term, users),
             Effect::Settle(service, users) => self.settle(&service, users),
             Effect::HoldBy(backend, term, ways) => {
-                self.reach_for(&backend, MemberQuestion::Hold(term), ways);
+                self.reach_for(&backend, MemberRequest::Hold(term), ways);
             }
             Effect::Promote(service, backend, token) => {
                 let promoting = self.coordination.promote(service.clone(), backend, token);
@@ -96,7 +96,7 @@
                 });
             }
             Effect::Log(service, action) => {
-                figures::count_step(&action);
+                prometheus::count_failover_step(&action);
                 self.log.duty(self.now(), &service, &action);
             }
         }
@@ -128,7 +128,7 @@
 
     pub(crate) fn target(&self, backend: &BackendId) -> Option<OpenTarget> {
         let discovered = self.discovered.borrow();
-        let description = discovered.get_or_remembered(backend)?;
+        let description = discovered.get_including_removed(backend)?;
         Some(OpenTarget {
             backend: backend.clone(),
             service: description.service.clone(),
@@ -137,7 +137,7 @@
         })
     }
 
-    fn question(self: &Rc<Self>, backend: BackendId, question: MemberQuestion) {
+    fn question(self: &Rc<Self>, backend: BackendId, question: MemberRequest) {
         let target = self.target(&backend);
         let node = Rc::clone(self);
         tokio::task::spawn_local(async move {
@@ -154,7 +154,7 @@
     }
 
     /// Asks a member by each of these ways.
-    fn reach_for(self: &Rc<Self>, backend: &BackendId, question: MemberQuestion, ways: Vec<Via>) {
+    fn reach_for(self: &Rc<Self>, backend: &BackendId, question: MemberRequest, ways: Vec<Via>) {
         let target = self.target(backend);
         for via in ways {
             let node = Rc::clone(self);
--- a/crates/stairward-runtime/src/feeds.rs
+++ b/crates/stairward-runtime/src/feeds.rs
@@ -16,9 +16,9 @@
 use tokio::sync::{Notify, watch};
 
 use crate::compression::{compress, decompress};
-use crate::figures;
 use crate::neighbour_link::frame;
 use crate::node::Node;
+use crate::prometheus;
 use crate::socket::Outgoing;
 use crate::traffic::TrafficKind;
 use crate::wire::Wire;
@@ -424,7 +424,7 @@
         let effects = open.feed.borrow_mut().handle(now, event);
         let held = open.feed.borrow().held();
         if let Some(held) = held.filter(|_| held != held_before) {
-            figures::show_feed_revision(name, held);
+            prometheus::set_feed_revision(name, held);
         }
         for effect in effects {
             self.carry_out_feed(name, &open, effect);
--- a/crates/stairward-runtime/src/holders.rs
+++ b/crates/stairward-runtime/src/holders.rs
@@ -9,7 +9,7 @@
 
 /// This node and where it is.
 #[derive(Debug, Clone)]
-pub struct OwnPlace {
+pub struct LocalNode {
     /// Its number.
     pub node: NodeId,
     /// Its region.
@@ -26,7 +26,7 @@
     Elsewhere,
 }
 
-impl OwnPlace {
+impl LocalNode {
     fn distance(&self, member: &Profile) -> Distance {
         if member.zone == self.zone {
             Distance::Zone
@@ -43,19 +43,19 @@
 
 /// Works out the holders of every service. What follows for a service is handed on when it changes, and not kept.
 #[derive(Debug, Default)]
-pub struct HolderView {
+pub struct HolderAssignments {
     ranking: HolderRanking,
     counts: BTreeMap<ServiceName, usize>,
     /// How many members the view last had.
     members: usize,
 }
 
-impl HolderView {
+impl HolderAssignments {
     /// Takes the services in, each with the number of nodes that hold connections to it at most. Returns what has
     /// changed; a service that is gone has no holders.
     pub fn set_services(
         &mut self,
-        own: &OwnPlace,
+        own: &LocalNode,
         members: &[Profile],
         counts: BTreeMap<ServiceName, usize>,
     ) -> Changes {
@@ -70,9 +70,9 @@
     }
 
     /// Takes in how many nodes hold connections to these services at most. Returns what has changed.
-    pub fn change_services(
+    pub fn update_holder_counts(
         &mut self,
-        own: &OwnPlace,
+        own: &LocalNode,
         members: &[Profile],
         counts: impl IntoIterator<Item = (ServiceName, usize)>,
     ) -> Changes {
@@ -87,7 +87,7 @@
     }
 
     /// Takes the membership view in. Returns what has changed.
-    pub fn set_members(&mut self, own: &OwnPlace, members: &[Profile]) -> Changes {
+    pub fn set_members(&mut self, own: &LocalNode, members: &[Profile]) -> Changes {
         let mut changed = self.ranking.set_members(members.iter().map(candidate));
         let before = std::mem::replace(&mut self.members, members.len());
         // Where there are no more nodes than may hold connections, all do.
@@ -99,7 +99,7 @@
 
     fn work_out(
         &self,
-        own: &OwnPlace,
+        own: &LocalNode,
         members: &[Profile],
         services: BTreeSet<ServiceName>,
     ) -> Changes {
@@ -117,7 +117,7 @@
 
     fn work_out_one(
         &self,
-        own: &OwnPlace,
+        own: &LocalNode,
         members: &BTreeMap<NodeId, &Profile>,
         service: &ServiceName,
     ) -> ServiceHolders {
@@ -151,7 +151,7 @@
 }
 
 /// Holders of the own zone first, then of the own region; each node begins elsewhere among them.
-fn by_nearness(own: &OwnPlace, holders: &[&Profile]) -> Vec<NodeId> {
+fn by_nearness(own: &LocalNode, holders: &[&Profile]) -> Vec<NodeId> {
     let rank = |holder: &&Profile| {
         (
             own.distance(holder),
--- a/crates/stairward-runtime/src/lib.rs
+++ b/crates/stairward-runtime/src/lib.rs
@@ -6,15 +6,14 @@
 
 #![forbid(unsafe_code)]
 
+pub mod backend_registry;
 mod backends;
 mod callers;
 mod compression;
 pub mod content_delta;
 mod coordination;
-pub mod discovered;
 mod duty;
 mod feeds;
-pub mod figures;
 mod health;
 pub mod holders;
 mod limit_messages;
@@ -25,16 +24,17 @@
 mod neighbour_messages;
 mod neighbours;
 mod node;
+pub mod prometheus;
 mod relayed_questions;
 mod socket;
 mod traffic;
 mod wire;
 
-pub use coordination::{Coordination, CoordinationFuture, FleetWrite, RecordWrite};
+pub use coordination::{Coordination, CoordinationFuture, FleetSizeWrite, RecordWrite};
 pub use feeds::{FeedObjects, FeedTimeouts, PUBLISH_INTERVAL};
 pub use health::{HealthService, Readiness};
 pub use membership::PeerIdentity;
 pub use neighbour_link::fetch_document;
 pub use node::{Node, NodeOptions};
 pub use stairward_membership::feed::{FeedContent, RestoredView, StoreObject, StoreRetry};
-pub use wire::{CallerMessage, MemberQuestion, Wire, WireError};
+pub use wire::{CallerMessage, MemberRequest, Wire, WireError};
--- a/crates/stairward-runtime/src/members.rs
+++ b/crates/stairward-runtime/src/members.rs
@@ -13,7 +13,7 @@
 
 use crate::backends::{Opened, open_connection};
 use crate::node::Node;
-use crate::wire::{MemberQuestion, Wire};
+use crate::wire::{MemberRequest, Wire};
 
 /// How long a member may take to answer.
 const QUESTION_PATIENCE: Duration = Duration::from_millis(800);
@@ -33,7 +33,7 @@
     pub(crate) async fn ask_member(
         self: &Rc<Self>,
         target: OpenTarget,
-        question: MemberQuestion,
+        question: MemberRequest,
     ) -> Reach {
         let asking = self.ask_until_answered(&target, question);
         tokio::time::timeout(QUESTION_PATIENCE, asking)
@@ -44,7 +44,7 @@
     async fn ask_until_answered(
         self: &Rc<Self>,
         target: &OpenTarget,
-        question: MemberQuestion,
+        question: MemberRequest,
     ) -> Reach {
         let kept = self.kept.borrow_mut().by_member.remove(&target.backend);
         if let Some(mut opened) = kept
@@ -100,10 +100,10 @@
 
 /// Asks on a connection. A member that is to step down is first asked whether it leads: only then does its
 /// answer show that its lead has ended.
-async fn ask_in_turn<W: Wire>(opened: &mut Opened, question: MemberQuestion) -> Option<Reach> {
-    let must_have_led = matches!(question, MemberQuestion::StepDown(_));
+async fn ask_in_turn<W: Wire>(opened: &mut Opened, question: MemberRequest) -> Option<Reach> {
+    let must_have_led = matches!(question, MemberRequest::StepDown(_));
     let led = must_have_led
-        && ask_on::<W>(opened, MemberQuestion::Status).await?.role == BackendRole::Primary;
+        && ask_on::<W>(opened, MemberRequest::Status).await?.role == BackendRole::Primary;
     let status = ask_on::<W>(opened, question).await?;
     Some(if led && status.role == BackendRole::Replica {
         Reach::GaveWay(status)
@@ -113,12 +113,12 @@
 }
 
 /// Asks on a connection until there is an answer that says enough; none when the connection fails.
-async fn ask_on<W: Wire>(opened: &mut Opened, question: MemberQuestion) -> Option<MemberStatus> {
+async fn ask_on<W: Wire>(opened: &mut Opened, question: MemberRequest) -> Option<MemberStatus> {
     let mut decoder = W::ReplyDecoder::default();
     let began = tokio::time::Instant::now();
     loop {
         let mut bytes = BytesMut::new();
-        W::encode_question(question, &mut bytes);
+        W::encode_member_request(question, &mut bytes);
         opened.outgoing.send(&bytes).ok()?;
         let reply = loop {
             if let Some(reply) = W::decode_reply(&mut decoder, &mut opened.buffer).ok()? {
@@ -138,9 +138,9 @@
     }
 }
 
-fn is_enough(question: MemberQuestion, status: MemberStatus) -> bool {
+fn is_enough(question: MemberRequest, status: MemberStatus) -> bool {
     match question {
-        MemberQuestion::Received(all) => status.received.covers(all),
+        MemberRequest::Received(all) => status.received.covers(all),
         _ => true,
     }
 }
--- a/crates/stairward-runtime/src/membership.rs
+++ b/crates/stairward-runtime/src/membership.rs
@@ -16,7 +16,7 @@
 use stairward_types::{Incarnation, LogEvent, NodeId, RegionName, ServiceName, ZoneName};
 use tokio::net::UdpSocket;
 
-use crate::holders::OwnPlace;
+use crate::holders::LocalNode;
 use crate::node::Node;
 use crate::traffic::TrafficKind;
 use crate::wire::Wire;
@@ -180,7 +180,7 @@
         let changes = {
             let members = self.members.borrow();
             let mut holders = self.holders.borrow_mut();
-            holders.set_services(&self.own_place(), &members, counts)
+            holders.set_services(&self.local_node(), &members, counts)
         };
         self.show_holders(changes);
     }
@@ -205,7 +205,7 @@
         let changes = {
             let members = self.members.borrow();
             let mut holders = self.holders.borrow_mut();
-            holders.change_services(&self.own_place(), &members, counts)
+            holders.update_holder_counts(&self.local_node(), &members, counts)
         };
         self.show_holders(changes);
     }
@@ -225,14 +225,14 @@
             let of_member = |member: &Profile| (member.node, member.region.clone());
             let regions = members.iter().map(of_member).collect();
             let mut holders = self.holders.borrow_mut();
-            (regions, holders.set_members(&self.own_place(), &members))
+            (regions, holders.set_members(&self.local_node(), &members))
         };
         self.handle(stairward_engine::Event::NodeRegions(regions));
         self.show_holders(changes);
     }
 
-    fn own_place(&self) -> OwnPlace {
-        OwnPlace {
+    fn local_node(&self) -> LocalNode {
+        LocalNode {
             node: self.peer.node,
             region: self.peer.region.clone(),
             zone: self.peer.zone.clone(),
--- a/crates/stairward-runtime/src/node.rs
+++ b/crates/stairward-runtime/src/node.rs
@@ -22,17 +22,17 @@
 };
 use tokio::sync::Notify;
 
-use crate::coordination::{Coordination, FleetWrite};
-use crate::discovered::Discovered;
+use crate::backend_registry::BackendRegistry;
+use crate::coordination::{Coordination, FleetSizeWrite};
 use crate::feeds::Feeds;
-use crate::figures;
 use crate::health::Readiness;
-use crate::holders::HolderView;
+use crate::holders::HolderAssignments;
 use crate::limit_messages::ask_message;
 use crate::log::{DecisionLog, EvacuationLine, LeadLine};
 use crate::members::KeptConnections;
 use crate::membership::PeerIdentity;
 use crate::neighbours::{Guests, Link};
+use crate::prometheus;
 use crate::relayed_questions::User;
 use crate::socket::Outgoing;
 use crate::traffic::Traffic;
@@ -64,13 +64,13 @@
     started: Instant,
     pub(crate) sessions: RefCell<BTreeMap<SessionId, Rc<Outgoing>>>,
     pub(crate) connections: RefCell<BTreeMap<ConnectionId, Rc<Outgoing>>>,
-    pub(crate) discovered: RefCell<Discovered>,
+    pub(crate) discovered: RefCell<BackendRegistry>,
     pub(crate) leader_memory: RefCell<LeaderMemory>,
     pub(crate) peer: PeerIdentity,
     /// The membership view.
     pub(crate) members: RefCell<Vec<Profile>>,
     /// Which nodes hold connections to which services.
-    pub(crate) holders: RefCell<HolderView>,
+    pub(crate) holders: RefCell<HolderAssignments>,
     pub(crate) links: RefCell<BTreeMap<NodeId, Link>>,
     pub(crate) guests: RefCell<Guests>,
     pub(crate) kept: RefCell<KeptConnections>,
@@ -215,10 +215,10 @@
         let node = Rc::clone(self);
         tokio::task::spawn_local(async move {
             match writing.await {
-                FleetWrite::Known(version, nodes) => {
+                FleetSizeWrite::Known(version, nodes) => {
                     node.apply_fleet_size(version, nodes);
                 }
-                FleetWrite::Failed => tracing::warn!(
+                FleetSizeWrite::Failed => tracing::warn!(
                     event = LogEvent::StoreUnreachable.number(),
                     nodes,
                     "the number of nodes could not be recorded; it is tried again"
@@ -430,13 +430,13 @@
             }
             Effect::LeavingObserved { backend, change } => {
                 if let LeavingChange::Over { sent, .. } = change {
-                    figures::count_sent_to_leaving(sent);
+                    prometheus::count_sent_to_leaving(sent);
                 }
                 self.log.leaving(now, &backend, change);
             }
             Effect::StartObserved { backend } => {
                 if let Some(backend) = self.discovered.borrow().get(&backend) {
-                    figures::count_start(&backend.service);
+                    prometheus::count_backend_start(&backend.service);
                 }
                 let event = LogEvent::BackendStarted;
                 self.log.backend(now, event, backend.as_str());
@@ -451,7 +451,7 @@
                 self.tell_duty_of(&service.into_iter().collect());
             }
             Effect::Record(record) => self.log.request(now, &record),
-            Effect::Measured(measure) => figures::count(&measure),
+            Effect::Measured(measure) => prometheus::count_request(&measure),
             Effect::Stopped => {
                 self.is_stopped.set(true);
                 self.stopped.notify_waiters();
@@ -520,7 +520,7 @@
         };
         self.log.evacuation(now, &line);
         if !is_evacuated {
-            figures::show_evacuated(zone, ZoneWork::default());
+            prometheus::set_evacuated_zone_work(zone, ZoneWork::default());
         }
     }
 
--- a/crates/stairward-runtime/src/figures.rs
+++ b/crates/stairward-runtime/src/prometheus.rs
@@ -54,7 +54,7 @@
 ///
 /// # Errors
 /// When counting was started before.
-pub fn start() -> Result<PrometheusHandle, BuildError> {
+pub fn install_recorder() -> Result<PrometheusHandle, BuildError> {
     PrometheusBuilder::new()
         .set_buckets(&BUCKETS)?
         .install_recorder()
@@ -89,27 +89,27 @@
 }
 
 /// Counts a start of a back end under the id that it had.
-pub(crate) fn count_start(service: &ServiceName) {
+pub(crate) fn count_backend_start(service: &ServiceName) {
     metrics::counter!(STARTS, "service" => service.to_string()).increment(1);
 }
 
 /// Counts an entry of discovery that can't be used.
-pub fn count_entry_refused(reason: &'static str) {
+pub fn count_refused_entry(reason: &'static str) {
     metrics::counter!(ENTRIES_REFUSED, "reason" => reason).increment(1);
 }
 
 /// Shows which copy of the store answers.
-pub fn show_store_era(era: u64) {
+pub fn set_store_era(era: u64) {
     metrics::gauge!(STORE_ERA).set(gauge_of_number(era));
 }
 
 /// Shows which revision of the store's a feed holds.
-pub(crate) fn show_feed_revision(feed: &str, held: StoreRevision) {
+pub(crate) fn set_feed_revision(feed: &str, held: StoreRevision) {
     metrics::gauge!(FEED_REVISION, "feed" => feed.to_owned()).set(gauge_of_number(held.revision()));
 }
 
 /// Counts a request that ended.
-pub(crate) fn count(measure: &RequestMeasure) {
+pub(crate) fn count_request(measure: &RequestMeasure) {
     let consistency = consistency_name(measure.consistency);
     let access = access_name(measure.access);
     let outcome = outcome_name(measure.outcome);
@@ -128,7 +128,7 @@
 }
 
 /// Counts a step of the failover duty.
-pub(crate) fn count_step(action: &Action) {
+pub(crate) fn count_failover_step(action: &Action) {
     let step = match action {
         Action::Began { .. } => "began",
         Action::GaveUp { .. } => "given_up",
@@ -154,14 +154,14 @@
 }
 
 /// Shows what still goes on in an evacuated zone; nothing once it is taken back.
-pub(crate) fn show_evacuated(zone: &ZoneName, work: ZoneWork) {
+pub(crate) fn set_evacuated_zone_work(zone: &ZoneName, work: ZoneWork) {
     let zone = zone.as_str().to_owned();
     metrics::gauge!(EVACUATED_CONNECTIONS, "zone" => zone.clone()).set(gauge(work.connections));
     metrics::gauge!(EVACUATED_STATEMENTS, "zone" => zone).set(gauge(work.statements));
 }
 
 /// Shows what the links to other nodes carry.
-pub(crate) fn show_traffic(traffic: &Traffic, links: usize) {
+pub(crate) fn set_peer_traffic(traffic: &Traffic, links: usize) {
     traffic.for_each_message_count(|kind, direction, messages, bytes| {
         metrics::counter!(PEER_MESSAGES, "kind" => kind, "direction" => direction)
             .absolute(messages);
@@ -175,7 +175,7 @@
 }
 
 /// Shows how much is open.
-pub(crate) fn show(statistics: EngineStatistics) {
+pub(crate) fn set_engine_statistics(statistics: EngineStatistics) {
     metrics::gauge!(SESSIONS).set(gauge(statistics.sessions));
     metrics::gauge!(CONNECTIONS).set(gauge(statistics.connections));
     metrics::gauge!(WAITING).set(gauge(statistics.waiting));
--- a/crates/stairward-runtime/src/relayed_questions.rs
+++ b/crates/stairward-runtime/src/relayed_questions.rs
@@ -17,7 +17,7 @@
 use crate::neighbour_link::{connect, frame};
 use crate::node::Node;
 use crate::traffic::OpeningKind;
-use crate::wire::{MemberQuestion, Wire};
+use crate::wire::{MemberRequest, Wire};
 
 /// How long a peer may take to pass a question on and to answer.
 const RELAY_PATIENCE: Duration = Duration::from_millis(1_000);
@@ -200,7 +200,7 @@
         self: &Rc<Self>,
         peer: NodeId,
         target: &OpenTarget,
-        question: MemberQuestion,
+        question: MemberRequest,
     ) -> Reach {
         let address = {
             let members = self.members.borrow();
@@ -239,14 +239,11 @@
 }
 
 /// A question as a message; none for one that is not passed on.
-fn question_message(
-    target: &OpenTarget,
-    question: MemberQuestion,
-) -> Option<MemberQuestionMessage> {
+fn question_message(target: &OpenTarget, question: MemberRequest) -> Option<MemberQuestionMessage> {
     let (question, term) = match question {
-        MemberQuestion::StepDown(term) => (MemberQuestionMessage::STEP_DOWN, term),
-        MemberQuestion::Hold(term) => (MemberQuestionMessage::HOLD, term),
-        MemberQuestion::Status | MemberQuestion::Received(_) | MemberQuestion::Resume => {
+        MemberRequest::StepDown(term) => (MemberQuestionMessage::STEP_DOWN, term),
+        MemberRequest::Hold(term) => (MemberQuestionMessage::HOLD, term),
+        MemberRequest::Status | MemberRequest::Received(_) | MemberRequest::Resume => {
             return None;
         }
     };
@@ -263,11 +260,11 @@
     })
 }
 
-fn question_of(message: &MemberQuestionMessage) -> Option<(OpenTarget, MemberQuestion)> {
+fn question_of(message: &MemberQuestionMessage) -> Option<(OpenTarget, MemberRequest)> {
     let term = Term(message.term);
     let question = match message.question {
-        MemberQuestionMessage::STEP_DOWN => MemberQuestion::StepDown(term),
-        MemberQuestionMessage::HOLD => MemberQuestion::Hold(term),
+        MemberQuestionMessage::STEP_DOWN => MemberRequest::StepDown(term),
+        MemberQuestionMessage::HOLD => MemberRequest::Hold(term),
         _ => return None,
     };
     let target = OpenTarget {
--- a/crates/stairward-runtime/src/wire.rs
+++ b/crates/stairward-runtime/src/wire.rs
@@ -48,7 +48,7 @@
 
 /// A question to a member of a group, outside any session.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum MemberQuestion {
+pub enum MemberRequest {
     /// What it says of itself.
     Status,
     /// What it says of itself once it has received this.
@@ -107,5 +107,5 @@
     ) -> Result<Option<BackendReply>, WireError>;
 
     /// Asks a member.
-    fn encode_question(question: MemberQuestion, out: &mut BytesMut);
+    fn encode_member_request(question: MemberRequest, out: &mut BytesMut);
 }
--- a/crates/stairward-runtime/tests/discovered.rs
+++ b/crates/stairward-runtime/tests/backend_registry.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use stairward_engine::{BackendDescription, DiscoveryChange};
-use stairward_runtime::discovered::Discovered;
+use stairward_runtime::backend_registry::BackendRegistry;
 use stairward_testing::check;
 use stairward_types::{BackendId, BackendRole, ServiceName, StoreRevision, Time, ZoneName};
 
@@ -46,7 +46,7 @@
 }
 
 /// What differs in a whole list from what is known of these back ends.
-fn difference(discovered: &Discovered, list: Vec<BackendDescription>) -> DiscoveryChange {
+fn difference(discovered: &BackendRegistry, list: Vec<BackendDescription>) -> DiscoveryChange {
     let ids = (0..8).map(|number| BackendId::new(format!("db-{number}")).unwrap());
     let is_gone = |id: &BackendId| {
         discovered.get(id).is_some() && !list.iter().any(|backend| backend.id == *id)
@@ -65,7 +65,7 @@
     check!()
         .with_type::<Vec<Vec<(u8, u8)>>>()
         .for_each(|lists| {
-            let mut discovered = Discovered::default();
+            let mut discovered = BackendRegistry::default();
             for steps in lists {
                 let list = list(steps);
                 let change = difference(&discovered, list.values().cloned().collect());
@@ -92,7 +92,7 @@
 
 #[test]
 fn one_that_is_gone_is_remembered_for_a_minute() {
-    let mut discovered = Discovered::default();
+    let mut discovered = BackendRegistry::default();
     let both = vec![describe(1, 1), describe(2, 1)];
     let change = difference(&discovered, both);
     discovered.apply(Time::ZERO, &change);
@@ -102,8 +102,8 @@
     let touched = discovered.apply(Time::from_millis(1_000), &change);
     assert!(touched.contains(&service(1)) && !touched.contains(&service(2)));
     assert!(discovered.get(&id).is_none());
-    assert!(discovered.get_or_remembered(&id).is_some());
+    assert!(discovered.get_including_removed(&id).is_some());
     let change = difference(&discovered, vec![describe(2, 3)]);
     discovered.apply(Time::from_millis(62_000), &change);
-    assert!(discovered.get_or_remembered(&id).is_none());
+    assert!(discovered.get_including_removed(&id).is_none());
 }
--- a/crates/stairward-runtime/tests/holders.rs
+++ b/crates/stairward-runtime/tests/holders.rs
@@ -5,7 +5,7 @@
 
 use stairward_engine::ServiceHolders;
 use stairward_membership::{Profile, Version};
-use stairward_runtime::holders::{HolderView, OwnPlace};
+use stairward_runtime::holders::{HolderAssignments, LocalNode};
 use stairward_testing::check;
 use stairward_types::{Incarnation, NodeId, RegionName, ServiceName, ZoneName};
 
@@ -28,8 +28,8 @@
     }
 }
 
-fn own() -> OwnPlace {
-    OwnPlace {
+fn own() -> LocalNode {
+    LocalNode {
         node: NodeId(1),
         region: region(0),
         zone: zone(0),
@@ -49,7 +49,7 @@
         .with_type::<(Vec<(u8, u8, u8)>, u8)>()
         .for_each(|(changes, holders)| {
             let counts = counts(usize::from(holders % 12));
-            let mut changed = HolderView::default();
+            let mut changed = HolderAssignments::default();
             let mut told = changed.set_services(&own(), &[], counts.clone());
             let mut present: BTreeMap<u8, Profile> = BTreeMap::new();
             for (node, place, change) in changes {
@@ -60,7 +60,7 @@
                 }
                 let members: Vec<_> = present.values().cloned().collect();
                 told.extend(changed.set_members(&own(), &members));
-                let mut anew = HolderView::default();
+                let mut anew = HolderAssignments::default();
                 anew.set_members(&own(), &members);
                 assert_eq!(told, anew.set_services(&own(), &members, counts.clone()));
             }
@@ -70,7 +70,7 @@
 #[test]
 fn a_service_that_goes_leaves_nothing_behind() {
     let members: Vec<_> = (1..=20).map(|node| member(node, node % 6, false)).collect();
-    let mut view = HolderView::default();
+    let mut view = HolderAssignments::default();
     view.set_members(&own(), &members);
     let mut told: Told = view.set_services(&own(), &members, counts(3));
     assert_eq!(told.len(), 2);
@@ -87,7 +87,7 @@
 #[test]
 fn a_view_that_stays_the_same_changes_nothing() {
     let members: Vec<_> = (1..=20).map(|node| member(node, node % 6, false)).collect();
-    let mut view = HolderView::default();
+    let mut view = HolderAssignments::default();
     view.set_services(&own(), &[], counts(3));
     assert_eq!(view.set_members(&own(), &members).len(), 2);
     assert!(view.set_members(&own(), &members).is_empty());
