--- a/crates/stairward-proxy/src/edge/execute.rs
+++ b/crates/stairward-proxy/src/edge/execute.rs
@@ -106,7 +106,7 @@
 
     /// Joins a batch with the hints and settings in force.
     fn request(&mut self, batch: Batch) -> Result<Request, (BatchKind, EdgeError)> {
-        let hints = self.hints.in_force(batch.hints.clone());
+        let hints = self.hints.effective(batch.hints.clone());
         let now = self.now();
         let in_force = self.group.with_settings(|settings| {
             let timeout = hints.deadline.unwrap_or(settings.request_timeout);
@@ -169,7 +169,7 @@
                 "stairward.request_key can't be used within an explicit transaction",
             ));
         }
-        self.hints.spend_request_key();
+        self.hints.consume_request_key();
         Ok(Some(key))
     }
 
--- a/crates/stairward-session/src/class.rs
+++ b/crates/stairward-session/src/class.rs
@@ -6,7 +6,7 @@
 
 /// A feature that would bind a session to one connection or isn't offered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum RefusedFeature {
+pub enum UnsupportedFeature {
     /// `COPY`.
     Copy,
     /// `LISTEN` and `UNLISTEN`.
@@ -23,7 +23,7 @@
     TwoPhaseCommit,
 }
 
-impl fmt::Display for RefusedFeature {
+impl fmt::Display for UnsupportedFeature {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
             Self::Copy => "COPY",
@@ -108,7 +108,7 @@
     /// Whether it may leave state on the connection that must be reset.
     pub alters_session: bool,
     /// A feature in it that is refused.
-    pub refused: Option<RefusedFeature>,
+    pub refused: Option<UnsupportedFeature>,
     /// Changes of session state, in order.
     pub changes: Vec<SessionChange>,
 }
--- a/crates/stairward-session/src/classify.rs
+++ b/crates/stairward-session/src/classify.rs
@@ -11,7 +11,7 @@
 use stairward_types::AccessClass;
 
 use crate::class::{
-    RefusedFeature, SessionChange, StatementClass, TransactionEnd, TransactionStart,
+    SessionChange, StatementClass, TransactionEnd, TransactionStart, UnsupportedFeature,
 };
 use crate::keywords::{by_first_word, by_keywords};
 use crate::write_search::by_syntax_tree;
@@ -67,7 +67,7 @@
     }
 }
 
-pub(crate) fn refused(feature: RefusedFeature) -> StatementClass {
+pub(crate) fn refused(feature: UnsupportedFeature) -> StatementClass {
     StatementClass {
         refused: Some(feature),
         ..write()
@@ -136,8 +136,10 @@
             text: statement.to_string(),
         }),
         Statement::Deallocate { name, .. } => changes(deallocate(&name.value)),
-        Statement::LISTEN { .. } | Statement::UNLISTEN { .. } => refused(RefusedFeature::Listen),
-        Statement::Copy { .. } => refused(RefusedFeature::Copy),
+        Statement::LISTEN { .. } | Statement::UNLISTEN { .. } => {
+            refused(UnsupportedFeature::Listen)
+        }
+        Statement::Copy { .. } => refused(UnsupportedFeature::Copy),
         other => classify_other(other),
     }
 }
@@ -147,15 +149,17 @@
 fn classify_other(statement: &Statement) -> StatementClass {
     match statement {
         Statement::CreateTable(table) if table.temporary => {
-            refused(RefusedFeature::TemporaryObject)
+            refused(UnsupportedFeature::TemporaryObject)
+        }
+        Statement::CreateView(view) if view.temporary => {
+            refused(UnsupportedFeature::TemporaryObject)
         }
-        Statement::CreateView(view) if view.temporary => refused(RefusedFeature::TemporaryObject),
         Statement::CreateSequence {
             temporary: true, ..
-        } => refused(RefusedFeature::TemporaryObject),
+        } => refused(UnsupportedFeature::TemporaryObject),
         Statement::Declare { stmts, .. } => {
             if stmts.iter().any(|cursor| cursor.hold == Some(true)) {
-                return refused(RefusedFeature::CursorWithHold);
+                return refused(UnsupportedFeature::CursorWithHold);
             }
             by_syntax_tree(statement)
         }
@@ -228,7 +232,7 @@
         )),
         Set::SetTransaction { session: false, .. } => read(),
         Set::SetRole { .. } | Set::SetSessionAuthorization(_) => {
-            refused(RefusedFeature::RoleChange)
+            refused(UnsupportedFeature::RoleChange)
         }
         _ => StatementClass::unknown(),
     }
@@ -244,7 +248,7 @@
 fn classify_reset(reset: &Reset) -> StatementClass {
     match reset {
         Reset::ALL => changes(SessionChange::ResetAll),
-        Reset::SessionAuthorization => refused(RefusedFeature::RoleChange),
+        Reset::SessionAuthorization => refused(UnsupportedFeature::RoleChange),
         Reset::ConfigurationParameter(name) => changes(SessionChange::Reset {
             name: plain_name(name),
         }),
--- a/crates/stairward-session/src/hints.rs
+++ b/crates/stairward-session/src/hints.rs
@@ -192,7 +192,7 @@
     }
 
     /// Forgets a request key given by `SET`, since a key serves one request.
-    pub fn spend_request_key(&mut self) {
+    pub fn consume_request_key(&mut self) {
         self.startup.request_key = None;
         self.session.request_key = None;
         if let Some(transaction) = &mut self.transaction {
@@ -202,7 +202,7 @@
 
     /// What is in force for a statement with hints of its own.
     #[must_use]
-    pub fn in_force(&self, statement: Hints) -> Hints {
+    pub fn effective(&self, statement: Hints) -> Hints {
         let hints = match &self.transaction {
             Some(transaction) => statement.or(transaction),
             None => statement,
--- a/crates/stairward-session/src/keywords.rs
+++ b/crates/stairward-session/src/keywords.rs
@@ -2,7 +2,7 @@
 
 use sqlparser::tokenizer::Token;
 
-use crate::class::{RefusedFeature, StatementClass, TransactionEnd, TransactionStart};
+use crate::class::{StatementClass, TransactionEnd, TransactionStart, UnsupportedFeature};
 use crate::classify::{begins, ends, read, refused};
 
 /// Classifies text that doesn't parse, by the first word of each statement.
@@ -30,8 +30,8 @@
 pub(crate) fn by_first_word(word: &str) -> StatementClass {
     match word.to_ascii_uppercase().as_str() {
         "" => StatementClass::empty(),
-        "COPY" => refused(RefusedFeature::Copy),
-        "LISTEN" | "UNLISTEN" => refused(RefusedFeature::Listen),
+        "COPY" => refused(UnsupportedFeature::Copy),
+        "LISTEN" | "UNLISTEN" => refused(UnsupportedFeature::Listen),
         "SHOW" => read(),
         "BEGIN" | "START" => begins(TransactionStart::ReadWrite),
         "COMMIT" | "END" => ends(TransactionEnd::Commit),
--- a/crates/stairward-session/src/lib.rs
+++ b/crates/stairward-session/src/lib.rs
@@ -24,11 +24,13 @@
 mod write_search;
 
 pub use cache::ClassCache;
-pub use class::{RefusedFeature, SessionChange, StatementClass, TransactionEnd, TransactionStart};
+pub use class::{
+    SessionChange, StatementClass, TransactionEnd, TransactionStart, UnsupportedFeature,
+};
 pub use classify::classify;
 pub use comment::hints_in_comments;
 pub use floor::SessionFloor;
 pub use hints::{HintError, Hints, SessionHints};
-pub use prepared::{PreparedStatement, PreparedStatements, TooManyPreparedBytes};
+pub use prepared::{PreparedStatement, PreparedStatements, PreparedStatementsTooLarge};
 pub use token::{SessionToken, TokenError, TokenKey};
-pub use variables::{SessionVariables, TooManyVariableBytes, quote_literal};
+pub use variables::{SessionSettingsTooLarge, SessionVariables, quote_literal};
--- a/crates/stairward-session/src/prepared.rs
+++ b/crates/stairward-session/src/prepared.rs
@@ -13,7 +13,7 @@
 /// A session prepares more than is kept for it.
 #[derive(Debug, Snafu, PartialEq, Eq)]
 #[snafu(display("the session's prepared statements exceed {MAXIMUM_BYTES} bytes"))]
-pub struct TooManyPreparedBytes;
+pub struct PreparedStatementsTooLarge;
 
 /// One prepared statement.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -43,15 +43,15 @@
     /// Remembers a statement. One of the same name is replaced.
     ///
     /// # Errors
-    /// [`TooManyPreparedBytes`]; nothing changes then.
+    /// [`PreparedStatementsTooLarge`]; nothing changes then.
     pub fn insert(
         &mut self,
         name: &str,
         statement: PreparedStatement,
-    ) -> Result<(), TooManyPreparedBytes> {
+    ) -> Result<(), PreparedStatementsTooLarge> {
         let freed = self.statements.get(name).map_or(0, size);
         let bytes = self.bytes - freed + size(&statement);
-        ensure!(bytes <= MAXIMUM_BYTES, TooManyPreparedBytesSnafu);
+        ensure!(bytes <= MAXIMUM_BYTES, PreparedStatementsTooLargeSnafu);
         self.bytes = bytes;
         self.statements.insert(name.to_owned(), statement);
         Ok(())
--- a/crates/stairward-session/src/variables.rs
+++ b/crates/stairward-session/src/variables.rs
@@ -12,7 +12,7 @@
 /// A session sets more than is kept for it.
 #[derive(Debug, Snafu, PartialEq, Eq)]
 #[snafu(display("the session's settings exceed {MAXIMUM_BYTES} bytes"))]
-pub struct TooManyVariableBytes;
+pub struct SessionSettingsTooLarge;
 
 /// A value as a quoted SQL literal.
 #[must_use]
@@ -90,15 +90,18 @@
     /// Notes a change that the back end has accepted.
     ///
     /// # Errors
-    /// [`TooManyVariableBytes`]; nothing changes then.
+    /// [`SessionSettingsTooLarge`]; nothing changes then.
     pub fn apply(
         &mut self,
         change: &SessionChange,
         in_transaction: bool,
-    ) -> Result<(), TooManyVariableBytes> {
+    ) -> Result<(), SessionSettingsTooLarge> {
         let mut changed = self.current.clone();
         changed.apply(change, &self.startup);
-        ensure!(changed.bytes() <= MAXIMUM_BYTES, TooManyVariableBytesSnafu);
+        ensure!(
+            changed.bytes() <= MAXIMUM_BYTES,
+            SessionSettingsTooLargeSnafu
+        );
         let before = std::mem::replace(&mut self.current, changed);
         if in_transaction {
             self.before_transaction
--- a/crates/stairward-session/src/write_search.rs
+++ b/crates/stairward-session/src/write_search.rs
@@ -7,7 +7,7 @@
 };
 use stairward_types::AccessClass;
 
-use crate::class::{RefusedFeature, StatementClass};
+use crate::class::{StatementClass, UnsupportedFeature};
 use crate::classify::{plain_name, read};
 use crate::pure_functions::{is_pure_function, is_session_lock_function};
 
@@ -28,7 +28,7 @@
         let name = plain_name(name);
         let name = name.strip_prefix("pg_catalog.").unwrap_or(&name);
         if is_session_lock_function(name) {
-            self.class.refused = Some(RefusedFeature::AdvisoryLock);
+            self.class.refused = Some(UnsupportedFeature::AdvisoryLock);
         }
         if !is_pure_function(name) {
             self.found_write();
--- a/crates/stairward-session/tests/classes.rs
+++ b/crates/stairward-session/tests/classes.rs
@@ -1,7 +1,7 @@
 //! Classes of statements.
 
 use stairward_session::{
-    ClassCache, RefusedFeature, SessionChange, TransactionEnd, TransactionStart, classify,
+    ClassCache, SessionChange, TransactionEnd, TransactionStart, UnsupportedFeature, classify,
 };
 use stairward_types::AccessClass;
 
@@ -58,27 +58,30 @@
 #[test]
 fn session_bound_features_are_found_wherever_they_stand() {
     for (text, feature) in [
-        ("COPY books FROM STDIN", RefusedFeature::Copy),
-        ("SELECT 1; COPY books TO STDOUT", RefusedFeature::Copy),
+        ("COPY books FROM STDIN", UnsupportedFeature::Copy),
+        ("SELECT 1; COPY books TO STDOUT", UnsupportedFeature::Copy),
         (
             "COPY (SELECT 1) TO STDOUT WITH (WHAT EVER)",
-            RefusedFeature::Copy,
+            UnsupportedFeature::Copy,
         ),
-        ("LISTEN news", RefusedFeature::Listen),
+        ("LISTEN news", UnsupportedFeature::Listen),
         (
             "CREATE TEMP TABLE t (id integer)",
-            RefusedFeature::TemporaryObject,
+            UnsupportedFeature::TemporaryObject,
+        ),
+        (
+            "SELECT pg_advisory_lock(1)",
+            UnsupportedFeature::AdvisoryLock,
         ),
-        ("SELECT pg_advisory_lock(1)", RefusedFeature::AdvisoryLock),
         (
             "SELECT * FROM books WHERE pg_try_advisory_lock(id)",
-            RefusedFeature::AdvisoryLock,
+            UnsupportedFeature::AdvisoryLock,
         ),
         (
             "DECLARE c CURSOR WITH HOLD FOR SELECT 1",
-            RefusedFeature::CursorWithHold,
+            UnsupportedFeature::CursorWithHold,
         ),
-        ("SET ROLE admin", RefusedFeature::RoleChange),
+        ("SET ROLE admin", UnsupportedFeature::RoleChange),
     ] {
         assert_eq!(classify(text).refused, Some(feature), "{text}");
     }
--- a/crates/stairward-session/tests/state.rs
+++ b/crates/stairward-session/tests/state.rs
@@ -51,7 +51,7 @@
     let mut startup = Hints::default();
     startup.set("stairward.deadline_ms", "1").unwrap();
     let mut session = SessionHints::new(startup);
-    let deadline = |session: &SessionHints| session.in_force(Hints::default()).deadline;
+    let deadline = |session: &SessionHints| session.effective(Hints::default()).deadline;
     session.set("stairward.deadline_ms", "2", false).unwrap();
     assert_eq!(deadline(&session), Some(Duration::from_millis(2)));
     session.set("stairward.deadline_ms", "3", true).unwrap();
@@ -65,8 +65,8 @@
 fn a_request_key_serves_one_request() {
     let mut session = SessionHints::default();
     session.set("stairward.request_key", "k", false).unwrap();
-    session.spend_request_key();
-    assert_eq!(session.in_force(Hints::default()).request_key, None);
+    session.consume_request_key();
+    assert_eq!(session.effective(Hints::default()).request_key, None);
 }
 
 #[test]
