--- a/crates/stairward-runtime/src/node.rs
+++ b/crates/stairward-runtime/src/node.rs
@@ -23,17 +23,17 @@
 };
 use tokio::sync::Notify;
 
-use crate::coordination::{Coordination, FleetWrite};
-use crate::discovered::Discovered;
+use crate::backend_registry::BackendRegistry;
+use crate::coordination::{Coordination, FleetSizeWrite};
 use crate::feeds::Feeds;
-use crate::figures;
 use crate::health::Readiness;
-use crate::holders::HolderView;
+use crate::holders::HolderAssignments;
 use crate::limit_messages::ask_message;
 use crate::log::{DecisionLog, EvacuationLine, LeadLine};
 use crate::members::KeptConnections;
 use crate::membership::PeerIdentity;
 use crate::neighbours::{Guests, Link};
+use crate::prometheus;
 use crate::relayed_questions::User;
 use crate::socket::Outgoing;
 use crate::traffic::Traffic;
@@ -65,13 +65,13 @@
     started: Instant,
     pub(crate) sessions: RefCell<BTreeMap<SessionId, Rc<Outgoing>>>,
     pub(crate) connections: RefCell<BTreeMap<ConnectionId, Rc<Outgoing>>>,
-    pub(crate) discovered: RefCell<Discovered>,
+    pub(crate) discovered: RefCell<BackendRegistry>,
     pub(crate) leader_memory: RefCell<LastKnownPrimaries>,
     pub(crate) peer: PeerIdentity,
     /// The membership view.
     pub(crate) members: RefCell<Vec<Profile>>,
     /// Which nodes hold connections to which services.
-    pub(crate) holders: RefCell<HolderView>,
+    pub(crate) holders: RefCell<HolderAssignments>,
     pub(crate) links: RefCell<BTreeMap<NodeId, Link>>,
     pub(crate) guests: RefCell<Guests>,
     pub(crate) kept: RefCell<KeptConnections>,
@@ -166,7 +166,7 @@
     }
 
     /// Puts a configuration in force, unless a newer one is.
-    pub fn configure(self: &Rc<Self>, table: RoutingTable) {
+    pub fn apply_configuration(self: &Rc<Self>, table: RoutingTable) {
         let revision = table.revision;
         let known = self.routing_table().map(|known| known.revision);
         if known.is_some_and(|known| revision <= known) {
@@ -186,7 +186,7 @@
 
     /// Takes in the zones to whose back ends nothing is to be sent, whole. What is new in them came about after
     /// `since`, or at any time where that is not known.
-    pub fn set_evacuated(self: &Rc<Self>, zones: BTreeSet<ZoneName>, since: Option<Time>) {
+    pub fn set_evacuated_zones(self: &Rc<Self>, zones: BTreeSet<ZoneName>, since: Option<Time>) {
         if *self.evacuated.borrow() == zones {
             return;
         }
@@ -196,7 +196,7 @@
     }
 
     /// Takes in what differs in discovery's list. It came about after `since`, or at any time where that is not known.
-    pub fn change_backends(self: &Rc<Self>, change: DiscoveryChange, since: Option<Time>) {
+    pub fn apply_discovery(self: &Rc<Self>, change: DiscoveryChange, since: Option<Time>) {
         let touched = self.discovered.borrow_mut().apply(self.now(), &change);
         // Before the engine opens connections: how many nodes hold them follows from what the back ends can use.
         self.update_services(&touched);
@@ -205,7 +205,7 @@
     }
 
     /// The number of nodes on record, as the store shows it; 0 where it shows no record.
-    pub fn learn_fleet_size(self: &Rc<Self>, version: RecordVersion, nodes: u32) {
+    pub fn apply_fleet_size(self: &Rc<Self>, version: RecordVersion, nodes: u32) {
         self.fleet_version.set(version);
         self.handle(Event::FleetSizeRecorded(nodes));
     }
@@ -216,10 +216,10 @@
         let node = Rc::clone(self);
         tokio::task::spawn_local(async move {
             match writing.await {
-                FleetWrite::Known(version, nodes) => {
-                    node.learn_fleet_size(version, nodes);
+                FleetSizeWrite::Known(version, nodes) => {
+                    node.apply_fleet_size(version, nodes);
                 }
-                FleetWrite::Failed => tracing::warn!(
+                FleetSizeWrite::Failed => tracing::warn!(
                     event = LogEvent::StoreUnreachable.number(),
                     nodes,
                     "the number of nodes could not be recorded; it is tried again"
@@ -435,13 +435,13 @@
             }
             Effect::LeavingObserved { backend, change } => {
                 if let LeavingChange::Expired { sent, .. } = change {
-                    figures::count_sent_to_leaving(sent);
+                    prometheus::count_sent_to_leaving(sent);
                 }
                 self.log.leaving(now, &backend, change);
             }
             Effect::RestartObserved { backend } => {
                 if let Some(backend) = self.discovered.borrow().get(&backend) {
-                    figures::count_start(&backend.service);
+                    prometheus::count_backend_start(&backend.service);
                 }
                 let event = LogEvent::BackendStarted;
                 self.log.backend(now, event, backend.as_str());
@@ -456,7 +456,7 @@
                 self.tell_duty_of(&service.into_iter().collect());
             }
             Effect::Record(record) => self.log.request(now, &record),
-            Effect::Measured(measure) => figures::count(&measure),
+            Effect::Measured(measure) => prometheus::count_request(&measure),
             Effect::Stopped => {
                 self.is_stopped.set(true);
                 self.stopped.notify_waiters();
@@ -525,7 +525,7 @@
         };
         self.log.evacuation(now, &line);
         if !is_evacuated {
-            figures::show_evacuated(zone, ZoneActivity::default());
+            prometheus::set_evacuated_zone_work(zone, ZoneActivity::default());
         }
     }
 
