--- a/crates/stairward-engine/src/admission.rs
+++ b/crates/stairward-engine/src/admission.rs
@@ -33,8 +33,10 @@
         let session = self.sessions.get(&id)?;
         let request = session.request.as_ref()?;
         let is_counted = !session.is_forwarded
-            && !matches!(request.kind,
-                RequestKind::InTransaction { .. } | RequestKind::Commit);
+            && !matches!(
+                request.kind,
+                RequestKind::InTransaction { .. } | RequestKind::Commit
+            );
         let tenant = session.identity.tenant().filter(|_| is_counted)?;
         self.limits.is_limited(tenant).then(|| tenant.clone())
     }
--- a/crates/stairward-engine/src/engine.rs
+++ b/crates/stairward-engine/src/engine.rs
@@ -10,7 +10,7 @@
 use crate::backend::Backend;
 use crate::connection::Connection;
 use crate::evacuation::Evacuations;
-use crate::event::{BackendEvidence,Effect, Event};
+use crate::event::{BackendEvidence, Effect, Event};
 use crate::group::Group;
 use crate::holder_directory::HolderDirectory;
 use crate::holder_sizing::{HolderSizing, connections_per_holder};
@@ -189,7 +189,8 @@
             Event::ConnectionLost { connection } => self.connection_lost(now, connection),
             Event::ConfigurationChanged(table) => self.configure(now, table),
             Event::BackendsListed { list, since } => self.apply_backend_list(now, list, since),
-            Event::BackendsChanged { change, since } => { self.apply_discovery_change(now, change, since)
+            Event::BackendsChanged { change, since } => {
+                self.apply_discovery_change(now, change, since)
             }
             Event::NodeCountChanged(nodes) => self.record_node_count(now, nodes),
             Event::HoldersChanged(holders) => self.apply_holder_change(holders),
@@ -371,7 +372,10 @@
         if let Some(share) = self.same_zone_share(id, available) {
             return usize::try_from(share).unwrap_or(1);
         }
-        let (nodes, holders) = (self.nodes.max_recent(), self.holder_sizing(service).holder_count(),);
+        let (nodes, holders) = (
+            self.nodes.max_recent(),
+            self.holder_sizing(service).holder_count(),
+        );
         let share = if nodes <= holders {
             (available / nodes).max(1)
         } else {
@@ -425,8 +429,7 @@
             .filter_map(|service| self.groups.get(service));
         let is_unconnected = |id: &&BackendId| {
             let backend = self.backends.get(*id);
-            backend
-                .is_some_and(|backend| backend.connections.is_empty() && !backend.is_draining())
+            backend.is_some_and(|backend| backend.connections.is_empty() && !backend.is_draining())
         };
         let members = groups.flat_map(|group| &group.members);
         let unconnected: Vec<BackendId> = members.filter(is_unconnected).cloned().collect();
--- a/crates/stairward-runtime/src/node.rs
+++ b/crates/stairward-runtime/src/node.rs
@@ -8,8 +8,8 @@
 
 use bytes::BytesMut;
 use stairward_engine::{
-    BackendEvidence,
-    ConnectionId, DiscoveryChange, Effect, Engine, EngineOptions, EngineStatistics, Event, LeadershipChange, LeavingChange, RoutingTable, SessionId,
+    BackendEvidence, ConnectionId, DiscoveryChange, Effect, Engine, EngineOptions,
+    EngineStatistics, Event, LeadershipChange, LeavingChange, RoutingTable, SessionId,
     ZoneActivity,
 };
 use stairward_failover::{
@@ -362,7 +362,8 @@
             Effect::PingHolder { holder } => {
                 self.tell_neighbour(holder, &NeighbourMessage::AskAlive);
             }
-            Effect::HolderLivenessChanged { holder, is_silent } => { self.log.holder(now, holder, is_silent)
+            Effect::HolderLivenessChanged { holder, is_silent } => {
+                self.log.holder(now, holder, is_silent)
             }
             Effect::LeadershipObserved {
                 service,
@@ -400,7 +401,8 @@
                 self.log.coordinator(now, shard, silent, coordinator);
             }
             Effect::QueryPosition { service } => self.ask_peers_for_position(&service),
-            Effect::CloseForwardedSession { holder, session } => { self.close_forwarded(holder, session)
+            Effect::CloseForwardedSession { holder, session } => {
+                self.close_forwarded(holder, session)
             }
             Effect::RefuseSession { session, code } => {
                 self.log.session_refused(now, session, code);
@@ -531,11 +533,14 @@
 
     fn observed(self: &Rc<Self>, now: Time, backend: BackendId, evidence: BackendEvidence) {
         let (event, evidence) = match evidence {
-            BackendEvidence::Answered => { (LogEvent::BackendReachable, Some(LeaderEvidence::Answered))
+            BackendEvidence::Answered => {
+                (LogEvent::BackendReachable, Some(LeaderEvidence::Answered))
             }
-            BackendEvidence::Refused => { (LogEvent::BackendUnreachable, Some(LeaderEvidence::Refused))
+            BackendEvidence::Refused => {
+                (LogEvent::BackendUnreachable, Some(LeaderEvidence::Refused))
             }
-            BackendEvidence::Unresponsive => { (LogEvent::BackendUnreachable, Some(LeaderEvidence::Silent))
+            BackendEvidence::Unresponsive => {
+                (LogEvent::BackendUnreachable, Some(LeaderEvidence::Silent))
             }
             BackendEvidence::NotLeader => (LogEvent::LeadershipDenied, None),
             BackendEvidence::LostLog => (LogEvent::LogLost, Some(LeaderEvidence::LostLog)),
--- a/crates/stairward-runtime/src/relayed_questions.rs
+++ b/crates/stairward-runtime/src/relayed_questions.rs
@@ -239,10 +239,7 @@
 }
 
 /// A question as a message; none for one that is not passed on.
-fn question_message(
-    target: &OpenTarget,
-    question: MemberRequest
-) -> Option<MemberQuestionMessage> {
+fn question_message(target: &OpenTarget, question: MemberRequest) -> Option<MemberQuestionMessage> {
     let (question, term) = match question {
         MemberRequest::StepDown(term) => (MemberQuestionMessage::STEP_DOWN, term),
         MemberRequest::Hold(term) => (MemberQuestionMessage::HOLD, term),
--- a/crates/stairward-simulation/src/nodes.rs
+++ b/crates/stairward-simulation/src/nodes.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use stairward_engine::{
-    BackendDescription, ColdBound, ConnectionId, Consistency, DrainLimit, Engine, EngineOptions, Residency,
-    Route, RoutingTable, ServiceLimits, TenantDirectory, ZoneDistance,
+    BackendDescription, ColdBound, ConnectionId, Consistency, DrainLimit, Engine, EngineOptions,
+    Residency, Route, RoutingTable, ServiceLimits, TenantDirectory, ZoneDistance,
 };
 use stairward_failover::{
     FailoverController, FailoverOptions, GroupState, LEADERSHIP_LEASE, LastKnownPrimaries,
--- a/crates/stairward-simulation/src/world_databases.rs
+++ b/crates/stairward-simulation/src/world_databases.rs
@@ -357,7 +357,8 @@
         let service = crate::group::service();
         let peer_life = asked.life;
         self.tell_engine(peer, peer_life, Event::LeadershipQueried(service.clone()));
-        if let Some((possible_term, age)) = self.nodes[peer].engine.known_leadership(now, &service) {
+        if let Some((possible_term, age)) = self.nodes[peer].engine.known_leadership(now, &service)
+        {
             let event = Event::PeerLeadership {
                 service,
                 possible_term,
