--- a/crates/stairward-failover/src/controller/claim.rs
+++ b/crates/stairward-failover/src/controller/claim.rs
@@ -146,12 +146,12 @@
             self.abandon_claims(now);
         }
         for (service, (version, record)) in records {
-            let (is_own, noted) = (record.holder == self.options.node, record.term);
+            let (is_own, recorded_term) = (record.holder == self.options.node, record.term);
             let is_new = self
                 .records
                 .update(now, service.clone(), version, Some(record));
             if is_new && is_own {
-                self.claim_confirmed(now, &service, version, noted);
+                self.claim_confirmed(now, &service, version, recorded_term);
             }
         }
     }
@@ -163,12 +163,12 @@
         version: RecordVersion,
         record: FailoverRecord,
     ) {
-        let noted = record.term;
+        let recorded_term = record.term;
         let is_new = self
             .records
             .update(now, service.clone(), version, Some(record));
         if is_new {
-            self.claim_confirmed(now, service, version, noted);
+            self.claim_confirmed(now, service, version, recorded_term);
         }
     }
 
@@ -179,7 +179,7 @@
         now: Time,
         service: &ServiceName,
         version: RecordVersion,
-        noted: Term,
+        recorded_term: Term,
     ) {
         let Some(attempt) = self.attempts.get_mut(service) else {
             return;
@@ -194,7 +194,7 @@
         attempt.token = Some(FencingToken(version.0.number()));
         attempt.claimed_at = now;
         attempt.demotion = None;
-        attempt.known_term = attempt.known_term.max(noted);
+        attempt.known_term = attempt.known_term.max(recorded_term);
         attempt.enter_stage(Stage::Querying, now);
         self.query_members(service);
     }
--- a/crates/stairward-failover/src/controller/promotion.rs
+++ b/crates/stairward-failover/src/controller/promotion.rs
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Tells the nodes that were told of a promotion that the attempt is over.
+    /// Announces the end of the attempt to the nodes that were told of its promotion.
     pub(super) fn announce_attempt_ended(&mut self, service: &ServiceName) {
         let attempt = self.attempts.get(service);
         let was_announced = attempt
--- a/crates/stairward-failover/src/event.rs
+++ b/crates/stairward-failover/src/event.rs
@@ -24,8 +24,8 @@
     }
 }
 
-/// A number that increases with every promotion decision. A database refuses a promotion whose
-/// token is lower than one that it has already seen.
+/// A number that increases with every promotion decision. A promotion is refused if a higher token
+/// has been seen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FencingToken(pub u64);
 
--- a/crates/stairward-failover/src/records.rs
+++ b/crates/stairward-failover/src/records.rs
@@ -79,8 +79,8 @@
             return false;
         }
         if let Some(record) = &record {
-            let noted = self.terms.entry(service.clone()).or_default();
-            *noted = record.term.max(*noted);
+            let newest = self.terms.entry(service.clone()).or_default();
+            *newest = record.term.max(*newest);
         }
         let known = KnownRecord {
             version,
--- a/crates/stairward-failover/tests/demotion.rs
+++ b/crates/stairward-failover/tests/demotion.rs
@@ -90,7 +90,7 @@
     }
 
     /// As [`Self::claimed`], over a record in which the last holder recorded a term.
-    fn claimed_over(is_planned: bool, noted: Term) -> Self {
+    fn claimed_over(is_planned: bool, recorded_term: Term) -> Self {
         let options = FailoverOptions {
             leadership_lease: Some(LEASE),
             ..FailoverOptions::new("a")
@@ -112,7 +112,7 @@
         if !is_planned {
             attempt.handle(Event::Evidence(backend(OLD), LeaderEvidence::Refused));
         }
-        attempt.handle(written(4, noted));
+        attempt.handle(written(4, recorded_term));
         attempt
     }
 
@@ -223,8 +223,8 @@
         attempt.promotions().is_empty(),
         "three commits have not been received yet"
     );
-    let asked = Effect::QueryUntilReceived(backend(NEXT), replica(63).received);
-    assert!(attempt.effects.contains(&asked), "{:?}", attempt.effects);
+    let expected = Effect::QueryUntilReceived(backend(NEXT), replica(63).received);
+    assert!(attempt.effects.contains(&expected), "{:?}", attempt.effects);
     attempt.answer(NEXT, replica(63));
     assert_eq!(attempt.promotions(), [backend(NEXT)]);
     assert!(
@@ -283,8 +283,8 @@
     let mut attempt = Attempt::unplanned();
     attempt.advance(600);
     attempt.confirm_holds();
-    let asked = Effect::Revoke(service(), Term(2), [PEER, USER].into());
-    assert!(attempt.effects.contains(&asked), "{:?}", attempt.effects);
+    let expected = Effect::Revoke(service(), Term(2), [PEER, USER].into());
+    assert!(attempt.effects.contains(&expected), "{:?}", attempt.effects);
     attempt.revoked(2, PEER, 1);
     assert!(
         attempt.promotions().is_empty(),
@@ -502,12 +502,12 @@
     attempt.effects.clear();
     let accepted = PromotionOutcome::Accepted;
     attempt.handle(Event::Promotion(service(), FencingToken(4), accepted));
-    let noted = attempt.effects.iter().find_map(|effect| match effect {
+    let recorded_term = attempt.effects.iter().find_map(|effect| match effect {
         Effect::WriteRecord(service, version, record) => Some((service, *version, record.term)),
         _ => None,
     });
     assert_eq!(
-        noted,
+        recorded_term,
         Some((&service(), RecordVersion(StoreRevision::new(0, 4)), Term(2)))
     );
 }
--- a/crates/stairward-failover/tests/restored_store.rs
+++ b/crates/stairward-failover/tests/restored_store.rs
@@ -152,17 +152,17 @@
 #[test]
 fn the_newest_recorded_term_survives_the_loss_of_its_record() {
     let mut node = Node::new("a");
-    let noted = FailoverRecord {
+    let recorded = FailoverRecord {
         term: Term(9),
         ..record_of("b")
     };
-    node.handle(shown(0, Some((in_era(0, 900), noted))));
+    node.handle(shown(0, Some((in_era(0, 900), recorded))));
     node.handle(shown(1, Some((in_era(1, 20), record_of("b")))));
     node.advance(LEASE + 100);
     node.observe(LeaderEvidence::Refused);
-    let noted = node.effects.iter().find_map(|effect| match effect {
+    let recorded = node.effects.iter().find_map(|effect| match effect {
         Effect::WriteRecord(_, _, record) => Some(record.term),
         _ => None,
     });
-    assert_eq!(noted, Some(Term(9)));
+    assert_eq!(recorded, Some(Term(9)));
 }
--- a/crates/stairward-failover/tests/reviews.rs
+++ b/crates/stairward-failover/tests/reviews.rs
@@ -35,8 +35,8 @@
         }
         let mut group = GroupState::default();
         for place in 0..3 {
-            let is_struck = number == detail % SERVICES;
-            let leads = place == if is_struck { shape % 4 } else { 0 };
+            let is_affected = number == detail % SERVICES;
+            let leads = place == if is_affected { shape % 4 } else { 0 };
             let role = if leads {
                 BackendRole::Primary
             } else {
@@ -44,8 +44,8 @@
             };
             let state = MemberState {
                 role,
-                is_leaving: is_struck && leads && shape & 16 != 0,
-                is_listed: !(is_struck && leads && shape & 32 != 0),
+                is_leaving: is_affected && leads && shape & 16 != 0,
+                is_listed: !(is_affected && leads && shape & 32 != 0),
                 revision: StoreRevision::new(0, u64::from(shape) + 1),
                 placement: Placement {
                     is_evacuated: shape & 64 != 0 && place == detail % 3,
--- a/crates/stairward-limits/src/coordinator.rs
+++ b/crates/stairward-limits/src/coordinator.rs
@@ -24,7 +24,7 @@
 #[derive(Debug, Clone, Copy, Default)]
 struct Bucket {
     operations: f64,
-    /// [`LentShares::whole_seconds`] of the shard at the last refill.
+    /// [`LentShares::lent_seconds`] of the shard at the last refill.
     filled_at: f64,
     /// The earliest time not yet assigned to a denied operation as its retry time.
     next_retry_at: Time,
@@ -32,9 +32,9 @@
 }
 
 impl Bucket {
-    fn refill(&mut self, limit: RateLimit, whole_seconds: f64, fraction: f64) {
-        let seconds = whole_seconds - self.filled_at;
-        self.filled_at = whole_seconds;
+    fn refill(&mut self, limit: RateLimit, lent_seconds: f64, fraction: f64) {
+        let seconds = lent_seconds - self.filled_at;
+        self.filled_at = lent_seconds;
         self.operations += limit.per_second() * seconds;
         self.operations = self.operations.min(limit.burst().max(1.0) * fraction);
     }
@@ -70,10 +70,10 @@
     fn shrink_buckets(&mut self, limits: &BTreeMap<TenantName, RateLimit>) {
         let fraction = self.shares.fraction();
         if fraction + MIN_FRACTION_DROP < self.shrunk_to {
-            let whole_seconds = self.shares.whole_seconds();
+            let lent_seconds = self.shares.lent_seconds();
             for (tenant, bucket) in &mut self.buckets {
                 match limits.get(tenant) {
-                    Some(limit) => bucket.refill(*limit, whole_seconds, fraction),
+                    Some(limit) => bucket.refill(*limit, lent_seconds, fraction),
                     None => bucket.operations = 0.0,
                 }
             }
@@ -87,12 +87,12 @@
             return;
         }
         self.swept_at = now;
-        let (whole_seconds, fraction) = (self.shares.whole_seconds(), self.shares.fraction());
+        let (lent_seconds, fraction) = (self.shares.lent_seconds(), self.shares.fraction());
         self.buckets.retain(|tenant, bucket| {
             let Some(limit) = limits.get(tenant) else {
                 return false;
             };
-            bucket.refill(*limit, whole_seconds, fraction);
+            bucket.refill(*limit, lent_seconds, fraction);
             let is_full = bucket.operations >= limit.burst().max(1.0) * fraction;
             !is_full || now.since(bucket.requested_at) < IDLE_RETENTION
         });
@@ -151,10 +151,10 @@
             granted.retry_after = Duration::from_millis(500);
             return granted;
         };
-        let (whole_seconds, fraction) = (self.shares.whole_seconds(), self.shares.fraction());
+        let (lent_seconds, fraction) = (self.shares.lent_seconds(), self.shares.fraction());
         let bucket = self.buckets.entry(demand.tenant.clone()).or_default();
         bucket.requested_at = now;
-        bucket.refill(limit, whole_seconds, fraction);
+        bucket.refill(limit, lent_seconds, fraction);
         granted.count = bucket.take(demand.waiting, 0.0);
         let unmet = demand.waiting - granted.count;
         granted.unmet = unmet;
--- a/crates/stairward-limits/src/fleet.rs
+++ b/crates/stairward-limits/src/fleet.rs
@@ -56,7 +56,7 @@
     }
 
     /// The number to report to peers: what this node counts or has read from the record, but not
-    /// what others reported, so that an outdated number does not circulate for ever. 0 until the
+    /// what others reported, so that an outdated number does not circulate indefinitely. 0 until the
     /// record has been read.
     pub fn size_to_report(&self) -> u32 {
         self.recorded
--- a/crates/stairward-limits/src/lent_shares.rs
+++ b/crates/stairward-limits/src/lent_shares.rs
@@ -21,7 +21,7 @@
     ends: BTreeSet<(Time, NodeId)>,
     sum: u64,
     /// The lent fraction, integrated over time, in seconds.
-    whole_seconds: f64,
+    lent_seconds: f64,
     advanced_to: Time,
 }
 
@@ -37,7 +37,7 @@
 
     fn accrue(&mut self, until: Time) {
         let elapsed = until.since(self.advanced_to);
-        self.whole_seconds += elapsed.as_secs_f64() * self.fraction();
+        self.lent_seconds += elapsed.as_secs_f64() * self.fraction();
         self.advanced_to = self.advanced_to.max(until);
     }
 
@@ -72,7 +72,7 @@
     }
 
     /// The lent fraction, integrated over the time since the process started, in seconds.
-    pub fn whole_seconds(&self) -> f64 {
-        self.whole_seconds
+    pub fn lent_seconds(&self) -> f64 {
+        self.lent_seconds
     }
 }
--- a/crates/stairward-limits/tests/limiter.rs
+++ b/crates/stairward-limits/tests/limiter.rs
@@ -54,7 +54,7 @@
 }
 
 /// The request to a coordinator for the tenant's shard among the effects, if there is one.
-fn asked(limiter: &mut Limiter, coordinator: NodeId) -> Option<GrantRequest> {
+fn request_to(limiter: &mut Limiter, coordinator: NodeId) -> Option<GrantRequest> {
     let shard = Shard::of(&tenant());
     let effects = limiter.take_effects();
     effects.into_iter().find_map(|effect| match effect {
@@ -93,7 +93,7 @@
     for milliseconds in (0..2_000).step_by(10) {
         let now = started + Duration::from_millis(milliseconds);
         limiter.handle(now, Event::Tick);
-        if let Some(request) = asked(&mut limiter, coordinator) {
+        if let Some(request) = request_to(&mut limiter, coordinator) {
             if request.loan.is_some() {
                 lent_at.get_or_insert(milliseconds);
             }
@@ -121,7 +121,7 @@
     for milliseconds in (0..5_000).step_by(10) {
         let now = Time::from_millis(milliseconds);
         limiter.handle(now, Event::Tick);
-        if let Some(request) = asked(&mut limiter, coordinator) {
+        if let Some(request) = request_to(&mut limiter, coordinator) {
             assert_eq!((request.loan, request.nodes), (None, 0));
             let mut grant = grant(&request, 0, 0);
             grant.nodes = 0;
@@ -130,7 +130,7 @@
     }
     limiter.handle(Time::from_millis(5_000), Event::RecordedFleetSize(2));
     limiter.handle(Time::from_millis(5_500), Event::Tick);
-    let request = asked(&mut limiter, coordinator).expect("it sends another request");
+    let request = request_to(&mut limiter, coordinator).expect("it sends another request");
     assert!(request.loan.is_some());
 }
 
@@ -138,14 +138,14 @@
 fn a_grant_expires() {
     let coordinator = other_coordinator();
     let mut limiter = limiter_at(Time::ZERO, &[OWN, coordinator]);
-    asked(&mut limiter, coordinator);
+    request_to(&mut limiter, coordinator);
     let now = Time::from_millis(10_000);
     // The first request has timed out; the next one contains the demand.
     limiter.handle(now, Event::Tick);
-    let first = asked(&mut limiter, coordinator).expect("a request");
+    let first = request_to(&mut limiter, coordinator).expect("a request");
     assert_eq!(limiter.admit(now, &tenant()), Admission::Waiting);
     limiter.handle(now, Event::GrantReceived(coordinator, grant(&first, 0, 0)));
-    let request = asked(&mut limiter, coordinator).expect("another request");
+    let request = request_to(&mut limiter, coordinator).expect("another request");
     assert_eq!(request.demands[0].waiting, 1);
     limiter.handle(
         now,
@@ -162,10 +162,10 @@
 fn denied_operations_get_increasing_retry_times() {
     let coordinator = other_coordinator();
     let mut limiter = limiter_at(Time::ZERO, &[OWN, coordinator]);
-    asked(&mut limiter, coordinator);
+    request_to(&mut limiter, coordinator);
     let now = Time::from_millis(5_000);
     limiter.handle(now, Event::Tick);
-    let request = asked(&mut limiter, coordinator).expect("a request");
+    let request = request_to(&mut limiter, coordinator).expect("a request");
     assert_eq!(limiter.admit(now, &tenant()), Admission::Waiting);
     limiter.handle(
         now,
@@ -257,7 +257,7 @@
                 limiter.admit(now, &tenant());
             }
             limiter.handle(now, Event::Tick);
-            if let Some(request) = asked(&mut limiter, coordinator)
+            if let Some(request) = request_to(&mut limiter, coordinator)
                 && step % 5 > 0
             {
                 limiter.handle(
--- a/crates/stairward-limits/tests/support/mod.rs
+++ b/crates/stairward-limits/tests/support/mod.rs
@@ -48,8 +48,8 @@
 
 #[derive(Debug, Clone)]
 enum SimulationEvent {
-    Asked(usize, usize, u64, GrantRequest),
-    Granted(usize, u64, usize, GrantResponse),
+    RequestArrives(usize, usize, u64, GrantRequest),
+    GrantArrives(usize, u64, usize, GrantResponse),
     Operation(usize),
     Wake(usize, u64),
     View,
@@ -239,7 +239,9 @@
 
     fn dispatch(&mut self, event: SimulationEvent) {
         match event {
-            SimulationEvent::Asked(..) | SimulationEvent::Granted(..) => self.deliver(event),
+            SimulationEvent::RequestArrives(..) | SimulationEvent::GrantArrives(..) => {
+                self.deliver(event)
+            }
             SimulationEvent::Operation(node) => {
                 self.schedule_operation(node);
                 self.submit_operation(node);
@@ -291,7 +293,9 @@
 
     fn deliver(&mut self, event: SimulationEvent) {
         let to = match &event {
-            SimulationEvent::Asked(_, to, ..) | SimulationEvent::Granted(to, ..) => *to,
+            SimulationEvent::RequestArrives(_, to, ..) | SimulationEvent::GrantArrives(to, ..) => {
+                *to
+            }
             _ => return,
         };
         if !self.nodes[to].is_running {
@@ -302,7 +306,7 @@
         }
         let now = self.local_time(to);
         match event {
-            SimulationEvent::Asked(from, to, incarnation, request) => {
+            SimulationEvent::RequestArrives(from, to, incarnation, request) => {
                 let asking = NodeId(u64::try_from(from).unwrap());
                 let grant = self.nodes[to].limiter.answer(now, asking, &request);
                 if self.options.bug == Some(InjectedBug::DuplicateLends) {
@@ -316,10 +320,10 @@
                 self.send(
                     to,
                     from,
-                    SimulationEvent::Granted(from, incarnation, to, grant),
+                    SimulationEvent::GrantArrives(from, incarnation, to, grant),
                 );
             }
-            SimulationEvent::Granted(to, incarnation, from, grant)
+            SimulationEvent::GrantArrives(to, incarnation, from, grant)
                 if self.nodes[to].incarnation == incarnation =>
             {
                 let coordinator = NodeId(u64::try_from(from).unwrap());
@@ -392,7 +396,7 @@
                         self.send(
                             node,
                             to,
-                            SimulationEvent::Asked(node, to, incarnation, request),
+                            SimulationEvent::RequestArrives(node, to, incarnation, request),
                         );
                     }
                     Effect::Available(_) => {
