--- a/crates/stairward-membership/tests/feed_eras.rs
+++ b/crates/stairward-membership/tests/feed_eras.rs
@@ -507,7 +507,7 @@
     }
 
     /// Delivers all messages and reads the store again.
-    fn settle(&mut self) {
+    fn run_until_idle(&mut self) {
         for _ in 0..6 {
             self.now = self.now + Duration::from_millis(600);
             for index in 0..2 {
@@ -520,9 +520,9 @@
                     self.deliver_to_watcher(index);
                     self.deliver_to_follower(index);
                 }
-                let is_quiet =
+                let is_idle =
                     self.to_follower[index].is_empty() && self.to_watchers[index].is_empty();
-                assert!(is_quiet, "the nodes do not become idle");
+                assert!(is_idle, "the nodes do not become idle");
             }
         }
     }
@@ -547,7 +547,7 @@
             fleet.step(*kind, *argument);
             fleet.check();
         }
-        fleet.settle();
+        fleet.run_until_idle();
         fleet.check();
         assert_eq!(fleet.follower.feed.held_revision(), Some(fleet.store.at()));
     });
