--- a/crates/stairward-pool/src/fence/commit.rs
+++ b/crates/stairward-pool/src/fence/commit.rs
@@ -1,4 +1,4 @@
-//! One commit that waits for its proof.
+//! A commit that waits for its proof.
 
 use std::collections::BTreeMap;
 
@@ -6,22 +6,22 @@
 
 use super::{FenceSettings, MemberAnswer};
 
-/// Whether a commit is proved.
+/// Result of evaluating the answers for a commit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Verdict {
-    /// A majority proves it; with the primary's freshness just after it.
+    /// A majority proves it; carries the primary's freshness at or after the commit.
     Proved(Freshness),
-    /// It may be lost: a later term exists, or the primary no longer leads.
+    /// It may be lost: a later term exists, or the primary has stepped down.
     Refuted,
-    /// Not decided yet.
-    Open,
+    /// More answers are needed.
+    Pending,
 }
 
-/// A commit and what the members, each asked after it, said last.
+/// A commit and the latest answer of each member that was queried after it.
 #[derive(Debug, Clone)]
 pub(super) struct WaitingCommit {
     term: Term,
-    /// When the proof comes too late.
+    /// Deadline of the proof.
     pub(super) deadline: Time,
     answers: BTreeMap<BackendId, MemberAnswer>,
     /// The primary's position in its first answer after the commit: at or past the commit.
@@ -38,18 +38,18 @@
         }
     }
 
-    /// Notes what a member said.
-    pub(super) fn hear(&mut self, member: &BackendId, answer: MemberAnswer) {
+    /// Records the answer of a member.
+    pub(super) fn record_answer(&mut self, member: &BackendId, answer: MemberAnswer) {
         self.answers.insert(member.clone(), answer);
     }
 
-    /// Judges by the answers so far.
+    /// Evaluates the answers so far.
     pub(super) fn verdict(&mut self, settings: &FenceSettings, majority: usize) -> Verdict {
         if self.is_refuted(settings) {
             return Verdict::Refuted;
         }
         let Some(primary) = self.answers.get(&settings.primary) else {
-            return Verdict::Open;
+            return Verdict::Pending;
         };
         let position = *self.position.get_or_insert(primary.freshness.position);
         let members = settings.members.iter();
@@ -57,17 +57,17 @@
         if supporters.count() >= majority {
             Verdict::Proved(Freshness::new(self.term, position))
         } else {
-            Verdict::Open
+            Verdict::Pending
         }
     }
 
-    /// Whether the member has not yet said what this commit needs of it.
+    /// Whether the member's answer, if any, does not support this commit yet.
     pub(super) fn needs(&self, member: &BackendId, settings: &FenceSettings) -> bool {
         !self.is_supported_by(member, settings.strength)
     }
 
-    /// Whether the member was asked about this commit and has answered.
-    pub(super) fn has_heard(&self, member: &BackendId) -> bool {
+    /// Whether the member has answered a question sent after this commit.
+    pub(super) fn has_answer_from(&self, member: &BackendId) -> bool {
         self.answers.contains_key(member)
     }
 
--- a/crates/stairward-pool/src/fence/mod.rs
+++ b/crates/stairward-pool/src/fence/mod.rs
@@ -1,17 +1,18 @@
 //! The acknowledgement fence: proof that a commit was not made by a replaced primary.
 //!
-//! After a primary has reported a commit, the members of its group are asked for their term and
-//! position. The commit is proved once a majority of the members, the primary among them, each asked
-//! after the commit, know no later term and, at full strength, hold the commit's position.
+//! After a primary has reported a commit, the members of its group are queried for their term and
+//! position. The commit is proved once a majority of the members, including the primary, each queried
+//! after the commit, know no later term and, at [`FenceStrength::Position`], hold the commit's
+//! position.
 //!
-//! Why this is enough: a member that votes for a later term reports that term from then on, and a
-//! promotion takes the votes of a majority. Two majorities share a member. If a later primary had
-//! been elected before the commit, the shared member would have voted before it was asked and would
-//! have reported the later term. With the position as well, each later primary gets the vote of a
-//! member that holds the commit, and so holds it too (the argument for Raft's commitment rule,
-//! Ongaro and Ousterhout, 2014, section 5.4, made by asking instead of by replicating).
+//! Correctness: a member that votes for a later term reports that term from then on, and a promotion
+//! requires the votes of a majority. Two majorities share a member. If a later primary had been
+//! elected before the commit, the shared member would have voted before it was queried and would have
+//! reported the later term. With the position as well, every later primary gets the vote of a member
+//! that holds the commit, and so holds it too. This is the argument for Raft's commitment rule
+//! (Ongaro and Ousterhout, 2014, section 5.4), with queries in place of replication.
 //!
-//! At most one question per member is under way. Its answer serves every commit that was waiting
+//! At most one question per member is in flight. Its answer applies to every commit that was waiting
 //! when the question was sent, so the number of questions does not grow with the number of commits.
 
 mod commit;
@@ -23,62 +24,62 @@
 
 use commit::{Verdict, WaitingCommit};
 
-/// One commit, unique within a fence's life.
+/// Identifies a commit within a fence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CommitId(pub u64);
 
-/// One question to one member, unique within a fence's life.
+/// Identifies a question to a member within a fence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct QuestionId(pub u64);
 
-/// A deliberately broken rule, with which checkers show that they can fail. Never set in service.
+/// A deliberate defect, used to show that checkers detect it. Never set in production.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum InjectedFenceFault {
-    /// Proves each commit without asking.
+    /// Proves every commit without querying members.
     ProvesUnasked,
-    /// Takes one member too few for a majority.
+    /// Accepts one member fewer than a majority.
     CountsMinority,
-    /// Counts answers to questions that were sent before the commit.
+    /// Accepts answers to questions that were sent before the commit.
     CountsEarlierQuestions,
 }
 
-/// How commits of one primary are proved.
+/// Settings of a fence.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FenceSettings {
     /// What must be proved.
     pub strength: FenceStrength,
-    /// The members of the group; it must be the set that elects primaries.
+    /// The members of the group. Must be the set that elects primaries.
     pub members: BTreeSet<BackendId>,
     /// The member whose commits are proved.
     pub primary: BackendId,
-    /// Pause before a member whose answer was not enough is asked again.
+    /// Delay before a member is queried again after an insufficient answer or none.
     pub retry_interval: Duration,
-    /// Commits that may wait at once; a further one is not proved.
+    /// Maximum waiting commits; a further commit is reported as not proved.
     pub waiting_limit: usize,
-    /// A broken rule, for tests only.
+    /// A deliberate defect, for tests only.
     pub injected_fault: Option<InjectedFenceFault>,
 }
 
-/// What a member says of itself.
+/// Answer of a member to a question.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MemberAnswer {
-    /// Its term and received position, which elections go by. The term is the highest it has voted
-    /// for or follows.
+    /// Its term and received position, which decide elections. The term is the highest that it has
+    /// voted for or follows.
     pub freshness: Freshness,
-    /// Whether it believes to be the primary.
+    /// Whether it considers itself the primary.
     pub is_primary: bool,
 }
 
-/// What a fence hears.
+/// Input of a fence.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FenceEvent {
     /// The primary has reported a commit.
     Committed {
-        /// Its number; it must be higher than all before.
+        /// Its id; must be higher than all earlier ones.
         commit: CommitId,
-        /// The primary's term when last asked before the commit was sent to it.
+        /// The primary's term, as last reported before the commit was sent to it.
         term: Term,
-        /// When the proof comes too late.
+        /// Deadline of the proof.
         deadline: Time,
     },
     /// A member has answered.
@@ -96,14 +97,14 @@
     Tick,
 }
 
-/// What a fence wants done.
+/// Action for the caller of a fence to execute.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FenceEffect {
-    /// Ask a member, now. The question must reach the member after this effect was returned.
+    /// Query a member. The question must reach the member after this effect was returned.
     Ask {
         /// The question.
         question: QuestionId,
-        /// Whom to ask.
+        /// The member to query.
         member: BackendId,
     },
     /// The commit may be acknowledged.
@@ -117,7 +118,7 @@
     NotProved(CommitId),
 }
 
-/// A question under way.
+/// A question in flight.
 #[derive(Debug, Clone)]
 struct Question {
     member: BackendId,
@@ -125,11 +126,11 @@
     covers: Option<CommitId>,
 }
 
-/// Why and until when a member is not asked.
+/// Time during which a member is not queried again.
 #[derive(Debug, Clone, Copy)]
 struct Pause {
     ends: Time,
-    /// It did not answer; a further commit does not shorten the pause.
+    /// The member did not answer; a new commit does not shorten the pause then.
     is_unreachable: bool,
 }
 
@@ -144,7 +145,7 @@
 }
 
 impl AcknowledgementFence {
-    /// A fence with nothing to prove.
+    /// Creates a fence without waiting commits.
     #[must_use]
     pub fn new(settings: FenceSettings) -> Self {
         Self {
@@ -156,7 +157,7 @@
         }
     }
 
-    /// Hears what happened and says what to do about it.
+    /// Processes an event and returns the resulting effects, in order.
     pub fn handle(&mut self, now: Time, event: FenceEvent) -> Vec<FenceEffect> {
         let mut effects = Vec::new();
         match event {
@@ -170,12 +171,12 @@
             FenceEvent::SettingsChanged(settings) => self.settings = settings,
             FenceEvent::Tick => {}
         }
-        self.settle(now, &mut effects);
-        self.ask(now, &mut effects);
+        self.resolve_commits(now, &mut effects);
+        self.send_questions(now, &mut effects);
         effects
     }
 
-    /// When [`FenceEvent::Tick`] is due if nothing else happens before.
+    /// When the next [`FenceEvent::Tick`] is due, if no other event occurs before.
     #[must_use]
     pub fn next_wake(&self) -> Option<Time> {
         let deadlines = self.waiting.values().map(|commit| commit.deadline);
@@ -184,7 +185,7 @@
         deadlines.chain(pauses).min()
     }
 
-    /// Commits that wait for their proof.
+    /// Number of commits that wait for their proof.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.waiting.len()
@@ -221,12 +222,12 @@
         let Some(question) = self.end_question(now, question, false) else {
             return;
         };
-        let counts_all =
+        let accepts_all =
             self.settings.injected_fault == Some(InjectedFenceFault::CountsEarlierQuestions);
         for (commit, waiting) in &mut self.waiting {
-            let was_asked_after = question.covers.is_some_and(|newest| *commit <= newest);
-            if was_asked_after || counts_all {
-                waiting.hear(&question.member, answer);
+            let was_queried_after = question.covers.is_some_and(|newest| *commit <= newest);
+            if was_queried_after || accepts_all {
+                waiting.record_answer(&question.member, answer);
             }
         }
     }
@@ -250,7 +251,7 @@
         Some(question)
     }
 
-    fn settle(&mut self, now: Time, effects: &mut Vec<FenceEffect>) {
+    fn resolve_commits(&mut self, now: Time, effects: &mut Vec<FenceEffect>) {
         let majority = self.majority();
         let settings = &self.settings;
         self.waiting.retain(|commit, waiting| {
@@ -260,19 +261,19 @@
                     freshness,
                 },
                 Verdict::Refuted => FenceEffect::NotProved(*commit),
-                Verdict::Open if waiting.deadline <= now => FenceEffect::NotProved(*commit),
-                Verdict::Open => return true,
+                Verdict::Pending if waiting.deadline <= now => FenceEffect::NotProved(*commit),
+                Verdict::Pending => return true,
             };
             effects.push(effect);
             false
         });
     }
 
-    fn ask(&mut self, now: Time, effects: &mut Vec<FenceEffect>) {
+    fn send_questions(&mut self, now: Time, effects: &mut Vec<FenceEffect>) {
         let covers = self.waiting.last_key_value().map(|(commit, _)| *commit);
         let due: Vec<BackendId> = self
             .members_to_ask()
-            .filter(|member| self.may_ask(member, now))
+            .filter(|member| self.may_query(member, now))
             .cloned()
             .collect();
         for member in due {
@@ -287,24 +288,24 @@
         }
     }
 
-    /// A member is asked at once for a commit it was not asked about yet, and after a pause for one
-    /// its last answer was not enough for.
-    fn may_ask(&self, member: &BackendId, now: Time) -> bool {
+    /// A member is queried at once for a commit that it has not answered for yet, and after the retry
+    /// interval for one that its last answer did not support.
+    fn may_query(&self, member: &BackendId, now: Time) -> bool {
         let Some(pause) = self.pauses.get(member) else {
             return true;
         };
-        let has_news = || {
+        let has_new_commit = || {
             self.waiting
                 .values()
-                .any(|commit| !commit.has_heard(member))
+                .any(|commit| !commit.has_answer_from(member))
         };
-        pause.ends <= now || (!pause.is_unreachable && has_news())
+        pause.ends <= now || (!pause.is_unreachable && has_new_commit())
     }
 
-    /// Members with no question under way whose answer would help a waiting commit.
+    /// Members without a question in flight whose answer could support a waiting commit.
     fn members_to_ask(&self) -> impl Iterator<Item = &BackendId> {
         self.settings.members.iter().filter(|member| {
-            let is_being_asked = self
+            let has_question_in_flight = self
                 .questions
                 .values()
                 .any(|question| question.member == **member);
@@ -312,7 +313,7 @@
                 .waiting
                 .values()
                 .any(|commit| commit.needs(member, &self.settings));
-            !is_being_asked && would_help
+            !has_question_in_flight && would_help
         })
     }
 }
--- a/crates/stairward-pool/src/lease.rs
+++ b/crates/stairward-pool/src/lease.rs
@@ -1,28 +1,28 @@
 //! The lease: whether this node may hold connections of a back end, in one role.
 //!
-//! The back end itself is the arbiter. The holder keeps one control connection to it, on which it
-//! has taken a session-level advisory lock (`pg_try_advisory_lock`) for its role. The back end ends
-//! that session, and so frees the lock, when the connection breaks or when nothing was asked on it
-//! for `idle_session_timeout`. The holder counts its lease from *before* it sent the last answered
-//! probe, so by its own monotonic clock the lease ends, a margin earlier, before the back end can
-//! free the lock for silence. No two clocks are compared; they only must run at about the same rate.
+//! The back end is the arbiter. The holder keeps one control connection to it, on which it holds a
+//! session-level advisory lock (`pg_try_advisory_lock`) for its role. The back end ends that session,
+//! and so releases the lock, when the connection breaks or was idle for `idle_session_timeout`. The
+//! holder measures its lease from *before* it sent the last answered probe and subtracts a margin, so
+//! the lease ends on its own monotonic clock before the back end can release the lock for idleness.
+//! Clocks are never compared; they only have to run at about the same rate.
 //!
-//! A successor that gets the lock first ends the sessions that earlier holders of the role left
-//! behind, and only then opens connections of its own.
+//! A successor that acquires the lock first terminates the sessions that earlier holders of the role
+//! left at the back end, and only then opens its own connections.
 
 use std::time::Duration;
 
 use stairward_types::Time;
 
-/// The times of a lease.
+/// Timing of a lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaseSettings {
     /// The back end's `idle_session_timeout` on the control connection.
     pub duration: Duration,
-    /// How much earlier the holder stops: covers clocks that run at different rates and the time
-    /// between a check and the use it allows.
+    /// How much earlier the holder stops using it. Covers different clock rates and the time between
+    /// a check and the use that it permits.
     pub margin: Duration,
-    /// Pause between attempts to get a lock that another session holds.
+    /// Delay between attempts to acquire a lock that another session holds.
     pub retry_interval: Duration,
 }
 
@@ -37,71 +37,71 @@
     }
 }
 
-/// What a lease hears.
+/// Input of a lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeaseEvent {
-    /// Whether this node should hold the role, by its membership view.
+    /// Whether this node should hold the role, according to its membership view.
     Wanted(bool),
-    /// The attempt got the lock. `sent_at` is the moment before it was asked for.
+    /// The lock was acquired. `sent_at` is the time before the request was sent.
     LockAcquired {
-        /// By the holder's clock.
+        /// On the holder's clock.
         sent_at: Time,
     },
-    /// The attempt failed: another session holds the lock, or the back end cannot be reached.
+    /// The lock was not acquired: another session holds it, or the back end is unreachable.
     LockNotAcquired,
-    /// No session of an earlier holder is left at the back end.
+    /// All sessions of earlier holders have ended at the back end.
     StaleSessionsEnded,
-    /// A probe on the control connection was answered. `sent_at` is the moment before it was sent.
+    /// A probe on the control connection was answered. `sent_at` is the time before it was sent.
     Renewed {
-        /// By the holder's clock.
+        /// On the holder's clock.
         sent_at: Time,
     },
     /// The control connection is lost, and the lock with it.
     ControlConnectionLost,
-    /// This node holds no connection of the role any more, besides the control connection.
+    /// All connections of the role except the control connection are closed.
     ConnectionsClosed,
-    /// The earlier holder says that it has let go.
+    /// The previous holder reports that it has released the lock.
     ReleasedByPredecessor,
     /// Time has passed; see [`Lease::next_wake`].
     Tick,
 }
 
-/// What a lease wants done.
+/// Action for the caller of a lease to execute.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeaseEffect {
-    /// Open the control connection and try to take the lock. When that fails, close it again.
+    /// Open the control connection and try to acquire the lock. On failure, close it again.
     AcquireLock,
-    /// End the sessions that earlier holders of the role left at the back end.
+    /// Terminate the sessions that earlier holders of the role left at the back end.
     EndStaleSessions,
-    /// Connections may be opened and used from now on.
+    /// Allow connections to be opened and used.
     StartUse,
-    /// No connection may be opened and no new work be begun until [`LeaseEffect::StartUse`].
+    /// Open no connection and start no work until [`LeaseEffect::StartUse`].
     StopUse,
-    /// Let what is in flight end, close every connection, then say [`LeaseEvent::ConnectionsClosed`].
+    /// Let running work finish, close all connections, then report [`LeaseEvent::ConnectionsClosed`].
     CloseConnections,
-    /// Close the control connection, which frees the lock, and tell the successor.
+    /// Close the control connection, which releases the lock, and notify the successor.
     ReleaseLock,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
-    /// Not wanted, nothing held.
+    /// Not wanted and not held.
     Absent,
-    /// Wanted; the next attempt is due at this moment.
+    /// Wanted; the next attempt is due at this time.
     Waiting { attempt_at: Time },
-    /// An attempt is under way.
+    /// An attempt to acquire the lock is in progress.
     Attempting,
-    /// Locked, and the leftovers of earlier holders are being ended.
-    Clearing { valid_until: Time },
+    /// Locked; sessions of earlier holders are being terminated.
+    EndingStaleSessions { valid_until: Time },
     /// Locked and in use.
     Held { valid_until: Time },
-    /// Not renewed in time, but the control connection is not known to be lost.
-    Lapsed,
-    /// Locked, no longer wanted, work ending.
-    GivingUp,
+    /// Expired without renewal, while the control connection may still exist.
+    Expired,
+    /// Locked but no longer wanted; connections are being closed.
+    Closing,
 }
 
-/// One node's claim on one role at one back end.
+/// State machine for one node's lease on one role at one back end.
 #[derive(Debug, Clone)]
 pub struct Lease {
     settings: LeaseSettings,
@@ -110,7 +110,7 @@
 }
 
 impl Lease {
-    /// A lease that is neither wanted nor held.
+    /// Creates a lease that is neither wanted nor held.
     #[must_use]
     pub fn new(settings: LeaseSettings) -> Self {
         Self {
@@ -120,23 +120,26 @@
         }
     }
 
-    /// Whether connections may be opened and work be begun at this moment. To be asked before each
-    /// use, since the holder may have been paused.
+    /// Whether connections may be opened and work started at this time. Must be checked before each use,
+    /// since the process may have been paused.
     #[must_use]
     pub fn is_held(&self, now: Time) -> bool {
         matches!(self.state, State::Held { valid_until } if now < valid_until)
     }
 
-    /// Whether the lock is believed to be held, in use or not.
+    /// Whether the lock is believed to be held, whether or not connections may be used.
     #[must_use]
     pub fn is_locked(&self) -> bool {
         matches!(
             self.state,
-            State::Clearing { .. } | State::Held { .. } | State::Lapsed | State::GivingUp
+            State::EndingStaleSessions { .. }
+                | State::Held { .. }
+                | State::Expired
+                | State::Closing
         )
     }
 
-    /// When [`LeaseEvent::Tick`] is due.
+    /// When the next [`LeaseEvent::Tick`] is due.
     #[must_use]
     pub fn next_wake(&self) -> Option<Time> {
         match self.state {
@@ -146,20 +149,20 @@
         }
     }
 
-    /// Hears what happened and says what to do about it.
+    /// Processes an event and returns the resulting effects, in order.
     pub fn handle(&mut self, now: Time, event: LeaseEvent) -> Vec<LeaseEffect> {
         let mut effects = Vec::new();
-        // A lapse counts from its moment, whatever is heard first after a pause.
-        self.lapse(now, &mut effects);
+        // Expiry is checked before the event, since the process may have been paused past it.
+        self.expire(now, &mut effects);
         match event {
-            LeaseEvent::Wanted(wanted) => self.want(now, wanted, &mut effects),
-            LeaseEvent::LockAcquired { sent_at } => self.locked(sent_at, &mut effects),
-            LeaseEvent::LockNotAcquired => self.not_locked(now),
-            LeaseEvent::StaleSessionsEnded => self.leftovers_ended(now, &mut effects),
+            LeaseEvent::Wanted(wanted) => self.set_wanted(now, wanted, &mut effects),
+            LeaseEvent::LockAcquired { sent_at } => self.lock_acquired(sent_at, &mut effects),
+            LeaseEvent::LockNotAcquired => self.lock_not_acquired(now),
+            LeaseEvent::StaleSessionsEnded => self.stale_sessions_ended(now, &mut effects),
             LeaseEvent::Renewed { sent_at } => self.renewed(now, sent_at, &mut effects),
-            LeaseEvent::ControlConnectionLost => self.control_lost(now, &mut effects),
-            LeaseEvent::ConnectionsClosed => self.given_up(now, &mut effects),
-            LeaseEvent::ReleasedByPredecessor => self.handed_over(now),
+            LeaseEvent::ControlConnectionLost => self.control_connection_lost(now, &mut effects),
+            LeaseEvent::ConnectionsClosed => self.connections_closed(now, &mut effects),
+            LeaseEvent::ReleasedByPredecessor => self.released_by_predecessor(now),
             LeaseEvent::Tick => {}
         }
         self.attempt_when_due(now, &mut effects);
@@ -170,22 +173,22 @@
         sent_at + self.settings.duration.saturating_sub(self.settings.margin)
     }
 
-    fn lapse(&mut self, now: Time, effects: &mut Vec<LeaseEffect>) {
+    fn expire(&mut self, now: Time, effects: &mut Vec<LeaseEffect>) {
         if let State::Held { valid_until } = self.state
             && now >= valid_until
         {
-            self.state = State::Lapsed;
+            self.state = State::Expired;
             effects.push(LeaseEffect::StopUse);
         }
     }
 
-    fn want(&mut self, now: Time, wanted: bool, effects: &mut Vec<LeaseEffect>) {
+    fn set_wanted(&mut self, now: Time, wanted: bool, effects: &mut Vec<LeaseEffect>) {
         self.wanted = wanted;
         match (wanted, self.state) {
             (true, State::Absent) => self.state = State::Waiting { attempt_at: now },
             (false, State::Waiting { .. }) => self.state = State::Absent,
-            (false, State::Held { .. } | State::Clearing { .. } | State::Lapsed) => {
-                self.state = State::GivingUp;
+            (false, State::Held { .. } | State::EndingStaleSessions { .. } | State::Expired) => {
+                self.state = State::Closing;
                 effects.push(LeaseEffect::StopUse);
                 effects.push(LeaseEffect::CloseConnections);
             }
@@ -193,13 +196,13 @@
         }
     }
 
-    fn locked(&mut self, sent_at: Time, effects: &mut Vec<LeaseEffect>) {
+    fn lock_acquired(&mut self, sent_at: Time, effects: &mut Vec<LeaseEffect>) {
         if self.state != State::Attempting {
             return;
         }
         if self.wanted {
             let valid_until = self.valid_until(sent_at);
-            self.state = State::Clearing { valid_until };
+            self.state = State::EndingStaleSessions { valid_until };
             effects.push(LeaseEffect::EndStaleSessions);
         } else {
             self.state = State::Absent;
@@ -207,13 +210,13 @@
         }
     }
 
-    fn not_locked(&mut self, now: Time) {
+    fn lock_not_acquired(&mut self, now: Time) {
         if self.state == State::Attempting {
-            self.wait(now + self.settings.retry_interval);
+            self.schedule_attempt(now + self.settings.retry_interval);
         }
     }
 
-    fn wait(&mut self, attempt_at: Time) {
+    fn schedule_attempt(&mut self, attempt_at: Time) {
         self.state = if self.wanted {
             State::Waiting { attempt_at }
         } else {
@@ -221,13 +224,13 @@
         };
     }
 
-    fn leftovers_ended(&mut self, now: Time, effects: &mut Vec<LeaseEffect>) {
-        if let State::Clearing { valid_until } = self.state {
+    fn stale_sessions_ended(&mut self, now: Time, effects: &mut Vec<LeaseEffect>) {
+        if let State::EndingStaleSessions { valid_until } = self.state {
             if now < valid_until {
                 self.state = State::Held { valid_until };
                 effects.push(LeaseEffect::StartUse);
             } else {
-                self.state = State::Lapsed;
+                self.state = State::Expired;
             }
         }
     }
@@ -235,11 +238,11 @@
     fn renewed(&mut self, now: Time, sent_at: Time, effects: &mut Vec<LeaseEffect>) {
         let renewed_until = self.valid_until(sent_at);
         match &mut self.state {
-            State::Held { valid_until } | State::Clearing { valid_until } => {
+            State::Held { valid_until } | State::EndingStaleSessions { valid_until } => {
                 *valid_until = renewed_until.max(*valid_until);
             }
-            // The session answers, so it was never ended and nobody else had the lock meanwhile.
-            State::Lapsed if now < renewed_until => {
+            // The control session still answers, so it never ended and no other session held the lock.
+            State::Expired if now < renewed_until => {
                 self.state = State::Held {
                     valid_until: renewed_until,
                 };
@@ -249,26 +252,26 @@
         }
     }
 
-    fn control_lost(&mut self, now: Time, effects: &mut Vec<LeaseEffect>) {
+    fn control_connection_lost(&mut self, now: Time, effects: &mut Vec<LeaseEffect>) {
         match self.state {
             State::Held { .. } => {
                 effects.push(LeaseEffect::StopUse);
-                self.wait(now);
+                self.schedule_attempt(now);
             }
-            State::Clearing { .. } | State::Lapsed => self.wait(now),
-            State::Attempting => self.wait(now + self.settings.retry_interval),
-            State::GivingUp | State::Absent | State::Waiting { .. } => {}
+            State::EndingStaleSessions { .. } | State::Expired => self.schedule_attempt(now),
+            State::Attempting => self.schedule_attempt(now + self.settings.retry_interval),
+            State::Closing | State::Absent | State::Waiting { .. } => {}
         }
     }
 
-    fn given_up(&mut self, now: Time, effects: &mut Vec<LeaseEffect>) {
-        if self.state == State::GivingUp {
+    fn connections_closed(&mut self, now: Time, effects: &mut Vec<LeaseEffect>) {
+        if self.state == State::Closing {
             effects.push(LeaseEffect::ReleaseLock);
-            self.wait(now + self.settings.retry_interval);
+            self.schedule_attempt(now + self.settings.retry_interval);
         }
     }
 
-    fn handed_over(&mut self, now: Time) {
+    fn released_by_predecessor(&mut self, now: Time) {
         if let State::Waiting { attempt_at } = &mut self.state {
             *attempt_at = now;
         }
--- a/crates/stairward-pool/src/lib.rs
+++ b/crates/stairward-pool/src/lib.rs
@@ -1,7 +1,7 @@
-//! Connections, slots, shares, leases, admission and the acknowledgement fence of a back end.
+//! Connection pool, connection shares, lease and acknowledgement fence of a back end.
 //!
-//! Everything here is pure: state machines that take the time and an event and return effects.
-//! [`BackendPool`] admits work and lends connections, [`Lease`] decides whether this node may hold
+//! Everything here is free of I/O: state machines that take the time and an event and return effects.
+//! [`BackendPool`] admits requests and assigns connections to them, [`Lease`] decides whether this node may hold
 //! connections at all, and [`AcknowledgementFence`] decides when a commit may be acknowledged.
 
 #![forbid(unsafe_code)]
--- a/crates/stairward-pool/src/pool/check.rs
+++ b/crates/stairward-pool/src/pool/check.rs
@@ -1,41 +1,41 @@
-//! Whether a back end may take a request at this moment.
+//! Checks whether a back end may run a request, apart from limits.
 
 use stairward_types::{AccessClass, AdminState, BackendRole, Freshness, ResultCode, Term};
 
 use super::message::{BackendState, ConnectionRequest};
 
-/// What decides on admission besides limits.
+/// Conditions of admission other than limits.
 #[derive(Debug, Clone, Default)]
 pub(super) struct AdmissionConditions {
     /// Whether the lease is held.
     pub lease_held: bool,
-    /// Whether the back end is being handed over.
+    /// Whether the back end is being handed over to another owner.
     pub draining: bool,
-    /// Whether the settings are too old to take work by them.
+    /// Whether this node's settings are too old to accept work.
     pub configuration_too_old: bool,
-    /// What operators have said.
+    /// State set by operators.
     pub admin_state: AdminState,
-    /// What the back end last said; none while it cannot be reached.
+    /// The last reported state of the back end; none while it is unreachable.
     pub state: Option<BackendState>,
     /// Whether the last health probe went unanswered.
     pub probe_failed: bool,
-    /// The newest term known of the group.
+    /// The newest known term of the group.
     pub newest_term: Term,
 }
 
-/// The answer to whether a request may run.
+/// Result of the admission check.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Admission {
     /// It may run.
     Allowed,
-    /// It may run once the back end has come further.
+    /// It may run once the back end has applied more of the log.
     NotYetFresh,
     /// It may not run here.
     Refused(ResultCode),
 }
 
 impl AdmissionConditions {
-    /// Checks everything but limits.
+    /// Checks a request against everything but limits.
     pub(super) fn check(&self, request: &ConnectionRequest) -> Admission {
         if let Some(code) = self.general_refusal() {
             return Admission::Refused(code);
@@ -71,8 +71,8 @@
         }
     }
 
-    /// Why nothing is taken while no lease is held. A lost back end takes its lease with it: no other
-    /// node could serve it either, so callers must not be sent looking for another owner.
+    /// The result code while the lease is not held. The lease is lost together with an unreachable back end, but then no
+    /// other node can serve it either, so callers must not be redirected to another owner.
     pub(super) fn refusal_without_lease(&self) -> ResultCode {
         if self.probe_failed {
             ResultCode::BackendUnavailable
@@ -100,7 +100,7 @@
         if leads || state.freshness.covers(expected) {
             Admission::Allowed
         } else if is_primary {
-            // A replaced primary does not get further in the term it was replaced in.
+            // A replaced primary makes no progress towards the expected term.
             Admission::Refused(ResultCode::NotFreshEnough)
         } else {
             Admission::NotYetFresh
--- a/crates/stairward-pool/src/pool/connections.rs
+++ b/crates/stairward-pool/src/pool/connections.rs
@@ -1,4 +1,4 @@
-//! Which connections exist, in which state, and to whom they are lent.
+//! The connections of a pool, their states and the requests they are lent to.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -6,7 +6,7 @@
 
 use super::message::{ConnectionId, RequestId};
 
-/// The state of a connection that exists and is not idle.
+/// State of a connection that is not idle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum BusyState {
     Opening,
@@ -22,39 +22,39 @@
     since: Time,
 }
 
-/// All connections of a pool. A connection counts from the moment it is to be opened until it is
-/// known to be closed.
+/// All connections of a pool. A connection counts from the request to open it until it is known to be
+/// closed.
 #[derive(Debug, Default)]
 pub(super) struct ConnectionSet {
     busy: BTreeMap<ConnectionId, BusyState>,
-    /// The most recently used one last.
+    /// Ordered by last use, most recent last.
     idle: VecDeque<IdleConnection>,
     next_number: u64,
 }
 
 impl ConnectionSet {
-    /// How many connections exist, in any state.
+    /// Number of connections in any state.
     pub(super) fn total(&self) -> usize {
         self.busy.len() + self.idle.len()
     }
 
-    /// How many connections exist and are not being closed.
-    pub(super) fn staying(&self) -> usize {
+    /// Number of connections that are not being closed.
+    pub(super) fn not_closing(&self) -> usize {
         self.total() - self.count(|state| matches!(state, BusyState::Closing))
     }
 
-    /// How many connections are idle.
+    /// Number of idle connections.
     pub(super) fn idle(&self) -> usize {
         self.idle.len()
     }
 
-    /// How many connections are being opened.
+    /// Number of connections being opened.
     pub(super) fn opening(&self) -> usize {
         self.count(|state| matches!(state, BusyState::Opening))
     }
 
-    /// How many connections will be idle soon without anyone giving one back.
-    pub(super) fn coming(&self) -> usize {
+    /// Number of connections being opened or reset, which become idle without being returned by a request.
+    pub(super) fn becoming_idle(&self) -> usize {
         self.count(|state| matches!(state, BusyState::Opening | BusyState::Resetting))
     }
 
@@ -62,7 +62,7 @@
         self.busy.values().filter(|state| wanted(state)).count()
     }
 
-    /// Begins to open a connection.
+    /// Adds a connection that is being opened.
     pub(super) fn open(&mut self) -> ConnectionId {
         let connection = ConnectionId(self.next_number);
         self.next_number += 1;
@@ -77,19 +77,19 @@
         Some(idle.connection)
     }
 
-    /// Makes a connection that was being opened or reset idle. False when it wasn't.
+    /// Marks a connection that was being opened or reset as idle. Returns false if it was in another state.
     pub(super) fn make_idle(&mut self, connection: ConnectionId, now: Time) -> bool {
-        let comes = matches!(
+        let was_becoming_idle = matches!(
             self.busy.get(&connection),
             Some(BusyState::Opening | BusyState::Resetting)
         );
-        if comes {
+        if was_becoming_idle {
             self.put_back(connection, now);
         }
-        comes
+        was_becoming_idle
     }
 
-    /// Makes a lent connection idle.
+    /// Marks a lent connection as idle.
     pub(super) fn put_back(&mut self, connection: ConnectionId, now: Time) {
         if self.busy.remove(&connection).is_some() {
             self.idle.push_back(IdleConnection {
@@ -109,7 +109,7 @@
         self.busy.insert(connection, BusyState::Closing);
     }
 
-    /// Takes an idle connection out that was not used for so long.
+    /// Removes an idle connection that was unused for at least `pause`.
     pub(super) fn take_unused(&mut self, now: Time, pause: Duration) -> Option<ConnectionId> {
         let oldest = self.idle.front().filter(|idle| idle.since + pause <= now)?;
         let connection = oldest.connection;
@@ -117,17 +117,17 @@
         Some(connection)
     }
 
-    /// Takes any idle connection out, the least recently used first.
+    /// Removes the least recently used idle connection.
     pub(super) fn take_idle(&mut self) -> Option<ConnectionId> {
         self.idle.pop_front().map(|idle| idle.connection)
     }
 
-    /// Since when the least recently used idle connection is unused.
+    /// Last use of the least recently used idle connection.
     pub(super) fn oldest_idle(&self) -> Option<Time> {
         self.idle.front().map(|idle| idle.since)
     }
 
-    /// Forgets a connection that no longer exists.
+    /// Removes a closed connection.
     pub(super) fn remove(&mut self, connection: ConnectionId) {
         self.busy.remove(&connection);
         self.idle.retain(|idle| idle.connection != connection);
--- a/crates/stairward-pool/src/pool/mod.rs
+++ b/crates/stairward-pool/src/pool/mod.rs
@@ -1,8 +1,8 @@
-//! Admission to one back end and the lending of its connections.
+//! Admission to one back end and assignment of its connections.
 //!
-//! A request waits first, when need be, for the back end to be fresh enough, then for its turn, and
+//! A request waits until the back end is fresh enough, if necessary, then in the admission queue, and
 //! is then lent one connection together with one slot. A connection is lent to one stream at a time
-//! and returns only with proof that the back end holds it idle.
+//! and becomes idle again only once the back end has reported it idle.
 
 mod admission;
 mod check;
@@ -25,26 +25,26 @@
 use queue::AdmissionQueue;
 use slots::Slots;
 
-/// An idle connection unused for this long is reset, which keeps the back end from ending it.
+/// An idle connection unused for this long is reset, so that the back end does not close it as idle.
 const REFRESH_AFTER: Duration = Duration::from_secs(20);
 
-/// First pause after a connection could not be opened; doubled with each failure in a row.
-const FIRST_OPENING_PAUSE: Duration = Duration::from_millis(20);
+/// Delay after a connection could not be opened; doubles with each consecutive failure.
+const INITIAL_OPENING_DELAY: Duration = Duration::from_millis(20);
 
-/// Longest pause after a connection could not be opened.
-const LONGEST_OPENING_PAUSE: Duration = Duration::from_secs(1);
+/// Maximum delay after a connection could not be opened.
+const MAXIMUM_OPENING_DELAY: Duration = Duration::from_secs(1);
 
-/// A request that holds a connection.
+/// A connection lent to a request.
 #[derive(Debug, Clone, Copy)]
 struct Lent {
     connection: ConnectionId,
-    /// Whether the driver was told to end it.
+    /// Whether [`PoolEffect::EndStream`] was issued for it.
     is_ending: bool,
 }
 
-/// The connections of one back end that this node may hold, and the requests for them.
+/// Pool of this node's connections to one back end, and the requests for them.
 ///
-/// Feed it with [`BackendPool::handle`] and carry out every effect, in order. At most
+/// Pass events to [`BackendPool::handle`] and execute every effect, in order. At most
 /// [`PoolSettings::queue_limit`] requests wait and [`PoolSettings::connections`] connections exist.
 #[derive(Debug)]
 pub struct BackendPool {
@@ -52,21 +52,21 @@
     conditions: AdmissionConditions,
     connections: ConnectionSet,
     slots: Slots,
-    /// Requests whose turn will come.
+    /// Requests that wait for a connection or a slot.
     queue: AdmissionQueue,
-    /// Requests that wait for the back end to get further, with the end of their patience.
+    /// Requests that wait for the back end to become fresh enough, with the time at which they are refused.
     waiting_for_freshness: BTreeMap<RequestId, (Time, ConnectionRequest)>,
     lent: BTreeMap<RequestId, Lent>,
-    /// When transactions still running must end, while leaving or draining.
+    /// Deadline of running transactions, while leaving or draining.
     end_streams_at: Option<Time>,
-    opening_pause: Duration,
+    opening_delay: Duration,
     no_opening_before: Time,
     drained_was_reported: bool,
     effects: Vec<PoolEffect>,
 }
 
 impl BackendPool {
-    /// A pool without connections. It opens and lends none until it hears that the lease is held.
+    /// Creates a pool without connections. It opens and lends none until the lease is held.
     #[must_use]
     pub fn new(settings: PoolSettings) -> Self {
         let conditions = AdmissionConditions {
@@ -82,34 +82,34 @@
             waiting_for_freshness: BTreeMap::new(),
             lent: BTreeMap::new(),
             end_streams_at: None,
-            opening_pause: FIRST_OPENING_PAUSE,
+            opening_delay: INITIAL_OPENING_DELAY,
             no_opening_before: Time::ZERO,
             drained_was_reported: false,
             effects: Vec::new(),
         }
     }
 
-    /// Hears what happened and says what to do about it.
+    /// Processes an event and returns the resulting effects, in order.
     pub fn handle(&mut self, now: Time, event: PoolEvent) -> Vec<PoolEffect> {
         self.apply(now, event);
         self.expire(now);
         self.admit_waiting(now);
-        self.open_ahead(now);
+        self.open_connections(now);
         self.report_drained();
         std::mem::take(&mut self.effects)
     }
 
-    /// When [`PoolEvent::Tick`] is due if nothing else happens before.
+    /// When the next [`PoolEvent::Tick`] is due, if no other event occurs before.
     #[must_use]
     pub fn next_wake(&self) -> Option<Time> {
-        let patience = self
+        let freshness_waits = self
             .waiting_for_freshness
             .values()
-            .map(|(patience_ends, _)| *patience_ends);
+            .map(|(wait_ends, _)| *wait_ends);
         let end_streams = self.end_streams_at.filter(|_| self.has_running_streams());
         let refresh = self.connections.oldest_idle().map(|s| s + REFRESH_AFTER);
-        let opening = Some(self.no_opening_before).filter(|_| self.waits_to_open());
-        patience
+        let opening = Some(self.no_opening_before).filter(|_| self.is_delayed_by_failure());
+        freshness_waits
             .chain(self.queue.next_deadline())
             .chain(end_streams)
             .chain(refresh)
@@ -117,19 +117,19 @@
             .min()
     }
 
-    /// Requests that wait for anything.
+    /// Number of waiting requests.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.queue.len() + self.waiting_for_freshness.len()
     }
 
-    /// Connections that exist in any state: opening, idle, lent, being reset or closed.
+    /// Number of connections in any state: opening, idle, lent, being reset or closed.
     #[must_use]
     pub fn connections(&self) -> usize {
         self.connections.total()
     }
 
-    /// Connections lent to streams.
+    /// Number of connections lent to streams.
     #[must_use]
     pub fn lent(&self) -> usize {
         self.lent.len()
@@ -141,13 +141,13 @@
         &self.settings
     }
 
-    /// The refusal for a request that finds no lease held.
+    /// The result code for requests while the lease is not held.
     #[must_use]
     pub fn refusal_without_lease(&self) -> ResultCode {
         self.conditions.refusal_without_lease()
     }
 
-    /// What the back end last said; none while it cannot be reached.
+    /// The last reported state of the back end; none while it is unreachable.
     #[must_use]
     pub fn state(&self) -> Option<BackendState> {
         self.conditions.state
@@ -157,9 +157,9 @@
         match event {
             PoolEvent::Requested(request) => self.request(now, request),
             PoolEvent::Cancelled(request) => self.withdraw(request),
-            PoolEvent::SlotWanted(request) => self.want_slot(now, request),
+            PoolEvent::SlotWanted(request) => self.request_slot(now, request),
             PoolEvent::SlotReleased(request) => self.slots.release(now, request),
-            PoolEvent::Returned { request, state } => self.take_back(now, request, state),
+            PoolEvent::Returned { request, state } => self.return_connection(now, request, state),
             PoolEvent::ConnectionOpened(connection) => self.opened(now, connection),
             PoolEvent::OpeningFailed(connection) => self.opening_failed(now, connection),
             PoolEvent::ConnectionReset(connection) => self.became_idle(now, connection),
@@ -189,7 +189,7 @@
         self.conditions.probe_failed = false;
     }
 
-    fn want_slot(&mut self, now: Time, request: RequestId) {
+    fn request_slot(&mut self, now: Time, request: RequestId) {
         match self.lent.get(&request) {
             Some(lent) if !lent.is_ending => {
                 self.slots.take(now, request);
@@ -200,7 +200,7 @@
         }
     }
 
-    fn take_back(&mut self, now: Time, request: RequestId, state: ReturnedState) {
+    fn return_connection(&mut self, now: Time, request: RequestId, state: ReturnedState) {
         self.slots.release(now, request);
         let Some(lent) = self.lent.remove(&request) else {
             return;
@@ -220,7 +220,7 @@
     }
 
     fn opened(&mut self, now: Time, connection: ConnectionId) {
-        self.opening_pause = FIRST_OPENING_PAUSE;
+        self.opening_delay = INITIAL_OPENING_DELAY;
         self.became_idle(now, connection);
     }
 
@@ -232,8 +232,8 @@
 
     fn opening_failed(&mut self, now: Time, connection: ConnectionId) {
         self.connections.remove(connection);
-        self.no_opening_before = now + self.opening_pause;
-        self.opening_pause = (self.opening_pause * 2).min(LONGEST_OPENING_PAUSE);
+        self.no_opening_before = now + self.opening_delay;
+        self.opening_delay = (self.opening_delay * 2).min(MAXIMUM_OPENING_DELAY);
     }
 
     fn change_settings(&mut self, now: Time, settings: PoolSettings) {
@@ -258,8 +258,9 @@
 
     /// Whether new connections may be opened and idle ones kept.
     fn keeps_connections(&self) -> bool {
-        let gives_up = self.conditions.draining || self.settings.admin_state == AdminState::Leaving;
-        self.conditions.lease_held && !gives_up
+        let is_leaving =
+            self.conditions.draining || self.settings.admin_state == AdminState::Leaving;
+        self.conditions.lease_held && !is_leaving
     }
 
     fn close_surplus(&mut self) {
@@ -268,7 +269,7 @@
         } else {
             0
         };
-        while self.connections.staying() > limit {
+        while self.connections.not_closing() > limit {
             let Some(connection) = self.connections.take_idle() else {
                 return;
             };
@@ -277,24 +278,25 @@
         }
     }
 
-    /// How many further connections there should be, leaving limits on opening aside: enough for
-    /// what waits, and one idle per slot ahead of need.
+    /// How many more connections are wanted, ignoring the limit on concurrent openings: enough for the
+    /// waiting requests, and at least one idle or soon idle per slot.
     fn wanted_openings(&self) -> usize {
         if !self.keeps_connections() || self.conditions.state.is_none() {
             return 0;
         }
-        let ready = self.connections.idle() + self.connections.coming();
+        let ready = self.connections.idle() + self.connections.becoming_idle();
         let wanted = self.queue.len().max(self.settings.slots as usize);
         let room = (self.settings.connections as usize).saturating_sub(self.connections.total());
         wanted.saturating_sub(ready).min(room)
     }
 
-    /// Whether only the pause after a failure keeps connections from being opened.
-    fn waits_to_open(&self) -> bool {
+    /// Whether connections are wanted and none is being opened, so that only the delay after a failure holds
+    /// them back.
+    fn is_delayed_by_failure(&self) -> bool {
         self.connections.opening() == 0 && self.wanted_openings() > 0
     }
 
-    fn open_ahead(&mut self, now: Time) {
+    fn open_connections(&mut self, now: Time) {
         if now < self.no_opening_before {
             return;
         }
--- a/crates/stairward-pool/src/pool/queue.rs
+++ b/crates/stairward-pool/src/pool/queue.rs
@@ -1,6 +1,6 @@
-//! The admission queue: bounded, with deadlines, shared fairly between services.
+//! The admission queue: bounded, with deadlines, and fair between services.
 //!
-//! Services take turns by deficit round robin (Shreedhar and Varghese, 1995) with a cost of one per
+//! Services are scheduled by deficit round robin (Shreedhar and Varghese, 1995) with a cost of one per
 //! request: in each round a service may send as many requests as its weight.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -14,32 +14,32 @@
 struct ServiceQueue {
     requests: VecDeque<ConnectionRequest>,
     weight: u32,
-    /// Requests the service may still send in its present turn.
+    /// Requests that the service may still send in the current round.
     deficit: u32,
 }
 
-/// Requests that could run now and wait for a connection or a slot.
+/// Admissible requests that wait for a connection or a slot.
 #[derive(Debug, Default)]
 pub(super) struct AdmissionQueue {
     services: BTreeMap<ServiceName, ServiceQueue>,
-    /// Services with waiting requests; the first one has its turn.
+    /// Services with waiting requests, in round-robin order.
     turns: VecDeque<ServiceName>,
     deadlines: BTreeSet<(Time, RequestId)>,
 }
 
 impl AdmissionQueue {
-    /// How many requests wait.
+    /// Number of waiting requests.
     pub(super) fn len(&self) -> usize {
         self.deadlines.len()
     }
 
-    /// Whether none waits.
+    /// Whether no request waits.
     pub(super) fn is_empty(&self) -> bool {
         self.deadlines.is_empty()
     }
 
-    /// How many requests are ahead of a new one of this service, other services' fair part of the
-    /// work included.
+    /// Number of requests that would run before a new one of this service, including the fair share of
+    /// other services.
     pub(super) fn ahead_of(&self, service: &ServiceName, weight: u32) -> usize {
         let own = self.services.get(service);
         let own_waiting = own.map_or(0, |queue| queue.requests.len());
@@ -63,7 +63,7 @@
         queue.requests.push_back(request);
     }
 
-    /// Takes the request whose turn it is.
+    /// Removes the next request in round-robin order.
     pub(super) fn pop(&mut self) -> Option<ConnectionRequest> {
         let service = self.turns.front()?.clone();
         let queue = self.services.get_mut(&service)?;
@@ -80,7 +80,7 @@
         Some(request)
     }
 
-    /// Takes out one request.
+    /// Removes a request.
     pub(super) fn remove(&mut self, wanted: RequestId) -> Option<ConnectionRequest> {
         let (service, place) = self.services.iter().find_map(|(service, queue)| {
             let place = queue.requests.iter().position(|r| r.request == wanted)?;
@@ -89,7 +89,7 @@
         self.remove_at(&service, place)
     }
 
-    /// Takes out one request whose deadline has passed.
+    /// Removes a request whose deadline has passed.
     pub(super) fn remove_expired(&mut self, now: Time) -> Option<ConnectionRequest> {
         let (deadline, request) = *self.deadlines.first()?;
         if deadline > now {
@@ -98,7 +98,7 @@
         self.remove(request)
     }
 
-    /// Takes out every request.
+    /// Removes all requests.
     pub(super) fn remove_all(&mut self) -> Vec<ConnectionRequest> {
         let services = std::mem::take(self).services;
         services
@@ -107,9 +107,9 @@
             .collect()
     }
 
-    /// Makes room for a request of `service` by taking out the newest request of the service that
-    /// waits with the most requests for its weight; `None` when that is `service` itself.
-    pub(super) fn push_out_for(
+    /// Makes room for a request of `service` by removing the newest request of the service with the most
+    /// waiting requests relative to its weight; `None` if that is `service` itself.
+    pub(super) fn evict_for(
         &mut self,
         service: &ServiceName,
         weight: u32,
--- a/crates/stairward-pool/src/pool/slots.rs
+++ b/crates/stairward-pool/src/pool/slots.rs
@@ -1,4 +1,4 @@
-//! Slots: how many statements run at once before new work waits, and how long they take.
+//! Slots: a limit on concurrently running statements, and the mean time a slot is held.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,16 +7,16 @@
 
 use super::message::RequestId;
 
-/// Each new measurement counts for one part in this many of the mean.
+/// Weight of the exponential moving average: a new measurement contributes one part in this many.
 const MEAN_WEIGHT: u32 = 16;
 
-/// Who holds the slots.
+/// Slots and the requests that hold them.
 #[derive(Debug)]
 pub(super) struct Slots {
     limit: usize,
-    /// Holders, with the moment each took its slot.
+    /// Requests that hold a slot, with the time each acquired it.
     holders: BTreeMap<RequestId, Time>,
-    /// How long a slot is held on average.
+    /// Moving average of the time a slot is held.
     mean_time: Duration,
 }
 
@@ -33,18 +33,18 @@
         self.limit = limit.max(1) as usize;
     }
 
-    /// Whether new work may take a slot.
+    /// Whether a slot is free for new work.
     pub(super) fn is_free(&self) -> bool {
         self.holders.len() < self.limit
     }
 
-    /// Gives a slot to new work, or to the next batch of a transaction, which may pass the limit: the
-    /// statements that hold the other slots may wait for row locks of that very transaction.
+    /// Assigns a slot to new work or to the next batch of a transaction. The latter may exceed the limit,
+    /// since the statements in the other slots may be waiting for row locks of that transaction.
     pub(super) fn take(&mut self, now: Time, request: RequestId) {
         self.holders.insert(request, now);
     }
 
-    /// Takes a slot back.
+    /// Releases a slot and updates the mean time.
     pub(super) fn release(&mut self, now: Time, request: RequestId) {
         if let Some(since) = self.holders.remove(&request) {
             let held = now.since(since);
@@ -52,8 +52,8 @@
         }
     }
 
-    /// How long it takes until so many requests have got a slot.
-    pub(super) fn time_for(&self, requests: usize) -> Duration {
+    /// Expected time until this many requests have been assigned a slot.
+    pub(super) fn expected_wait(&self, requests: usize) -> Duration {
         let requests = u32::try_from(requests).unwrap_or(u32::MAX);
         let limit = u32::try_from(self.limit).unwrap_or(u32::MAX);
         self.mean_time.saturating_mul(requests) / limit
--- a/crates/stairward-pool/src/share.rs
+++ b/crates/stairward-pool/src/share.rs
@@ -1,16 +1,16 @@
-//! How the connections of a back end are divided between its owner and its standby.
+//! Division of a back end's connections between its owner and its standby.
 
-/// Connections set aside for control connections of nodes that ask for a lease they don't hold yet,
-/// and for one connection that a paused holder may open just after its lease lapsed.
+/// Connections reserved for control connections of nodes that try to acquire a lease, and for one
+/// connection that a paused holder may open just after its lease expired.
 pub const CONTENDER_RESERVE: u32 = 4;
 
 /// The standby's share is one connection in this many.
 const STANDBY_DIVISOR: u32 = 10;
 
-/// Least connections worth having: one for control, one for work.
+/// Smallest useful share: one control connection and one for statements.
 const SMALLEST_SHARE: u32 = 2;
 
-/// The two roles in which a node may hold connections of a back end. Each has a lease of its own.
+/// The roles in which a node may hold connections of a back end. Each role has its own lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum OwnerRole {
     /// Holds most of the connections.
@@ -33,10 +33,10 @@
     }
 }
 
-/// Whether a node should hold a role, or try to.
+/// Whether a node should hold a role or try to acquire it.
 ///
-/// `ranked` is the role that the membership view gives the node. A standby that has become first in
-/// rank keeps its share until it holds the owner's, so that the back end is served meanwhile.
+/// `ranked` is the role that the membership view assigns to the node. A standby that is promoted to owner
+/// keeps the standby role until it holds the owner role, so that the back end is served in between.
 #[must_use]
 pub fn should_hold(
     role: OwnerRole,
@@ -48,14 +48,14 @@
     match role {
         OwnerRole::Owner => is_promoted,
         OwnerRole::Standby => {
-            let bridges = is_promoted && holds_standby && !holds_owner;
-            bridges || ranked == Some(OwnerRole::Standby)
+            let keeps_standby = is_promoted && holds_standby && !holds_owner;
+            keeps_standby || ranked == Some(OwnerRole::Standby)
         }
     }
 }
 
-/// The fixed division of a back end's connection limit. The parts and the reserve add up to the
-/// limit at most, so each holder can keep to its part without knowing what the other does.
+/// The fixed division of a back end's connection limit. The shares and the reserve add up to at most
+/// the limit, so each holder can respect it without coordination.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ConnectionShares {
     /// The owner's connections, its control connection included.
@@ -63,7 +63,7 @@
     /// The standby's connections, its control connection included; 0 when the limit is too small
     /// for a standby.
     pub standby: u32,
-    /// Connections kept free for contenders.
+    /// Connections reserved for nodes that try to acquire a lease.
     pub reserve: u32,
 }
 
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Connections of a role for work: its share without the control connection.
+    /// Connections of a role for statements: its share without the control connection.
     #[must_use]
     pub const fn working(&self, role: OwnerRole) -> u32 {
         self.of(role).saturating_sub(1)
--- a/crates/stairward-pool/tests/fence_model.rs
+++ b/crates/stairward-pool/tests/fence_model.rs
@@ -1,5 +1,5 @@
-//! Explores every interleaving of commits, votes, replication, questions and answers in a group of
-//! three with two terms.
+//! Model check of every interleaving of commits, votes, replication, questions and answers in a group of three members
+//! with two terms. The fence must never prove a commit of a replaced primary or, at full strength, one that is lost.
 
 mod support;
 
@@ -15,12 +15,12 @@
 
 const MEMBERS: usize = 3;
 const PRIMARY: usize = 0;
-/// The member that may be elected. The third is its mirror image, so one candidate is enough.
+/// The member that may be elected. The third member is symmetric to it, so one candidate suffices.
 const CANDIDATE: usize = 1;
 const MAJORITY: usize = 2;
 const NOW: Time = Time(1);
 
-/// How far a model goes.
+/// Bounds of a model.
 #[derive(Debug, Clone, Copy)]
 struct Size {
     commits: u64,
@@ -28,7 +28,7 @@
     questions: usize,
 }
 
-/// Commits that share questions, and one that needs several.
+/// Two commits that share questions, and one commit that needs several questions.
 const SIZES: [Size; 2] = [
     Size {
         commits: 2,
@@ -39,7 +39,7 @@
         questions: 3,
     },
 ];
-/// Both at once, for faults that only show so.
+/// Both combined, for faults that need it to show.
 const LARGE: Size = Size {
     commits: 2,
     questions: 2,
@@ -49,7 +49,7 @@
     BackendId::new(format!("m{member}")).expect("a valid name")
 }
 
-/// One database of the group. Its log is a prefix of the first primary's, plus nothing else.
+/// One database of the group. Its log is a prefix of the first primary's log.
 #[derive(Debug, Clone, Default)]
 struct Member {
     term: u64,
@@ -65,7 +65,7 @@
     strength: FenceStrength,
     size: Size,
     commits: u64,
-    made_by_replaced: BTreeSet<u64>,
+    commits_of_replaced: BTreeSet<u64>,
     proved: BTreeSet<u64>,
     asked: BTreeMap<u64, usize>,
     answered: BTreeMap<u64, (usize, MemberAnswer)>,
@@ -109,7 +109,7 @@
             strength,
             size,
             commits: 0,
-            made_by_replaced: BTreeSet::new(),
+            commits_of_replaced: BTreeSet::new(),
             proved: BTreeSet::new(),
             asked: BTreeMap::new(),
             answered: BTreeMap::new(),
@@ -118,7 +118,7 @@
         }
     }
 
-    fn tell(&mut self, event: FenceEvent) {
+    fn handle(&mut self, event: FenceEvent) {
         for effect in self.fence.handle(NOW, event) {
             match effect {
                 FenceEffect::Ask { question, member } => {
@@ -136,7 +136,7 @@
     fn may_vote(&self, voter: usize, candidate: usize) -> bool {
         let state = &self.members[voter];
         let log_is_no_newer = state.position <= self.members[candidate].position;
-        // A candidate votes for itself first.
+        // A candidate votes for itself before others vote for it.
         let candidate_stands = voter == candidate || self.members[candidate].has_voted;
         !state.has_voted && log_is_no_newer && candidate_stands
     }
@@ -150,9 +150,9 @@
         self.commits += 1;
         self.members[PRIMARY].position = self.commits;
         if self.promoted {
-            self.made_by_replaced.insert(self.commits);
+            self.commits_of_replaced.insert(self.commits);
         }
-        self.tell(FenceEvent::Committed {
+        self.handle(FenceEvent::Committed {
             commit: CommitId(self.commits),
             term: Term(1),
             deadline: Time::NEVER,
@@ -232,14 +232,14 @@
             Action::Answer(question) => {
                 let (_, answer) = self.answered.remove(&question).expect("an answer");
                 let question = QuestionId(question);
-                self.tell(FenceEvent::Answered { question, answer });
+                self.handle(FenceEvent::Answered { question, answer });
             }
         }
     }
 
     fn violation(&self) -> Option<String> {
-        let from_replaced = self.proved.intersection(&self.made_by_replaced).next();
-        if let Some(commit) = from_replaced {
+        let proved_of_replaced = self.proved.intersection(&self.commits_of_replaced).next();
+        if let Some(commit) = proved_of_replaced {
             return Some(format!("commit {commit} of a replaced primary was proved"));
         }
         let newest = self.proved.last().copied().unwrap_or_default();
@@ -256,13 +256,16 @@
             let exploration = explore(Group::new(size, strength, None));
             println!("{strength:?} {size:?}: {} states", exploration.states);
             assert_eq!(exploration.violation, None);
-            assert!(exploration.states > 1_000, "the model hardly moved");
+            assert!(
+                exploration.states > 1_000,
+                "the model has too few states to be a useful check"
+            );
         }
     }
 }
 
 #[test]
-fn some_interleaving_proves_every_commit() {
+fn all_commits_can_be_proved() {
     for strength in [FenceStrength::Term, FenceStrength::Position] {
         let mut group = Group::new(LARGE, strength, None);
         for _ in 0..LARGE.commits {
@@ -281,7 +284,7 @@
 }
 
 #[test]
-fn every_injected_fault_is_found() {
+fn every_injected_fault_is_detected() {
     for injected_fault in [
         InjectedFenceFault::ProvesUnasked,
         InjectedFenceFault::CountsMinority,
@@ -298,8 +301,8 @@
 }
 
 #[test]
-fn the_term_alone_does_not_save_a_commit() {
-    // The weaker strength promises that the primary was not replaced, not that the commit survives.
+fn term_strength_does_not_guarantee_that_a_commit_survives() {
+    // Term strength guarantees only that the primary was not replaced.
     let mut group = Group::new(LARGE, FenceStrength::Term, None);
     group.strength = FenceStrength::Position;
     assert!(explore(group).violation.is_some());
--- a/crates/stairward-pool/tests/lease_model.rs
+++ b/crates/stairward-pool/tests/lease_model.rs
@@ -1,5 +1,5 @@
-//! Explores two nodes that want the same role at one back end, with pauses, slow messages and
-//! connections that arrive late.
+//! Model check of two nodes that compete for the same role at one back end, with process pauses, slow messages
+//! and connections that are established late. The sessions of the role must never exceed its share and the reserve.
 
 mod support;
 
@@ -10,24 +10,24 @@
 use stairward_types::Time;
 use support::explorer::{Model, explore};
 
-/// One step of time, in the clock's unit.
+/// One time step, in clock units.
 const STEP: u64 = 1;
 const DURATION_STEPS: u64 = 3;
 const LAST_STEP: u64 = 7;
-/// Connections the role may hold, and how many more the reserve covers.
+/// Connections that the role may hold, and additional ones covered by the reserve.
 const SHARE: usize = 2;
 const RESERVE: usize = 1;
 
-/// A broken driver or back end that the exploration must find.
+/// A defect of the driver or back end that the exploration must detect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Fault {
     None,
-    /// The lease is counted from when the answer came.
+    /// The lease is measured from the receipt of the answer.
     CountsFromAnswer,
-    /// The lease is not looked at before a connection is opened.
+    /// The lease is not checked before a connection is opened.
     OpensUnchecked,
-    /// The sessions of the earlier holder are left alone.
-    KeepsLeftovers,
+    /// The sessions of the earlier holder are not terminated.
+    KeepsStaleSessions,
 }
 
 /// A probe between a node and the back end.
@@ -42,7 +42,7 @@
 struct Node {
     lease: Lease,
     probe: Probe,
-    /// What the node counts as its own connections.
+    /// Connections of the node by its own count.
     counted: usize,
     opening: bool,
     attempting_since: Option<u64>,
@@ -56,17 +56,17 @@
     nodes: [Node; 2],
     /// The node whose control session holds the lock.
     lock: Option<usize>,
-    /// When something was last asked on that session.
+    /// Time of the last request on that session.
     last_asked: u64,
-    /// Sessions for work at the back end, by node.
+    /// Statement sessions at the back end, by node.
     sessions: [usize; 2],
 }
 
 #[derive(Debug, Clone)]
 enum Action {
     Step,
-    /// The back end ends a silent control session.
-    EndSilent,
+    /// The back end ends an idle control session.
+    EndIdleSession,
     Tick(usize),
     SendProbe(usize),
     DeliverProbe(usize),
@@ -101,18 +101,18 @@
             last_asked: 0,
             sessions: [0; 2],
         };
-        cluster.tell(0, LeaseEvent::Wanted(true));
+        cluster.handle(0, LeaseEvent::Wanted(true));
         cluster.apply(&Action::Attempt(0));
-        cluster.tell(1, LeaseEvent::Wanted(true));
+        cluster.handle(1, LeaseEvent::Wanted(true));
         cluster
     }
 
-    fn tell(&mut self, node: usize, event: LeaseEvent) {
+    fn handle(&mut self, node: usize, event: LeaseEvent) {
         let effects = self.nodes[node].lease.handle(Time(self.now), event);
         for effect in effects {
             match effect {
                 LeaseEffect::AcquireLock => self.nodes[node].attempting_since = Some(self.now),
-                LeaseEffect::EndStaleSessions => self.end_leftovers(node),
+                LeaseEffect::EndStaleSessions => self.end_stale_sessions(node),
                 LeaseEffect::StartUse => self.nodes[node].may_use = true,
                 LeaseEffect::StopUse => {
                     self.nodes[node].may_use = false;
@@ -122,13 +122,13 @@
         }
     }
 
-    fn end_leftovers(&mut self, node: usize) {
-        if self.fault != Fault::KeepsLeftovers {
+    fn end_stale_sessions(&mut self, node: usize) {
+        if self.fault != Fault::KeepsStaleSessions {
             self.sessions[1 - node] = 0;
-            // The other node hears that its connections ended, but not the one on its way.
+            // The other node notices that its connections ended, except the one being opened.
             self.nodes[1 - node].counted = usize::from(self.nodes[1 - node].opening);
         }
-        self.tell(node, LeaseEvent::StaleSessionsEnded);
+        self.handle(node, LeaseEvent::StaleSessionsEnded);
     }
 
     fn may_open(&self, node: usize) -> bool {
@@ -151,10 +151,10 @@
         }
         let silent = self.now >= self.last_asked + DURATION_STEPS;
         if self.lock.is_some() && silent {
-            actions.push(Action::EndSilent);
+            actions.push(Action::EndIdleSession);
         }
         for (number, node) in self.nodes.iter().enumerate() {
-            // A node that does none of these for a while is paused.
+            // A paused node is modelled by not choosing its actions for a while.
             if node.lease.next_wake().is_some_and(|due| due.0 <= self.now) {
                 actions.push(Action::Tick(number));
             }
@@ -185,8 +185,8 @@
     fn apply(&mut self, action: &Action) {
         match *action {
             Action::Step => self.now += STEP,
-            Action::EndSilent => self.lock = None,
-            Action::Tick(node) => self.tell(node, LeaseEvent::Tick),
+            Action::EndIdleSession => self.lock = None,
+            Action::Tick(node) => self.handle(node, LeaseEvent::Tick),
             Action::SendProbe(node) => self.nodes[node].probe = Probe::Sent { at: self.now },
             Action::DeliverProbe(node) => {
                 let Probe::Sent { at } = self.nodes[node].probe else {
@@ -197,7 +197,7 @@
                     self.nodes[node].probe = Probe::Answered { sent_at: at };
                 } else {
                     self.nodes[node].probe = Probe::None;
-                    self.tell(node, LeaseEvent::ControlConnectionLost);
+                    self.handle(node, LeaseEvent::ControlConnectionLost);
                 }
             }
             Action::DeliverAnswer(node) => {
@@ -210,7 +210,7 @@
                     _ => sent_at,
                 };
                 let sent_at = Time(sent_at);
-                self.tell(node, LeaseEvent::Renewed { sent_at });
+                self.handle(node, LeaseEvent::Renewed { sent_at });
             }
             Action::Attempt(node) => {
                 let Some(sent_at) = self.nodes[node].attempting_since.take() else {
@@ -220,9 +220,9 @@
                     self.lock = Some(node);
                     self.last_asked = self.now;
                     let sent_at = Time(sent_at);
-                    self.tell(node, LeaseEvent::LockAcquired { sent_at });
+                    self.handle(node, LeaseEvent::LockAcquired { sent_at });
                 } else {
-                    self.tell(node, LeaseEvent::LockNotAcquired);
+                    self.handle(node, LeaseEvent::LockNotAcquired);
                 }
             }
             Action::StartOpening(node) => {
@@ -242,24 +242,28 @@
 
     fn violation(&self) -> Option<String> {
         let held: usize = self.sessions.iter().sum();
-        (held > SHARE + RESERVE).then(|| format!("{held} sessions of one role"))
+        (held > SHARE + RESERVE)
+            .then(|| format!("{held} sessions of one role exceed share and reserve"))
     }
 }
 
 #[test]
-fn no_interleaving_passes_the_share_and_the_reserve() {
+fn no_interleaving_exceeds_the_share_and_the_reserve() {
     let exploration = explore(Cluster::new(Fault::None));
     println!("{} states", exploration.states);
     assert_eq!(exploration.violation, None);
-    assert!(exploration.states > 10_000, "the model hardly moved");
+    assert!(
+        exploration.states > 10_000,
+        "the model has too few states to be a useful check"
+    );
 }
 
 #[test]
-fn every_fault_is_found() {
+fn every_injected_fault_is_detected() {
     for fault in [
         Fault::CountsFromAnswer,
         Fault::OpensUnchecked,
-        Fault::KeepsLeftovers,
+        Fault::KeepsStaleSessions,
     ] {
         let exploration = explore(Cluster::new(fault));
         assert!(exploration.violation.is_some(), "{fault:?}");
--- a/crates/stairward-pool/tests/lost_backend.rs
+++ b/crates/stairward-pool/tests/lost_backend.rs
@@ -1,4 +1,4 @@
-//! What a pool answers once its back end is lost and the lease with it.
+//! Refusal codes of a pool whose back end is lost, and its lease with it.
 
 use std::time::Duration;
 
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_lost_back_end_is_unavailable_even_when_its_lease_went_first() {
+fn a_lost_back_end_is_unavailable_even_if_its_lease_expired_first() {
     let mut pool = pool();
     let now = Time::from_millis(1);
     let probed = BackendState {
@@ -62,13 +62,13 @@
 }
 
 #[test]
-fn a_back_end_whose_lease_another_node_holds_is_not_owned() {
+fn without_a_lease_requests_are_refused_as_not_owner() {
     let effects = ask(&mut pool());
     assert!(refused_with(&effects, ResultCode::NotOwner), "{effects:?}");
 }
 
 #[test]
-fn a_back_end_that_names_another_holder_after_a_failed_attempt_is_not_owned() {
+fn a_lock_held_elsewhere_is_refused_as_not_owner_after_a_failed_probe() {
     let mut pool = pool();
     let now = Time::from_millis(1);
     pool.handle(now, PoolEvent::ProbeFailed);
--- a/crates/stairward-pool/tests/pool_properties.rs
+++ b/crates/stairward-pool/tests/pool_properties.rs
@@ -1,4 +1,4 @@
-//! Properties of the pool under random work.
+//! Properties of the pool under random sequences of events.
 
 mod support;
 
@@ -38,38 +38,40 @@
     }
 }
 
-/// A pool with the outside world that carries its effects out.
-struct World {
+/// A pool and a simulated driver that executes its effects.
+struct Harness {
     pool: BackendPool,
     mirror: PoolMirror,
     now: Time,
     next_request: u64,
-    /// Alters effects on their way, to show that the checks can fail.
+    /// Modifies the effects before they are checked, to show that the checks can fail.
     tamper: fn(&mut Vec<PoolEffect>),
 }
 
-impl World {
+impl Harness {
     fn new(tamper: fn(&mut Vec<PoolEffect>)) -> Self {
-        let mut world = Self {
+        let mut harness = Self {
             pool: BackendPool::new(settings()),
             mirror: PoolMirror::default(),
             now: Time::from_millis(1),
             next_request: 0,
             tamper,
         };
-        let _ = world.tell(PoolEvent::LeaseHeld(true));
-        let _ = world.tell(PoolEvent::Probed(state(10)));
-        world
+        let _ = harness.handle(PoolEvent::LeaseHeld(true));
+        let _ = harness.handle(PoolEvent::Probed(state(10)));
+        harness
     }
 
-    fn tell(&mut self, event: PoolEvent) -> Result<(), String> {
+    fn handle(&mut self, event: PoolEvent) -> Result<(), String> {
         let mut effects = self.pool.handle(self.now, event);
         let admitted = effects
             .iter()
             .filter(|effect| matches!(effect, PoolEffect::Admit { .. }));
         let running = self.mirror.running.len() + admitted.count();
         if running > SLOTS && running > self.mirror.running.len() {
-            return Err(format!("new work was begun beside {running} statements"));
+            return Err(format!(
+                "new work was admitted with {running} statements running"
+            ));
         }
         (self.tamper)(&mut effects);
         self.mirror.note_all(&effects)?;
@@ -80,13 +82,13 @@
         let held = self.mirror.connections.len();
         if held > CONNECTIONS as usize || held != self.pool.connections() {
             return Err(format!(
-                "{held} connections, {} counted",
+                "{held} connections exist, the pool counts {}",
                 self.pool.connections()
             ));
         }
         if !self.mirror.slot_wanted.is_empty() {
             return Err(format!(
-                "{:?} wait in a transaction",
+                "{:?} wait for a slot in an open transaction",
                 self.mirror.slot_wanted
             ));
         }
@@ -98,17 +100,17 @@
         Ok(())
     }
 
-    /// Does one of the things that can happen, chosen by two bytes.
+    /// Performs one event chosen by two bytes.
     fn step(&mut self, kind: u8, detail: u8) -> Result<(), String> {
         match kind % 12 {
             0..=2 => self.request(detail),
             3 => self.settle_opening(detail),
             4 | 5 => self.end_batch(detail),
-            6 => self.want_slot(),
+            6 => self.request_slot(),
             7 => self.finish_reset(),
             8 => self.finish_close(),
             9 => self.pass_time(detail),
-            10 => self.tell(PoolEvent::Probed(state(10 + u64::from(detail) % 8))),
+            10 => self.handle(PoolEvent::Probed(state(10 + u64::from(detail) % 8))),
             _ => self.change_conditions(detail),
         }
     }
@@ -118,7 +120,7 @@
         self.next_request += 1;
         self.mirror.waiting.insert(request);
         let service = if detail.is_multiple_of(2) { "a" } else { "b" };
-        self.tell(PoolEvent::Requested(ConnectionRequest {
+        self.handle(PoolEvent::Requested(ConnectionRequest {
             request,
             service: ServiceName::new(service).expect("a valid name"),
             weight: 1 + u32::from(detail % 3),
@@ -133,8 +135,8 @@
         }))
     }
 
-    /// Asks for work that nothing but limits can refuse.
-    fn request_plainly(&mut self, time_left: Duration) {
+    /// Requests work that only limits can refuse.
+    fn request_unconditionally(&mut self, time_left: Duration) {
         let request = RequestId(self.next_request);
         self.next_request += 1;
         self.mirror.waiting.insert(request);
@@ -148,7 +150,7 @@
             deadline: self.now + time_left,
             freshness_wait: Duration::ZERO,
         });
-        self.tell(event).expect("within limits");
+        self.handle(event).expect("within limits");
     }
 
     fn settle_opening(&mut self, detail: u8) -> Result<(), String> {
@@ -157,10 +159,10 @@
         };
         if detail.is_multiple_of(4) {
             self.mirror.connections.remove(&connection);
-            self.tell(PoolEvent::OpeningFailed(connection))
+            self.handle(PoolEvent::OpeningFailed(connection))
         } else {
             self.mirror.connections.insert(connection, Use::Idle);
-            self.tell(PoolEvent::ConnectionOpened(connection))
+            self.handle(PoolEvent::ConnectionOpened(connection))
         }
     }
 
@@ -170,7 +172,7 @@
         };
         self.mirror.running.remove(&request);
         if detail.is_multiple_of(4) {
-            return self.tell(PoolEvent::SlotReleased(request));
+            return self.handle(PoolEvent::SlotReleased(request));
         }
         let connection = self.mirror.admitted[&request];
         let (state, used) = match detail % 3 {
@@ -180,10 +182,10 @@
         };
         self.mirror.connections.insert(connection, used);
         self.mirror.admitted.remove(&request);
-        self.tell(PoolEvent::Returned { request, state })
+        self.handle(PoolEvent::Returned { request, state })
     }
 
-    fn want_slot(&mut self) -> Result<(), String> {
+    fn request_slot(&mut self) -> Result<(), String> {
         let paused = |request: &&RequestId| {
             !self.mirror.running.contains(request) && !self.mirror.slot_wanted.contains(request)
         };
@@ -191,7 +193,7 @@
             return Ok(());
         };
         self.mirror.slot_wanted.insert(request);
-        self.tell(PoolEvent::SlotWanted(request))
+        self.handle(PoolEvent::SlotWanted(request))
     }
 
     fn finish_reset(&mut self) -> Result<(), String> {
@@ -199,7 +201,7 @@
             return Ok(());
         };
         self.mirror.connections.insert(connection, Use::Idle);
-        self.tell(PoolEvent::ConnectionReset(connection))
+        self.handle(PoolEvent::ConnectionReset(connection))
     }
 
     fn finish_close(&mut self) -> Result<(), String> {
@@ -207,52 +209,52 @@
             return Ok(());
         };
         self.mirror.connections.remove(&connection);
-        self.tell(PoolEvent::ConnectionClosed(connection))
+        self.handle(PoolEvent::ConnectionClosed(connection))
     }
 
     fn pass_time(&mut self, detail: u8) -> Result<(), String> {
         self.now = self.now + Duration::from_millis(u64::from(detail));
-        self.tell(PoolEvent::Tick)
+        self.handle(PoolEvent::Tick)
     }
 
     fn change_conditions(&mut self, detail: u8) -> Result<(), String> {
         match detail % 8 {
-            0 => self.tell(PoolEvent::LeaseHeld(false)),
-            1 => self.tell(PoolEvent::ProbeFailed),
-            2 => self.tell(PoolEvent::ConfigurationTooOld(true)),
-            3 => self.tell(PoolEvent::ConfigurationTooOld(false)),
-            _ => self.tell(PoolEvent::LeaseHeld(true)),
+            0 => self.handle(PoolEvent::LeaseHeld(false)),
+            1 => self.handle(PoolEvent::ProbeFailed),
+            2 => self.handle(PoolEvent::ConfigurationTooOld(true)),
+            3 => self.handle(PoolEvent::ConfigurationTooOld(false)),
+            _ => self.handle(PoolEvent::LeaseHeld(true)),
         }
     }
 
-    /// Lets all time pass; nobody may be left without an answer.
+    /// Advances time past all deadlines; no request may stay unanswered.
     fn finish(&mut self) -> Result<(), String> {
         self.now = self.now + Duration::from_secs(10);
-        self.tell(PoolEvent::Tick)?;
+        self.handle(PoolEvent::Tick)?;
         if self.mirror.waiting.is_empty() {
             Ok(())
         } else {
-            Err(format!("{:?} wait for ever", self.mirror.waiting))
+            Err(format!("{:?} were never answered", self.mirror.waiting))
         }
     }
 
     fn run(steps: &[(u8, u8)], tamper: fn(&mut Vec<PoolEffect>)) -> Result<(), String> {
-        let mut world = Self::new(tamper);
+        let mut harness = Self::new(tamper);
         for (kind, detail) in steps {
-            world.step(*kind, *detail)?;
+            harness.step(*kind, *detail)?;
         }
-        world.finish()
+        harness.finish()
     }
 }
 
 #[test]
 fn limits_hold_and_every_request_is_answered_once() {
     check!().with_type::<Vec<(u8, u8)>>().for_each(|steps| {
-        World::run(steps, |_| {}).expect("the pool keeps its promises");
+        Harness::run(steps, |_| {}).expect("all invariants hold");
     });
 }
 
-/// Enough of everything to make each broken variant show.
+/// Steps that exercise the pool enough to expose each kind of tampering.
 fn busy_steps() -> Vec<(u8, u8)> {
     let mut steps = Vec::new();
     for round in 0..40_u8 {
@@ -263,8 +265,8 @@
 }
 
 #[test]
-fn the_checks_notice_a_pool_that_breaks_its_promises() {
-    World::run(&busy_steps(), |_| {}).expect("the steps are fine without tampering");
+fn the_checks_detect_tampered_effects() {
+    Harness::run(&busy_steps(), |_| {}).expect("all invariants hold without tampering");
     let opens_too_many: fn(&mut Vec<PoolEffect>) = |effects| {
         for number in 0..u64::from(CONNECTIONS) {
             let connection = stairward_pool::pool::ConnectionId(1_000 + number);
@@ -283,45 +285,45 @@
     for tamper in [opens_too_many, lends_twice, forgets_to_answer] {
         let mut steps = busy_steps();
         steps.extend((0..12).map(|_| (0, 200)));
-        World::run(&steps, tamper).expect_err("tampering is noticed");
+        Harness::run(&steps, tamper).expect_err("tampering is detected");
     }
 }
 
-/// Serves two services that always have work, and counts whom it served.
+/// Runs services that always have waiting requests, and counts the requests served for each.
 fn served_by_weight(weights: &[(&str, u32)], turns: usize) -> BTreeMap<String, usize> {
-    let mut world = World::new(|_| {});
+    let mut harness = Harness::new(|_| {});
     let mut served = BTreeMap::new();
     let mut names = BTreeMap::new();
     for _ in 0..turns {
         for (service, weight) in weights {
-            let request = RequestId(world.next_request);
-            world.next_request += 1;
+            let request = RequestId(harness.next_request);
+            harness.next_request += 1;
             names.insert(request, (*service).to_owned());
-            world.mirror.waiting.insert(request);
-            world
-                .tell(PoolEvent::Requested(ConnectionRequest {
+            harness.mirror.waiting.insert(request);
+            harness
+                .handle(PoolEvent::Requested(ConnectionRequest {
                     request,
                     service: ServiceName::new(*service).expect("a valid name"),
                     weight: *weight,
                     access: AccessClass::Read,
                     floor: None,
                     expected_term: Term(0),
-                    deadline: world.now + Duration::from_secs(60),
+                    deadline: harness.now + Duration::from_secs(60),
                     freshness_wait: Duration::ZERO,
                 }))
                 .expect("within limits");
         }
-        world.settle_opening(1).expect("within limits");
-        if let Some(request) = world.mirror.running.first().copied() {
+        harness.settle_opening(1).expect("within limits");
+        if let Some(request) = harness.mirror.running.first().copied() {
             *served.entry(names[&request].clone()).or_default() += 1;
-            world.end_batch(3).expect("within limits");
+            harness.end_batch(3).expect("within limits");
         }
     }
     served
 }
 
 #[test]
-fn services_that_always_have_work_are_served_by_weight() {
+fn saturated_services_are_served_in_proportion_to_weight() {
     let served = served_by_weight(&[("heavy", 3), ("light", 1)], 4_000);
     let (heavy, light) = (served["heavy"], served["light"]);
     let ratio = heavy * 100 / light;
@@ -329,7 +331,7 @@
 }
 
 #[test]
-fn a_flood_of_one_service_does_not_shut_another_out() {
+fn a_flood_of_one_service_does_not_starve_another() {
     let served = served_by_weight(
         &[("flood", 1), ("flood", 1), ("flood", 1), ("calm", 1)],
         2_000,
@@ -339,23 +341,28 @@
 }
 
 #[test]
-fn work_that_cannot_be_done_in_time_is_refused_at_once() {
-    let mut world = World::new(|_| {});
+fn requests_that_cannot_meet_their_deadline_are_refused_immediately() {
+    let mut harness = Harness::new(|_| {});
     for _ in 0..CONNECTIONS {
-        world.settle_opening(1).expect("within limits");
+        harness.settle_opening(1).expect("within limits");
     }
     // Each statement takes 20 ms, so three slots do 150 statements a second.
     for _ in 0..200 {
-        world.request_plainly(Duration::from_secs(1));
-        world.pass_time(20).expect("within limits");
-        world.end_batch(3).expect("within limits");
+        harness.request_unconditionally(Duration::from_secs(1));
+        harness.pass_time(20).expect("within limits");
+        harness.end_batch(3).expect("within limits");
     }
-    assert_eq!(world.mirror.refused, []);
+    assert_eq!(harness.mirror.refused, []);
     for _ in 0..10 {
-        world.request_plainly(Duration::from_millis(25));
+        harness.request_unconditionally(Duration::from_millis(25));
     }
-    let codes: Vec<ResultCode> = world.mirror.refused.iter().map(|(_, code)| *code).collect();
-    // Three run, a few are expected to be done in time, the rest is refused without waiting.
+    let codes: Vec<ResultCode> = harness
+        .mirror
+        .refused
+        .iter()
+        .map(|(_, code)| *code)
+        .collect();
+    // Three run, a few are expected to meet the deadline, the others are refused without waiting.
     assert!((3..=6).contains(&codes.len()), "{codes:?}");
     assert!(codes.iter().all(|code| *code == ResultCode::Overloaded));
 }
--- a/crates/stairward-pool/tests/support/explorer.rs
+++ b/crates/stairward-pool/tests/support/explorer.rs
@@ -1,4 +1,4 @@
-//! Explores every state that a small model can reach.
+//! Exhaustive exploration of the reachable states of a small model.
 
 use std::collections::HashSet;
 use std::fmt::{Debug, Write};
@@ -6,29 +6,29 @@
 
 /// A model with finitely many states.
 pub trait Model: Clone + Debug {
-    /// What may happen next.
+    /// A transition.
     type Action: Clone + Debug;
 
-    /// Everything that may happen in this state.
+    /// All transitions enabled in this state.
     fn actions(&self) -> Vec<Self::Action>;
 
-    /// Makes one thing happen.
+    /// Applies a transition.
     fn apply(&mut self, action: &Self::Action);
 
-    /// What is wrong with this state, if anything.
+    /// Describes the invariant that this state violates, if any.
     fn violation(&self) -> Option<String>;
 }
 
-/// What an exploration found.
+/// Result of an exploration.
 #[derive(Debug)]
 pub struct Exploration {
-    /// How many different states were reached.
+    /// Number of distinct states reached.
     pub states: usize,
-    /// The first wrong state, with the actions that lead to it.
+    /// The first invariant violation, with the actions that lead to it.
     pub violation: Option<String>,
 }
 
-/// Visits every reachable state, depth first, until one is wrong.
+/// Visits every reachable state depth first, until one violates an invariant.
 pub fn explore<M: Model>(start: M) -> Exploration {
     let mut seen = HashSet::new();
     let mut trace = Vec::new();
@@ -63,21 +63,21 @@
     None
 }
 
-/// Two hashes of the state's text: 128 bits, so that different states are not taken for one.
+/// Two 64-bit hashes of the state's debug output, which make a collision of different states negligible.
 fn fingerprint(state: &impl Debug) -> (u64, u64) {
-    let mut hashes = TextHashes::default();
+    let mut hashes = DebugHashes::default();
     write!(hashes, "{state:?}").expect("hashing cannot fail");
     "second".hash(&mut hashes.second);
     (hashes.first.finish(), hashes.second.finish())
 }
 
 #[derive(Default)]
-struct TextHashes {
+struct DebugHashes {
     first: DefaultHasher,
     second: DefaultHasher,
 }
 
-impl Write for TextHashes {
+impl Write for DebugHashes {
     fn write_str(&mut self, text: &str) -> std::fmt::Result {
         self.first.write(text.as_bytes());
         self.second.write(text.as_bytes());
--- a/crates/stairward-pool/tests/support/mod.rs
+++ b/crates/stairward-pool/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What several tests share.
+//! Support code shared by the tests.
 
 #![allow(dead_code)]
 
--- a/crates/stairward-pool/tests/support/pool_mirror.rs
+++ b/crates/stairward-pool/tests/support/pool_mirror.rs
@@ -1,10 +1,10 @@
-//! Watches a pool from outside: counts connections and grants by its effects alone.
+//! Tracks connections and grants of a pool from its effects alone.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use stairward_pool::pool::{ConnectionId, PoolEffect, RequestId};
 
-/// What a connection is doing.
+/// State of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Use {
     Opening,
@@ -14,7 +14,7 @@
     Lent(RequestId),
 }
 
-/// The pool's effects so far.
+/// State derived from the pool's effects.
 #[derive(Debug, Default)]
 pub struct PoolMirror {
     pub connections: BTreeMap<ConnectionId, Use>,
@@ -28,7 +28,7 @@
 }
 
 impl PoolMirror {
-    /// Notes effects; an error says which promise was broken.
+    /// Applies effects; the error describes a violated invariant.
     pub fn note_all(&mut self, effects: &[PoolEffect]) -> Result<(), String> {
         effects.iter().try_for_each(|effect| self.note(effect))
     }
@@ -89,7 +89,7 @@
         }
     }
 
-    /// The connections in one state.
+    /// The first connection in a state.
     pub fn in_use(&self, wanted: Use) -> Option<ConnectionId> {
         let mut connections = self.connections.iter();
         connections
