--- a/crates/stairward-runtime/src/backends.rs
+++ b/crates/stairward-runtime/src/backends.rs
@@ -21,7 +21,7 @@
 const READ_SIZE: usize = 4 * 1024;
 
 /// A connection that is ready for commands.
-pub(crate) struct Opened {
+pub(crate) struct OpenedConnection {
     pub reading: OwnedReadHalf,
     pub outgoing: Rc<Outgoing>,
     pub buffer: BytesMut,
@@ -29,7 +29,9 @@
 }
 
 /// Opens a connection to a back end and waits until it is ready.
-pub(crate) async fn open_connection<W: Wire>(target: &OpenTarget) -> Result<Opened, OpenFailure> {
+pub(crate) async fn open_connection<W: Wire>(
+    target: &OpenTarget,
+) -> Result<OpenedConnection, OpenFailure> {
     let opening = open_without_limit::<W>(target);
     match tokio::time::timeout(OPEN_TIMEOUT, opening).await {
         Ok(opened) => opened,
@@ -37,7 +39,7 @@
     }
 }
 
-async fn open_without_limit<W: Wire>(target: &OpenTarget) -> Result<Opened, OpenFailure> {
+async fn open_without_limit<W: Wire>(target: &OpenTarget) -> Result<OpenedConnection, OpenFailure> {
     let stream = TcpStream::connect(target.address)
         .await
         .map_err(|error| match error.kind() {
@@ -53,7 +55,7 @@
     loop {
         match W::decode_opened(&mut buffer) {
             Ok(Some(Ok(position))) => {
-                return Ok(Opened {
+                return Ok(OpenedConnection {
                     reading,
                     outgoing,
                     buffer,
--- a/crates/stairward-runtime/src/callers.rs
+++ b/crates/stairward-runtime/src/callers.rs
@@ -27,7 +27,9 @@
     pub async fn accept_callers(self: Rc<Self>, listener: TcpListener, limit: usize) {
         loop {
             match listener.accept().await {
-                Ok((stream, _)) if self.sessions.borrow().len() < limit => self.begin(stream),
+                Ok((stream, _)) if self.sessions.borrow().len() < limit => {
+                    self.start_session(stream)
+                }
                 Ok(_) => tracing::warn!(
                     event = LogEvent::SessionRefused.number(),
                     code = ResultCode::TooManyClients.number(),
@@ -41,18 +43,18 @@
         }
     }
 
-    fn begin(self: &Rc<Self>, stream: TcpStream) {
+    fn start_session(self: &Rc<Self>, stream: TcpStream) {
         let session = self.next_session();
         self.traffic.opened(OpeningKind::Client);
         let (reading, outgoing) = Outgoing::split(stream);
         self.sessions
             .borrow_mut()
             .insert(session, Rc::clone(&outgoing));
-        let task = tokio::task::spawn_local(Rc::clone(self).serve(session, reading));
+        let task = tokio::task::spawn_local(Rc::clone(self).serve_session(session, reading));
         outgoing.set_reader(task.abort_handle());
     }
 
-    async fn serve(self: Rc<Self>, session: SessionId, reading: OwnedReadHalf) {
+    async fn serve_session(self: Rc<Self>, session: SessionId, reading: OwnedReadHalf) {
         let mut reader = CallerReader {
             reading,
             buffer: BytesMut::new(),
--- a/crates/stairward-runtime/src/failover.rs
+++ b/crates/stairward-runtime/src/failover.rs
@@ -48,7 +48,7 @@
             Self::pause(pause.min(IDLE_CHECK_INTERVAL)).await;
             self.handle_failover_event(Event::Tick);
             prometheus::set_engine_statistics(self.statistics());
-            self.show_traffic();
+            self.update_traffic_metrics();
             for (zone, work) in self.engine.borrow().work_in_evacuated() {
                 prometheus::set_evacuated_zone_work(&zone, work);
             }
@@ -56,13 +56,13 @@
     }
 
     /// Updates the traffic metrics, and logs them at a fixed interval.
-    fn show_traffic(&self) {
+    fn update_traffic_metrics(&self) {
         let links = self.links.borrow().len();
         prometheus::set_peer_traffic(&self.traffic, links);
         let now = self.now();
         if self.traffic.is_line_due(now) {
-            let figures = self.statistics();
-            self.log.traffic(now, &self.traffic, links, figures);
+            let statistics = self.statistics();
+            self.log.traffic(now, &self.traffic, links, statistics);
         }
     }
 
@@ -144,7 +144,7 @@
         let node = Rc::clone(self);
         tokio::task::spawn_local(async move {
             let status = match target {
-                Some(target) => node.ask_member(target, request).await.answer(),
+                Some(target) => node.query_member(target, request).await.answer(),
                 None => None,
             };
             if status.is_some() {
@@ -169,12 +169,12 @@
             tokio::task::spawn_local(async move {
                 let reach = match (target, &via) {
                     (None, _) => Reach::Silent,
-                    (Some(target), Via::Direct) => node.ask_member(target, request).await,
+                    (Some(target), Via::Direct) => node.query_member(target, request).await,
                     (Some(target), Via::Peer(peer)) => {
                         node.request_through_peer(*peer, &target, request).await
                     }
                 };
-                node.log.reach(node.now(), &backend, &via, reach);
+                node.log.member_request(node.now(), &backend, &via, reach);
                 node.handle_failover_event(Event::Reached(backend, via, reach));
             });
         }
--- a/crates/stairward-runtime/src/failover_peers.rs
+++ b/crates/stairward-runtime/src/failover_peers.rs
@@ -139,7 +139,8 @@
         tokio::task::spawn_local(async move {
             let opened = open_connection::<W>(&target).await;
             let is_silent = matches!(opened, Err(OpenFailure::Silent));
-            node.log.verified(node.now(), &backend, asker, is_silent);
+            node.log
+                .silence_check(node.now(), &backend, asker, is_silent);
             if let Ok(opened) = opened {
                 opened.outgoing.close();
             }
@@ -197,7 +198,7 @@
             .get(&user)
             .map(|user| user.address)?;
         self.traffic.opened(OpeningKind::OneShot);
-        let telling = async {
+        let sending = async {
             let (mut reader, outgoing) = connect(address).await?;
             let message = NeighbourMessage::RevokeLead {
                 service: Text::new(service.as_str()),
@@ -206,7 +207,7 @@
             outgoing.send(&frame(&message)).ok()?;
             reader.next().await
         };
-        match tokio::time::timeout(RELAY_TIMEOUT, telling).await {
+        match tokio::time::timeout(RELAY_TIMEOUT, sending).await {
             Ok(Some(NeighbourMessage::LeadRevoked { newest })) => Some(Term(newest)),
             _ => None,
         }
@@ -224,20 +225,20 @@
             let member = members.iter().find(|member| member.node == peer);
             member.map(|member| member.address)
         };
-        let (Some(address), Some(message)) = (address, request_message(target, request)) else {
+        let (Some(address), Some(message)) = (address, encode_request(target, request)) else {
             return Reach::Silent;
         };
         self.traffic.opened(OpeningKind::OneShot);
-        let asking = async {
+        let requesting = async {
             let (mut reader, outgoing) = connect(address).await?;
             let question = NeighbourMessage::AskMember(message);
             outgoing.send(&frame(&question)).ok()?;
             match reader.next().await? {
-                NeighbourMessage::MemberReach(reach) => Some(reach_of(&reach)),
+                NeighbourMessage::MemberReach(reach) => Some(decode_reach(&reach)),
                 _ => None,
             }
         };
-        tokio::time::timeout(RELAY_TIMEOUT, asking)
+        tokio::time::timeout(RELAY_TIMEOUT, requesting)
             .await
             .ok()
             .flatten()
@@ -249,14 +250,14 @@
         self: &Rc<Self>,
         message: &MemberQuestionMessage,
     ) -> Option<NeighbourMessage> {
-        let (target, question) = request_of(message)?;
-        let reach = self.ask_member(target, question).await;
-        Some(NeighbourMessage::MemberReach(reach_message(reach)))
+        let (target, question) = decode_request(message)?;
+        let reach = self.query_member(target, question).await;
+        Some(NeighbourMessage::MemberReach(encode_reach(reach)))
     }
 }
 
 /// Converts a member request to a message; none for a kind that is not relayed.
-fn request_message(target: &OpenTarget, request: MemberRequest) -> Option<MemberQuestionMessage> {
+fn encode_request(target: &OpenTarget, request: MemberRequest) -> Option<MemberQuestionMessage> {
     let (question, term) = match request {
         MemberRequest::StepDown(term) => (MemberQuestionMessage::STEP_DOWN, term),
         MemberRequest::Hold(term) => (MemberQuestionMessage::HOLD, term),
@@ -277,7 +278,7 @@
     })
 }
 
-fn request_of(message: &MemberQuestionMessage) -> Option<(OpenTarget, MemberRequest)> {
+fn decode_request(message: &MemberQuestionMessage) -> Option<(OpenTarget, MemberRequest)> {
     let term = Term(message.term);
     let question = match message.question {
         MemberQuestionMessage::STEP_DOWN => MemberRequest::StepDown(term),
@@ -293,7 +294,7 @@
     Some((target, question))
 }
 
-fn reach_message(reach: Reach) -> MemberReachMessage {
+fn encode_reach(reach: Reach) -> MemberReachMessage {
     let (kind, status) = match reach {
         Reach::Silent => (MemberReachMessage::SILENT, None),
         Reach::Refused => (MemberReachMessage::REFUSED, None),
@@ -312,7 +313,7 @@
 }
 
 /// Converts a message to the result of a member request. A malformed message counts as no reply.
-fn reach_of(message: &MemberReachMessage) -> Reach {
+fn decode_reach(message: &MemberReachMessage) -> Reach {
     let role = match message.kind {
         MemberReachMessage::REFUSED => return Reach::Refused,
         MemberReachMessage::PRIMARY => BackendRole::Primary,
--- a/crates/stairward-runtime/src/feeds.rs
+++ b/crates/stairward-runtime/src/feeds.rs
@@ -175,9 +175,9 @@
     }
 
     /// Converts a watcher's time to a lower bound on this node's clock; none while the watcher's clock is unknown.
-    fn to_local_time(&self, source: NodeId, theirs: Time) -> Option<Time> {
+    fn to_local_time(&self, source: NodeId, remote_time: Time) -> Option<Time> {
         let clocks = self.source_clocks.borrow();
-        clocks.get(&source)?.no_later_than(theirs)
+        clocks.get(&source)?.no_later_than(remote_time)
     }
 
     fn next_wake(&self, now: Time) -> Option<Time> {
@@ -305,7 +305,7 @@
     }
 
     /// Handles the loss of a link to a node that may be a followed watcher.
-    pub(crate) fn source_lost(self: &Rc<Self>, source: NodeId) {
+    pub(crate) fn handle_source_lost(self: &Rc<Self>, source: NodeId) {
         self.feeds.source_clocks.borrow_mut().remove(&source);
         for (name, _) in self.feeds.all() {
             self.handle_feed_event(name, Event::SourceLost(source));
@@ -314,7 +314,7 @@
     }
 
     /// Adds a follower of a feed.
-    pub(crate) fn follower_asked(
+    pub(crate) fn add_follower(
         self: &Rc<Self>,
         link: u64,
         outgoing: &Rc<Outgoing>,
@@ -330,12 +330,12 @@
     }
 
     /// Removes a follower of a feed.
-    pub(crate) fn follower_left(self: &Rc<Self>, link: u64, name: &Text) {
+    pub(crate) fn remove_follower(self: &Rc<Self>, link: u64, name: &Text) {
         self.handle_feed_event(name.as_str(), Event::FollowerLeft(FollowerId(link)));
     }
 
     /// Records that a follower has applied content up to a revision.
-    pub(crate) fn follower_took(self: &Rc<Self>, link: u64, name: &Text, held: u64) {
+    pub(crate) fn follower_applied(self: &Rc<Self>, link: u64, name: &Text, held: u64) {
         let took = Event::FollowerTook {
             follower: FollowerId(link),
             held: StoreRevision::from_number(held),
@@ -363,7 +363,7 @@
     }
 
     /// Removes a follower whose link has ended.
-    pub(crate) fn follower_link_lost(self: &Rc<Self>, link: u64) {
+    pub(crate) fn remove_followers_of_link(self: &Rc<Self>, link: u64) {
         let follower = FollowerId(link);
         let removed = self.feeds.follower_links.borrow_mut().remove(&follower);
         if removed.is_some() {
@@ -404,7 +404,7 @@
         }
     }
 
-    fn ask_clock(self: &Rc<Self>, source: NodeId) {
+    fn query_clock(self: &Rc<Self>, source: NodeId) {
         let question = NeighbourMessage::AskClock {
             asked_at_microseconds: self.now().0,
         };
@@ -416,7 +416,7 @@
         let now = self.now();
         let clock = self.feeds.source_clocks.borrow().get(&source).copied();
         if clock.is_some_and(|clock| clock.is_old(now)) {
-            self.ask_clock(source);
+            self.query_clock(source);
         }
     }
 
@@ -471,7 +471,7 @@
             }
             Effect::Follow { source, known } => {
                 // Sent first, so that the clock is known when the first state message arrives.
-                self.ask_clock(source);
+                self.query_clock(source);
                 let message = NeighbourMessage::FollowFeed {
                     name: Text::new(name),
                     known: known.map_or(0, StoreRevision::number),
--- a/crates/stairward-runtime/src/holders.rs
+++ b/crates/stairward-runtime/src/holders.rs
@@ -92,11 +92,11 @@
         let before = std::mem::replace(&mut self.members, members.len());
         // While a service's maximum is not below the number of nodes, every node is a holder.
         let crosses_threshold = |count: usize| (before > count) != (members.len() > count);
-        let turned = self
+        let crossing = self
             .counts
             .iter()
             .filter(|(_, count)| crosses_threshold(**count));
-        changed.extend(turned.map(|(service, _)| service.clone()));
+        changed.extend(crossing.map(|(service, _)| service.clone()));
         self.compute(own, members, changed)
     }
 
@@ -147,7 +147,7 @@
         };
         found.places = holders.iter().map(place).collect();
         if !holders.iter().any(|holder| holder.node == own.node) {
-            found.elsewhere = by_nearness(own, &holders);
+            found.elsewhere = by_distance(own, &holders);
         }
         found
     }
@@ -155,7 +155,7 @@
 
 /// Orders holders by distance: own zone, own region, others. Holders at the same distance are ordered by XOR with the
 /// node id, so that nodes spread their load over them.
-fn by_nearness(own: &LocalNode, holders: &[&Profile]) -> Vec<NodeId> {
+fn by_distance(own: &LocalNode, holders: &[&Profile]) -> Vec<NodeId> {
     let rank = |holder: &&Profile| {
         (
             own.distance(holder),
--- a/crates/stairward-runtime/src/limit_messages.rs
+++ b/crates/stairward-runtime/src/limit_messages.rs
@@ -24,7 +24,7 @@
 }
 
 /// Converts a limit request to a message.
-pub(crate) fn ask_message(node: NodeId, ask: Ask) -> LimitAsk {
+pub(crate) fn encode_ask(node: NodeId, ask: Ask) -> LimitAsk {
     let wants: Vec<LimitWant> = ask
         .wants
         .into_iter()
@@ -50,7 +50,7 @@
 }
 
 /// Converts a message to a limit request; none if it is malformed.
-pub(crate) fn ask_of(message: &LimitAsk) -> Option<(NodeId, Ask)> {
+pub(crate) fn decode_ask(message: &LimitAsk) -> Option<(NodeId, Ask)> {
     let loan = (message.lends != 0).then_some(Echo {
         life: message.life,
         at: Time(message.lent_at_microseconds),
@@ -74,7 +74,7 @@
 }
 
 /// Converts a grant to a message.
-pub(crate) fn grant_message(grant: Grant) -> LimitGrant {
+pub(crate) fn encode_grant(grant: Grant) -> LimitGrant {
     let granted: Vec<LimitGranted> = grant
         .granted
         .into_iter()
@@ -98,7 +98,7 @@
 }
 
 /// Converts a message to a grant; none if it is malformed.
-pub(crate) fn grant_of(message: &LimitGrant) -> Option<Grant> {
+pub(crate) fn decode_grant(message: &LimitGrant) -> Option<Grant> {
     let mut granted = Vec::new();
     for tenant in &message.granted {
         granted.push(Granted {
--- a/crates/stairward-runtime/src/log.rs
+++ b/crates/stairward-runtime/src/log.rs
@@ -176,7 +176,7 @@
     }
 
     /// Logs the check of a back end that another node reported as silent.
-    pub fn verified(&self, now: Time, backend: &BackendId, asker: NodeId, is_silent: bool) {
+    pub fn silence_check(&self, now: Time, backend: &BackendId, asker: NodeId, is_silent: bool) {
         let event = LogEvent::SilenceVerified;
         if let Some(left_out) = self.admit(now, event) {
             let (number, name) = (event.number(), event.name());
@@ -283,7 +283,7 @@
     }
 
     /// Logs the result of a step-down or hold request.
-    pub fn reach(&self, now: Time, backend: &BackendId, via: &Via, reach: Reach) {
+    pub fn member_request(&self, now: Time, backend: &BackendId, via: &Via, reach: Reach) {
         let event = LogEvent::MemberAsked;
         if let Some(left_out) = self.admit(now, event) {
             let (number, name) = (event.number(), event.name());
--- a/crates/stairward-runtime/src/member_requests.rs
+++ b/crates/stairward-runtime/src/member_requests.rs
@@ -11,7 +11,7 @@
 use stairward_types::{BackendId, BackendRole};
 use tokio::io::AsyncReadExt as _;
 
-use crate::backends::{Opened, open_connection};
+use crate::backends::{OpenedConnection, open_connection};
 use crate::node::Node;
 use crate::wire::{MemberRequest, Wire};
 
@@ -25,18 +25,18 @@
 /// Connections to members that were sent a request recently.
 #[derive(Default)]
 pub(crate) struct MemberConnections {
-    by_member: BTreeMap<BackendId, Opened>,
+    by_member: BTreeMap<BackendId, OpenedConnection>,
 }
 
 impl<W: Wire> Node<W> {
     /// Sends a request to a member and waits for its reply.
-    pub(crate) async fn ask_member(
+    pub(crate) async fn query_member(
         self: &Rc<Self>,
         target: OpenTarget,
         request: MemberRequest,
     ) -> Reach {
-        let asking = self.request_with_retries(&target, request);
-        tokio::time::timeout(REQUEST_TIMEOUT, asking)
+        let requesting = self.request_with_retries(&target, request);
+        tokio::time::timeout(REQUEST_TIMEOUT, requesting)
             .await
             .unwrap_or(Reach::Silent)
     }
@@ -76,7 +76,7 @@
         }
     }
 
-    fn cache_connection(self: &Rc<Self>, target: &OpenTarget, opened: Opened) {
+    fn cache_connection(self: &Rc<Self>, target: &OpenTarget, opened: OpenedConnection) {
         let member = target.backend.clone();
         let outgoing = Rc::clone(&opened.outgoing);
         let earlier = self
@@ -105,7 +105,7 @@
 /// Sends a request on a connection. Before a step-down the member's role is queried: only a member that was primary
 /// before proves by its reply that its leadership has ended.
 async fn request_on_connection<W: Wire>(
-    opened: &mut Opened,
+    opened: &mut OpenedConnection,
     request: MemberRequest,
 ) -> Option<Reach> {
     let must_have_led = matches!(request, MemberRequest::StepDown(_));
@@ -125,7 +125,7 @@
 /// Repeats a request on a connection until the reply is sufficient or half of the timeout has passed; none if the
 /// connection fails.
 async fn request_until_sufficient<W: Wire>(
-    opened: &mut Opened,
+    opened: &mut OpenedConnection,
     request: MemberRequest,
 ) -> Option<MemberStatus> {
     let mut decoder = W::ReplyDecoder::default();
--- a/crates/stairward-runtime/src/node.rs
+++ b/crates/stairward-runtime/src/node.rs
@@ -28,7 +28,7 @@
 use crate::feeds::Feeds;
 use crate::health::Readiness;
 use crate::holders::HolderAssignments;
-use crate::limit_messages::ask_message;
+use crate::limit_messages::encode_ask;
 use crate::log::{DecisionLog, EvacuationLine, LeadLine};
 use crate::member_requests::MemberConnections;
 use crate::membership::PeerIdentity;
@@ -382,9 +382,9 @@
                 let is_revoked = change == LeadChange::Revoked;
                 self.handle_failover_event(stairward_failover::Event::Lead(service, is_revoked));
             }
-            Effect::AskLead { holder, service } => self.ask_lead(holder, &service),
+            Effect::AskLead { holder, service } => self.query_lead(holder, &service),
             Effect::AskLimit(node, ask) => {
-                let message = ask_message(self.peer.node, ask);
+                let message = encode_ask(self.peer.node, ask);
                 self.send_to_peer(node, &NeighbourMessage::AskLimit(message));
             }
             Effect::RecordFleet(nodes) => self.record_fleet(nodes),
@@ -395,7 +395,7 @@
             } => {
                 self.log.coordinator(now, shard, silent, coordinator);
             }
-            Effect::AskPosition { service } => self.ask_peers_for_position(&service),
+            Effect::AskPosition { service } => self.query_positions(&service),
             Effect::CloseForwarded { holder, session } => self.close_forwarded(holder, session),
             Effect::RefuseSession { session, code } => {
                 self.log.session_refused(now, session, code);
--- a/crates/stairward-runtime/src/peer_link.rs
+++ b/crates/stairward-runtime/src/peer_link.rs
@@ -81,7 +81,7 @@
 /// Fetches a document of the store from the first of these peers that has it, tried in order.
 pub async fn fetch_document(peers: &[SocketAddr], name: &str) -> Option<Vec<u8>> {
     for peer in peers {
-        let asking = async {
+        let requesting = async {
             let (mut reader, outgoing) = connect(*peer).await?;
             let question = NeighbourMessage::AskDocument {
                 name: Text::new(name),
@@ -94,7 +94,7 @@
                 _ => None,
             }
         };
-        let answer = tokio::time::timeout(DOCUMENT_TIMEOUT, asking).await;
+        let answer = tokio::time::timeout(DOCUMENT_TIMEOUT, requesting).await;
         if let Ok(Some(content)) = answer {
             return Some(content);
         }
--- a/crates/stairward-runtime/src/peers.rs
+++ b/crates/stairward-runtime/src/peers.rs
@@ -14,11 +14,11 @@
 use stairward_types::{BackendId, Freshness, LogEvent, NodeId, ServiceName, Term, Time};
 use tokio::net::{TcpListener, TcpStream};
 
-use crate::limit_messages::{ask_of, grant_message, grant_of};
+use crate::limit_messages::{decode_ask, decode_grant, encode_grant};
 use crate::node::Node;
 use crate::peer_link::{MessageReader, connect, frame};
 use crate::socket::Outgoing;
-use crate::statement_messages::{answer_message, forwarded_of, response_of, statement_message};
+use crate::statement_messages::{decode_answer, decode_statement, encode_answer, encode_statement};
 use crate::traffic::{OpeningKind, TrafficKind};
 use crate::wire::Wire;
 
@@ -84,7 +84,7 @@
         }
         self.traffic.accepted_ended();
         self.close_remote_sessions_of(link);
-        self.follower_link_lost(link);
+        self.remove_followers_of_link(link);
     }
 
     /// Handles a message of another node and sends the reply, if any. Returns false if the link must be closed.
@@ -95,7 +95,7 @@
         message: NeighbourMessage,
     ) -> bool {
         let answer = match message {
-            NeighbourMessage::AskDocument { name } => Some(self.document_answer(name)),
+            NeighbourMessage::AskDocument { name } => Some(self.document_reply(name)),
             NeighbourMessage::Forward(message) => {
                 return self.handle_forwarded(link, outgoing, &message);
             }
@@ -106,17 +106,17 @@
             NeighbourMessage::AskPosition {
                 service,
                 asked_at_microseconds,
-            } => Some(self.position_answer(service, asked_at_microseconds)),
+            } => Some(self.position_reply(service, asked_at_microseconds)),
             NeighbourMessage::FollowFeed { name, known } => {
-                self.follower_asked(link, outgoing, &name, known);
+                self.add_follower(link, outgoing, &name, known);
                 None
             }
             NeighbourMessage::UnfollowFeed { name } => {
-                self.follower_left(link, &name);
+                self.remove_follower(link, &name);
                 None
             }
             NeighbourMessage::FeedTaken { name, held } => {
-                self.follower_took(link, &name, held);
+                self.follower_applied(link, &name, held);
                 None
             }
             NeighbourMessage::AskAlive => Some(NeighbourMessage::Alive),
@@ -129,8 +129,8 @@
             NeighbourMessage::AskLead {
                 service,
                 asked_at_microseconds,
-            } => self.lead_answer(service, asked_at_microseconds),
-            NeighbourMessage::AskLimit(message) => match self.limit_answer(&message) {
+            } => self.lead_reply(service, asked_at_microseconds),
+            NeighbourMessage::AskLimit(message) => match self.limit_reply(&message) {
                 Some(answer) => Some(answer),
                 None => return false,
             },
@@ -190,7 +190,7 @@
         outgoing.send(&bytes).is_ok()
     }
 
-    fn document_answer(&self, name: Text) -> NeighbourMessage {
+    fn document_reply(&self, name: Text) -> NeighbourMessage {
         let content = self
             .feeds
             .compressed_snapshot(name.as_str())
@@ -208,7 +208,7 @@
         outgoing: &Rc<Outgoing>,
         message: &ForwardedStatement,
     ) -> bool {
-        let Some(forwarded) = forwarded_of(message) else {
+        let Some(forwarded) = decode_statement(message) else {
             return false;
         };
         let session = self.remote_session(link, outgoing, message.session, message.request);
@@ -224,26 +224,29 @@
         &self,
         link: u64,
         outgoing: &Rc<Outgoing>,
-        theirs: u64,
+        remote_id: u64,
         request: u64,
     ) -> SessionId {
         let mut remote_sessions = self.remote_sessions.borrow_mut();
-        let known = remote_sessions.by_remote_id.get(&(link, theirs)).copied();
+        let known = remote_sessions
+            .by_remote_id
+            .get(&(link, remote_id))
+            .copied();
         let own = known.unwrap_or_else(|| self.next_session());
-        remote_sessions.by_remote_id.insert((link, theirs), own);
-        let guest = RemoteSession {
+        remote_sessions.by_remote_id.insert((link, remote_id), own);
+        let remote_session = RemoteSession {
             outgoing: Rc::clone(outgoing),
-            session: theirs,
+            session: remote_id,
             request,
         };
-        remote_sessions.by_local_id.insert(own, guest);
+        remote_sessions.by_local_id.insert(own, remote_session);
         own
     }
 
-    fn close_remote_session(self: &Rc<Self>, link: u64, theirs: u64) {
+    fn close_remote_session(self: &Rc<Self>, link: u64, remote_id: u64) {
         let own = {
             let mut remote_sessions = self.remote_sessions.borrow_mut();
-            let own = remote_sessions.by_remote_id.remove(&(link, theirs));
+            let own = remote_sessions.by_remote_id.remove(&(link, remote_id));
             if let Some(own) = &own {
                 remote_sessions.by_local_id.remove(own);
             }
@@ -255,14 +258,14 @@
     }
 
     fn close_remote_sessions_of(self: &Rc<Self>, link: u64) {
-        let theirs: Vec<u64> = {
+        let remote_id: Vec<u64> = {
             let remote_sessions = self.remote_sessions.borrow();
             let of_link = remote_sessions
                 .by_remote_id
                 .range((link, 0)..=(link, u64::MAX));
-            of_link.map(|((_, theirs), _)| *theirs).collect()
+            of_link.map(|((_, remote_id), _)| *remote_id).collect()
         };
-        for session in theirs {
+        for session in remote_id {
             self.close_remote_session(link, session);
         }
     }
@@ -274,12 +277,12 @@
         response: Response,
     ) -> Option<Response> {
         let remote_sessions = self.remote_sessions.borrow();
-        let Some(guest) = remote_sessions.by_local_id.get(&session) else {
+        let Some(remote_session) = remote_sessions.by_local_id.get(&session) else {
             return Some(response);
         };
-        let answer = answer_message(guest.session, guest.request, response);
+        let answer = encode_answer(remote_session.session, remote_session.request, response);
         // A failed link is cleaned up by the task that reads it.
-        let _ = self.send_message(&guest.outgoing, &NeighbourMessage::Answer(answer));
+        let _ = self.send_message(&remote_session.outgoing, &NeighbourMessage::Answer(answer));
         None
     }
 
@@ -301,7 +304,7 @@
         request: u64,
         forwarded: Forwarded,
     ) {
-        if let Some(message) = statement_message(session.0, request, forwarded) {
+        if let Some(message) = encode_statement(session.0, request, forwarded) {
             self.send_to_peer(holder, &NeighbourMessage::Forward(message));
         }
     }
@@ -323,7 +326,7 @@
             Some(Link::Opening(waiting)) => waiting.extend_from_slice(&bytes),
             Some(Link::Open(outgoing)) => {
                 if outgoing.send(&bytes).is_err() {
-                    tokio::task::spawn_local(async move { node.link_lost(holder) });
+                    tokio::task::spawn_local(async move { node.handle_link_lost(holder) });
                 }
             }
             None => {
@@ -346,14 +349,14 @@
             None => None,
         };
         let Some((mut reader, outgoing)) = connected else {
-            return self.link_lost(holder);
+            return self.handle_link_lost(holder);
         };
         let opened = Link::Open(Rc::clone(&outgoing));
         let waiting = self.links.borrow_mut().insert(holder, opened);
         if let Some(Link::Opening(waiting)) = waiting
             && outgoing.send(&waiting).is_err()
         {
-            return self.link_lost(holder);
+            return self.handle_link_lost(holder);
         }
         tracing::info!(event = LogEvent::PeerConnected.number(), holder = holder.0);
         while let Some(message) = reader.next().await {
@@ -366,7 +369,7 @@
                         holder,
                         session,
                         request,
-                        response: response_of(answer),
+                        response: decode_answer(answer),
                     });
                 }
                 NeighbourMessage::Position {
@@ -377,7 +380,7 @@
                 } => {
                     let age = Duration::from_micros(age_microseconds);
                     let asked_at = Time(asked_at_microseconds);
-                    self.take_position(&service, position.into(), asked_at, age);
+                    self.handle_position(&service, position.into(), asked_at, age);
                 }
                 NeighbourMessage::Lead {
                     service,
@@ -395,7 +398,7 @@
                     }
                 }
                 NeighbourMessage::GrantLimit(message) => {
-                    let Some(grant) = grant_of(&message) else {
+                    let Some(grant) = decode_grant(&message) else {
                         break;
                     };
                     self.handle(Event::LimitGranted(holder, grant));
@@ -413,11 +416,11 @@
                 _ => break,
             }
         }
-        self.link_lost(holder);
+        self.handle_link_lost(holder);
     }
 
     /// Queries randomly chosen peers for the proved log position of a service's leader.
-    pub(crate) fn ask_peers_for_position(self: &Rc<Self>, service: &ServiceName) {
+    pub(crate) fn query_positions(self: &Rc<Self>, service: &ServiceName) {
         let others: Vec<NodeId> = {
             let members = self.members.borrow();
             let nodes = members.iter().map(|member| member.node);
@@ -432,7 +435,7 @@
         }
     }
 
-    fn position_answer(&self, service: Text, asked_at_microseconds: u64) -> NeighbourMessage {
+    fn position_reply(&self, service: Text, asked_at_microseconds: u64) -> NeighbourMessage {
         let name = ServiceName::new(service.as_str()).ok();
         let proved = name.and_then(|name| self.proved_position(&name));
         let (position, age) = proved.unzip();
@@ -446,7 +449,7 @@
     }
 
     /// Queries another node for the newest term of a service that it knows may have begun.
-    pub(crate) fn ask_lead(self: &Rc<Self>, holder: NodeId, service: &ServiceName) {
+    pub(crate) fn query_lead(self: &Rc<Self>, holder: NodeId, service: &ServiceName) {
         let message = NeighbourMessage::AskLead {
             service: Text::new(service.as_str()),
             asked_at_microseconds: self.now().0,
@@ -455,14 +458,14 @@
     }
 
     /// Answers a request for tenant limits, as coordinator; none if the message is malformed.
-    fn limit_answer(&self, message: &LimitAsk) -> Option<NeighbourMessage> {
-        let (node, ask) = ask_of(message)?;
+    fn limit_reply(&self, message: &LimitAsk) -> Option<NeighbourMessage> {
+        let (node, ask) = decode_ask(message)?;
         let grant = self.grant_limit(node, &ask);
-        Some(NeighbourMessage::GrantLimit(grant_message(grant)))
+        Some(NeighbourMessage::GrantLimit(encode_grant(grant)))
     }
 
     /// The newest term of a service that may have begun; none if unknown. The engine keeps it up to date from now on.
-    fn lead_answer(
+    fn lead_reply(
         self: &Rc<Self>,
         service: Text,
         asked_at_microseconds: u64,
@@ -478,7 +481,7 @@
         })
     }
 
-    fn take_position(
+    fn handle_position(
         self: &Rc<Self>,
         service: &Text,
         position: Option<Freshness>,
@@ -496,7 +499,7 @@
         }
     }
 
-    fn link_lost(self: &Rc<Self>, holder: NodeId) {
+    fn handle_link_lost(self: &Rc<Self>, holder: NodeId) {
         let link = self.links.borrow_mut().remove(&holder);
         if let Some(link) = link {
             tracing::warn!(event = LogEvent::PeerLost.number(), holder = holder.0);
@@ -507,7 +510,7 @@
                 }
                 Link::Opening(_) => self.handle(Event::HolderUnreachable(holder)),
             }
-            self.source_lost(holder);
+            self.handle_source_lost(holder);
         }
     }
 }
--- a/crates/stairward-runtime/src/prometheus.rs
+++ b/crates/stairward-runtime/src/prometheus.rs
@@ -41,7 +41,7 @@
 const PEER_MESSAGES: &str = "stairward_peer_messages_total";
 /// Bytes of messages between nodes, by kind and direction.
 const PEER_BYTES: &str = "stairward_peer_bytes_total";
-/// Opened connections, by purpose.
+/// OpenedConnection connections, by purpose.
 const OPENINGS: &str = "stairward_openings_total";
 /// Outgoing links to other nodes, open or being opened.
 const LINKS: &str = "stairward_peer_links";
--- a/crates/stairward-runtime/src/socket.rs
+++ b/crates/stairward-runtime/src/socket.rs
@@ -69,7 +69,7 @@
         let mut pending = self.pending.borrow_mut();
         if !pending.is_empty() {
             pending.extend_from_slice(bytes);
-            return Self::check(pending.len());
+            return Self::check_pending(pending.len());
         }
         let sent = match self.stream.try_write(bytes) {
             Ok(sent) => sent,
@@ -78,14 +78,14 @@
         };
         if sent < bytes.len() {
             pending.extend_from_slice(&bytes[sent..]);
-            Self::check(pending.len())?;
+            Self::check_pending(pending.len())?;
             drop(pending);
             self.start_flushing();
         }
         Ok(())
     }
 
-    fn check(pending: usize) -> io::Result<()> {
+    fn check_pending(pending: usize) -> io::Result<()> {
         if pending > PENDING_LIMIT {
             return Err(io::Error::other("write queue full: the peer does not read"));
         }
--- a/crates/stairward-runtime/src/statement_messages.rs
+++ b/crates/stairward-runtime/src/statement_messages.rs
@@ -59,7 +59,7 @@
 }
 
 /// Converts a forwarded statement to a message; none for a kind that is never forwarded.
-pub(crate) fn statement_message(
+pub(crate) fn encode_statement(
     session: u64,
     request: u64,
     forwarded: Forwarded,
@@ -102,7 +102,7 @@
 }
 
 /// Converts a message to a forwarded statement; none if it is malformed.
-pub(crate) fn forwarded_of(message: &ForwardedStatement) -> Option<Forwarded> {
+pub(crate) fn decode_statement(message: &ForwardedStatement) -> Option<Forwarded> {
     let mut values = BTreeMap::new();
     for value in &message.values {
         values.insert(text(&value.name)?, text(&value.value)?);
@@ -148,7 +148,7 @@
 }
 
 /// Converts a response to a message.
-pub(crate) fn answer_message(session: u64, request: u64, response: Response) -> ForwardedAnswer {
+pub(crate) fn encode_answer(session: u64, request: u64, response: Response) -> ForwardedAnswer {
     let (end, code, retry_after, body) = match response.result {
         ResponseResult::Completed { signature: None } => (COMPLETED, 0, 0, String::new()),
         ResponseResult::Completed {
@@ -192,7 +192,7 @@
 }
 
 /// Converts a message to a response. Unknown codes become failures whose outcome is unknown.
-pub(crate) fn response_of(message: ForwardedAnswer) -> Response {
+pub(crate) fn decode_answer(message: ForwardedAnswer) -> Response {
     let body = text(&message.text).unwrap_or_default();
     let result = match message.end {
         COMPLETED => ResponseResult::Completed { signature: None },
--- a/crates/stairward-runtime/src/traffic.rs
+++ b/crates/stairward-runtime/src/traffic.rs
@@ -183,25 +183,25 @@
         self.accepted_open.get()
     }
 
-    /// Calls `show` with kind, direction, messages and bytes of every counter.
+    /// Calls `visit` with kind, direction, messages and bytes of every counter.
     pub fn for_each_message_count(
         &self,
-        mut show: impl FnMut(&'static str, &'static str, u64, u64),
+        mut visit: impl FnMut(&'static str, &'static str, u64, u64),
     ) {
         for (direction, counts) in [("sent", &self.sent), ("received", &self.received)] {
             let counts = counts.borrow();
             for kind in TrafficKind::ALL {
                 let count = counts[kind as usize];
-                show(kind.name(), direction, count.messages, count.bytes);
+                visit(kind.name(), direction, count.messages, count.bytes);
             }
         }
     }
 
-    /// Calls `show` with each kind and its number of opened connections.
-    pub fn for_each_opening_count(&self, mut show: impl FnMut(&'static str, u64)) {
+    /// Calls `visit` with each kind and its number of opened connections.
+    pub fn for_each_opening_count(&self, mut visit: impl FnMut(&'static str, u64)) {
         let openings = self.openings.borrow();
         for kind in OpeningKind::ALL {
-            show(kind.name(), openings[kind as usize]);
+            visit(kind.name(), openings[kind as usize]);
         }
     }
 
