--- a/crates/stairward-types/src/api_key.rs
+++ b/crates/stairward-types/src/api_key.rs
@@ -1,8 +1,8 @@
-//! The key that a client proves its tenant with. It is a secret: nothing shows it.
+//! The API key that authenticates a client as belonging to a tenant. It is a secret and never printed.
 
 use std::fmt;
 
-/// A key of a tenant. Its debug output hides it, and it has no other text form.
+/// API key of a tenant. Its debug output hides the key, and it cannot be formatted otherwise.
 #[derive(Clone, PartialEq, Eq, Hash)]
 pub struct ApiKey(Box<str>);
 
@@ -13,7 +13,7 @@
         Self(key.into())
     }
 
-    /// Whether the key is the empty text, which proves nothing.
+    /// Whether the key is empty, which authenticates no tenant.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
--- a/crates/stairward-types/src/freshness.rs
+++ b/crates/stairward-types/src/freshness.rs
@@ -1,4 +1,4 @@
-//! Terms and log positions: how far a copy of a database group has come.
+//! Terms and log positions, which measure the replication progress of a database.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use snafu::{OptionExt, ResultExt, Snafu};
 
-/// A primary's reign in its group, PostgreSQL's timeline. A later primary has a higher term.
+/// Period of leadership of one primary in its group (PostgreSQL's timeline). A later primary has a higher term.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
@@ -19,14 +19,14 @@
     }
 }
 
-/// A position in a group's log, PostgreSQL's `pg_lsn`. Shown as `HIGH/LOW` in hexadecimal.
+/// A position in a group's log (PostgreSQL's `pg_lsn`), displayed as `HIGH/LOW` in hexadecimal.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct LogPosition(pub u64);
 
-/// Text that is not a log position.
+/// Why a text is not a log position.
 #[derive(Debug, Snafu)]
 pub enum ParseLogPositionError {
     /// There is no `/` between the halves.
@@ -40,7 +40,7 @@
     NotHexadecimal {
         /// The refused text.
         text: String,
-        /// What the number parser said.
+        /// The parser's error.
         source: std::num::ParseIntError,
     },
 }
@@ -62,33 +62,33 @@
     }
 }
 
-/// How far a copy has come: its term, and its position in that term's log.
+/// Replication progress of a database: its term, and its position in that term's log.
 ///
-/// Freshness is only partly ordered. A copy at a higher position but an older term may hold a log
-/// that the group has abandoned, so it covers nothing of the newer term.
+/// Freshness is only partially ordered. A database at a higher position of an older term may hold log
+/// entries that the group has abandoned, so it covers nothing of the newer term.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default, Serialize, Deserialize)]
 pub struct Freshness {
-    /// The term whose log the copy follows.
+    /// The term whose log the database follows.
     pub term: Term,
     /// The position up to which it has applied that log.
     pub position: LogPosition,
 }
 
 impl Freshness {
-    /// Builds a freshness from its parts.
+    /// Creates a freshness from term and position.
     #[must_use]
     pub const fn new(term: Term, position: LogPosition) -> Self {
         Self { term, position }
     }
 
-    /// Whether a copy this fresh holds all that `floor` asks for: it has reached both the term and
-    /// the position. A later term includes every fenced position of the earlier ones.
+    /// Whether this freshness includes `floor`: it has reached both its term and its position. A later
+    /// term includes every fenced position of earlier ones.
     #[must_use]
     pub fn covers(self, floor: Self) -> bool {
         self.term >= floor.term && self.position >= floor.position
     }
 
-    /// The least freshness that covers both.
+    /// The smallest freshness that covers both.
     #[must_use]
     pub fn join(self, other: Self) -> Self {
         Self {
--- a/crates/stairward-types/src/identifier.rs
+++ b/crates/stairward-types/src/identifier.rs
@@ -1,4 +1,4 @@
-//! Names and numbers that identify things.
+//! Names and numeric identifiers.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,16 +7,16 @@
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
-/// Longest name accepted, in bytes.
+/// Maximum length of a name, in bytes.
 const MAXIMUM_NAME_BYTES: usize = 63;
 
-/// A name that breaks the rules for names.
+/// A text that is not a valid name.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display(
     "{name:?} is not a name: use 1 to 63 of a-z, 0-9, '-', '_', '.', starting with a letter or digit"
 ))]
 pub struct InvalidName {
-    /// The text that was refused.
+    /// The refused text.
     pub name: String,
 }
 
@@ -37,8 +37,8 @@
     }
 }
 
-// Names are shared, not copied: they are the keys of most maps, and whole maps of them are passed on with each change
-// of the membership view.
+// Names are reference-counted, since they are the keys of most maps, and whole maps are cloned on every change of the
+// membership view.
 macro_rules! name_type {
     ($(#[$documentation:meta])* $name:ident) => {
         $(#[$documentation])*
@@ -47,7 +47,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Checks and wraps a name.
+            /// Validates a name.
             ///
             /// # Errors
             /// [`InvalidName`] when it is empty, longer than 63 bytes or has other characters.
@@ -93,11 +93,11 @@
 }
 
 name_type! {
-    /// A region: places between which latency is high and links may be lost together.
+    /// A region. Latency between regions is high, and all links to one may fail together.
     RegionName
 }
 name_type! {
-    /// A zone: machines that may fail together, within one region.
+    /// A zone within a region: machines that may fail together.
     ZoneName
 }
 name_type! {
@@ -105,7 +105,7 @@
     ServiceName
 }
 name_type! {
-    /// A database group: a primary and its replicas. It is also the database name callers ask for.
+    /// A database group: a primary and its replicas. Also the database name that callers connect to.
     GroupId
 }
 name_type! {
@@ -114,7 +114,7 @@
 }
 
 name_type! {
-    /// A tenant: one customer of the services, whose sessions carry one of its keys.
+    /// A tenant: a customer of the services, whose sessions authenticate with one of its keys.
     TenantName
 }
 
@@ -137,23 +137,24 @@
 }
 
 number_type! {
-    /// A stairward process's place in the fleet; stays the same when the process returns.
+    /// A node of the fleet; stays the same across restarts of its process.
     NodeId
 }
 number_type! {
-    /// One life of a process at its place; a later life has a higher number.
+    /// One run of a node's process; a later run has a higher number.
     Incarnation
 }
 number_type! {
-    /// A version of the settings tree. It only ever grows.
+    /// A version of the settings tree, which only increases.
     Revision
 }
 number_type! {
-    /// One unit of work between an edge and an owner, unique on its connection: a statement batch
-    /// or a whole transaction.
+    /// A unit of work between an edge and an owner, unique on its connection: a statement batch or a
+    /// whole transaction.
     StreamId
 }
 number_type! {
-    /// Chosen by whoever edits the settings, so that a lost reply can be settled afterwards.
+    /// Identifies an edit of the settings. Chosen by the editor, so that the outcome can be determined after a lost
+    /// reply.
     ChangeId
 }
--- a/crates/stairward-types/src/lib.rs
+++ b/crates/stairward-types/src/lib.rs
@@ -1,7 +1,7 @@
-//! Vocabulary shared by every stairward crate: identifiers, terms and log positions, virtual time,
-//! numbered result codes and numbered log events.
+//! Types shared by all stairward crates: identifiers, terms and log positions, time, result codes
+//! and log events.
 //!
-//! This crate holds plain values only. It does no I/O, reads no clock and knows no protocol.
+//! This crate contains plain values only: no I/O, no clocks and no protocols.
 
 #![forbid(unsafe_code)]
 
@@ -26,28 +26,28 @@
 pub use store_revision::StoreRevision;
 pub use time::{Duration, Time};
 
-/// What a statement needs from the back end that runs it.
+/// Access that a statement requires.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum AccessClass {
-    /// Only reads; any copy that is fresh enough may answer.
+    /// Only reads; any sufficiently fresh back end may run it.
     Read,
     /// May write, or could not be classified; only the primary may run it.
     Write,
 }
 
-/// What operators have said about a back end, from the settings tree.
+/// State of a back end set by operators in the settings tree.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub enum AdminState {
-    /// Being warmed up: connections are opened, no work is given yet.
+    /// Warming up: connections are opened, but no work is assigned yet.
     Joining,
     /// In use.
     #[default]
     Active,
-    /// Finishes what it has begun and gets nothing new.
+    /// Finishes running work and gets no new work.
     Leaving,
 }
 
-/// The role in which a back end serves its group at a given moment.
+/// Current role of a back end in its group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum BackendRole {
     /// Accepts writes.
@@ -56,12 +56,12 @@
     Replica,
 }
 
-/// How much must be proved after a commit before the caller is told of success.
+/// What must be proved after a commit before it is acknowledged to the caller.
 ///
-/// Ordered: a later variant proves everything an earlier one does.
+/// Ordered: a later variant includes the proof of the earlier ones.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub enum FenceStrength {
-    /// A majority of the group's members, asked after the commit, know no later term.
+    /// A majority of the group's members, queried after the commit, know no later term.
     Term,
     /// The same majority also holds the commit's log position.
     #[default]
--- a/crates/stairward-types/src/member_status.rs
+++ b/crates/stairward-types/src/member_status.rs
@@ -1,22 +1,22 @@
-//! What a member of a database group says of itself when it is asked.
+//! Status that a member of a database group reports.
 
 use crate::{BackendRole, Freshness, Term};
 
-/// What a member of a database group says of itself.
+/// Status that a member of a database group reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MemberStatus {
     /// Its role.
     pub role: BackendRole,
     /// The newest term that it knows.
     pub term: Term,
-    /// How much of the log it has received, with the term of the last entry.
+    /// Received log position, with the term of the last entry.
     pub received: Freshness,
-    /// Below which term it was told not to receive; 0 where it receives.
+    /// The member is on hold and receives no log of terms below this one; 0 if it is not on hold.
     pub held: Term,
 }
 
 impl MemberStatus {
-    /// The newest term that it follows or waits for.
+    /// The newest term that it follows or awaits.
     #[must_use]
     pub fn awaited_term(&self) -> Term {
         self.term.max(self.received.term).max(self.held)
--- a/crates/stairward-types/src/result_code.rs
+++ b/crates/stairward-types/src/result_code.rs
@@ -1,13 +1,13 @@
-//! Numbered result codes. docs/RESULT_CODES.md is their table; a test compares the two.
+//! Numbered result codes. docs/RESULT_CODES.md lists them; a test compares the two.
 
 use std::fmt;
 
 /// What a caller may conclude from a result code about its request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum OutcomeClass {
-    /// The back end answered; its answer was passed on.
+    /// The back end answered, and its answer was returned to the caller.
     Answered,
-    /// The request provably did not run and may be sent again.
+    /// The request provably did not run and can be repeated safely.
     NotRun,
     /// The request may or may not have run.
     OutcomeUnknown,
@@ -25,7 +25,7 @@
 
 macro_rules! result_codes {
     ($($(#[doc = $documentation:literal])+ $name:ident = $number:literal, $class:ident, $sqlstate:literal, $message:literal;)+) => {
-        /// Why stairward itself answered a request, or how it ended.
+        /// Outcome of a request, or the reason why stairward refused it.
         #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
         #[repr(u16)]
         pub enum ResultCode {
@@ -33,28 +33,28 @@
         }
 
         impl ResultCode {
-            /// Every code, in the order of its number.
+            /// All codes, in order of declaration.
             pub const ALL: &'static [Self] = &[$(Self::$name,)+];
 
-            /// The class that tells the caller whether the request ran.
+            /// The class, which states whether the request ran.
             #[must_use]
             pub const fn class(self) -> OutcomeClass {
                 match self { $(Self::$name => OutcomeClass::$class,)+ }
             }
 
-            /// The standard SQLSTATE sent with it.
+            /// The SQLSTATE sent to the caller.
             #[must_use]
             pub const fn sqlstate(self) -> &'static str {
                 match self { $(Self::$name => $sqlstate,)+ }
             }
 
-            /// A sentence for people.
+            /// A human-readable message.
             #[must_use]
             pub const fn message(self) -> &'static str {
                 match self { $(Self::$name => $message,)+ }
             }
 
-            /// The code's name in the table.
+            /// The code's name in the list of result codes.
             #[must_use]
             pub const fn name(self) -> &'static str {
                 match self { $(Self::$name => stringify!($name),)+ }
@@ -64,7 +64,7 @@
 }
 
 result_codes! {
-    /// The request ran and its answer was passed on whole.
+    /// The request ran and its complete answer was returned.
     Answered = 1000, Answered, "00000", "answered";
     /// A request with the same key had already run; its recorded outcome is reported.
     AlreadyRun = 1001, Answered, "00000", "a request with this key has already run";
@@ -111,29 +111,28 @@
     InvalidEncoding = 2020, NotRun, "22021", "not run: the text is not valid UTF-8";
     /// The transaction has ended; the statement is of an earlier one.
     StaleTransaction = 2021, NotRun, "25000", "not run: the statement belongs to a transaction that has ended";
-    /// The retry budget is spent; the last refusal stands.
+    /// The retry budget is exhausted; the last refusal is returned.
     RetryBudgetSpent = 2022, NotRun, "53300", "not run: too many retries, come back later";
-    /// The node is still learning its configuration.
+    /// The node has no confirmed configuration yet.
     NotReady = 2023, NotRun, "57P03", "not run: this proxy is not ready yet";
     /// The transaction was lost with its primary before commit; all of it was rolled back.
     TransactionLost = 2024, NotRun, "40001", "not run: the transaction was lost with its primary and rolled back";
     /// Too many client connections at this proxy.
     TooManyClients = 2025, NotRun, "53300", "not run: too many client connections";
-    /// The session has prepared no statement of this name.
+    /// The session has no prepared statement of this name.
     UnknownPreparedStatement = 2026, NotRun, "26000", "not run: no such prepared statement";
-    /// The client's key is missing, unknown or withdrawn.
+    /// The client's key is missing, unknown or revoked.
     NotAuthenticated = 2027, NotRun, "28000", "not run: the key is not known";
     /// The tenant has used up its limit for now.
-    /// The tenant has used up its limit for now.
     LimitReached = 2028, NotRun, "53400", "not run: the tenant's limit is reached";
-    /// The regions of the route and those of the tenant have none in common.
+    /// The route and the tenant have no allowed region in common.
     NoCommonRegion = 2029, NotRun, "42501", "not run: no region allows both the route's and the tenant's work";
     /// The leader is in a region where this work is not allowed.
     LeaderOutsideRegion = 2030, NotRun, "57P03", "not run: the leader is in a region where this work is not allowed";
 
     /// The connection to the back end was lost after the request was sent.
     BackendLostAfterSend = 3001, OutcomeUnknown, "08007", "outcome unknown: the back end was lost while the request ran";
-    /// The write could not be proved to survive in time.
+    /// The write could not be proved by a majority in time.
     FenceNotProved = 3002, OutcomeUnknown, "08007", "outcome unknown: the write could not be confirmed by a majority";
     /// The connection to the owner was lost after the request was sent.
     OwnerLostAfterSend = 3003, OutcomeUnknown, "08007", "outcome unknown: the owning proxy was lost while the request ran";
@@ -142,22 +141,22 @@
 
     /// An edit of the settings names a revision that is no longer the newest.
     EditConflict = 4001, NotRun, "40001", "the settings changed since; look at the newer revision";
-    /// An edit of the settings has an unknown name, a bad value or breaks the tree as a whole.
+    /// An edit of the settings has an unknown name or an invalid value, or makes the tree inconsistent.
     InvalidSettings = 4002, NotRun, "22023", "the settings are not valid";
-    /// The platform's store cannot be reached; the edit may have taken effect.
+    /// The platform's store is unreachable; the edit may have taken effect.
     StoreUnavailable = 4003, OutcomeUnknown, "08007", "the platform's store does not answer; ask again with the same change id";
-    /// A process file has an unknown option or a bad value.
+    /// A process file has an unknown option or an invalid value.
     InvalidProcessFile = 4004, NotRun, "F0000", "the process file is not valid";
-    /// The command line is wrong.
+    /// The command line is invalid.
     InvalidCommandLine = 4005, NotRun, "22023", "the command line is not valid";
     /// The admin interface refuses the token.
     AdminForbidden = 4006, NotRun, "28000", "the admin token is wrong";
-    /// A request to the admin interface cannot be understood or names nothing known.
+    /// A request to the admin interface is malformed or names an unknown object.
     InvalidAdminRequest = 4010, NotRun, "22023", "the admin request is not valid";
 }
 
 impl ResultCode {
-    /// The number shown to callers.
+    /// The number sent to callers.
     #[must_use]
     pub const fn number(self) -> u16 {
         self as u16
--- a/crates/stairward-types/src/store_revision.rs
+++ b/crates/stairward-types/src/store_revision.rs
@@ -1,19 +1,19 @@
-//! A moment in the life of the metadata store.
+//! Revisions of the metadata store that stay ordered when the store is restored from an older copy.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// Bits of the number that hold the revision. The era takes those above.
+/// Low bits of the number, which hold the revision. The era is in the bits above.
 const REVISION_BITS: u32 = 40;
-/// The highest revision that can be told apart: 87 years of 400 writes a second.
+/// The highest representable revision: enough for 87 years at 400 writes per second.
 const HIGHEST_REVISION: u64 = (1 << REVISION_BITS) - 1;
 
-/// A moment in the life of the metadata store: which of its copies answers (the era), and that copy's revision.
+/// A state of the metadata store: the era, which identifies the copy of the store, and the revision within it.
 ///
-/// A store that comes back from an older copy gives its revisions out again, but never with the same era. So these order
-/// all that the store ever told, and the later of two has the higher number. Where the store tells no era it is 0, and
-/// the number is the revision.
+/// A store restored from an older copy assigns its revisions again, but always in a new, higher era. Store revisions
+/// therefore order all states of the store, and the later of two has the higher number. Without an era in the store's
+/// answers the era is 0, and the number equals the revision.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
@@ -21,7 +21,7 @@
 pub struct StoreRevision(u64);
 
 impl StoreRevision {
-    /// A revision of the copy that is there since `era`.
+    /// Creates a store revision from an era and a revision within it.
     #[must_use]
     pub const fn new(era: u64, revision: u64) -> Self {
         let revision = if revision > HIGHEST_REVISION {
@@ -32,25 +32,25 @@
         Self(era << REVISION_BITS | revision)
     }
 
-    /// The moment that a number stands for, as [`Self::number`] tells it.
+    /// Decodes a number returned by [`Self::number`].
     #[must_use]
     pub const fn from_number(number: u64) -> Self {
         Self(number)
     }
 
-    /// One number for both, which rises with each moment.
+    /// Era and revision encoded as one number, which preserves the order.
     #[must_use]
     pub const fn number(self) -> u64 {
         self.0
     }
 
-    /// Which copy of the store it is of.
+    /// The era of the store.
     #[must_use]
     pub const fn era(self) -> u64 {
         self.0 >> REVISION_BITS
     }
 
-    /// The revision, as that copy of the store counts.
+    /// The revision within the era.
     #[must_use]
     pub const fn revision(self) -> u64 {
         self.0 & HIGHEST_REVISION
--- a/crates/stairward-types/src/time.rs
+++ b/crates/stairward-types/src/time.rs
@@ -1,4 +1,4 @@
-//! Time as the decision code sees it: passed in, never read.
+//! Time for code without access to a clock: always passed in.
 
 use std::ops::{Add, Sub};
 
@@ -6,9 +6,9 @@
 
 pub use std::time::Duration;
 
-/// A moment on the holder's own monotonic clock, in microseconds since an arbitrary start.
+/// A time on the local monotonic clock, in microseconds since an arbitrary start.
 ///
-/// Moments of two nodes must not be compared. Send remaining durations between nodes instead.
+/// Times of different nodes must not be compared. Send remaining durations between nodes instead.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
@@ -18,16 +18,16 @@
 impl Time {
     /// The start of the clock.
     pub const ZERO: Self = Self(0);
-    /// A moment that never comes.
+    /// A time that is never reached.
     pub const NEVER: Self = Self(u64::MAX);
 
-    /// How long ago `earlier` was; zero when it lies ahead.
+    /// Time elapsed since `earlier`; zero if it is in the future.
     #[must_use]
     pub fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
 
-    /// A moment so many milliseconds after the start.
+    /// The time this many milliseconds after the start.
     #[must_use]
     pub const fn from_millis(milliseconds: u64) -> Self {
         Self(milliseconds * 1_000)
--- a/crates/stairward-types/tests/catalogues.rs
+++ b/crates/stairward-types/tests/catalogues.rs
@@ -1,4 +1,4 @@
-//! The pages of result codes and log events say what the code says, both ways.
+//! The documentation pages of result codes and log events list exactly those of the code.
 
 use std::collections::BTreeSet;
 use std::path::Path;
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn numbers_are_unique_and_found_again() {
+fn result_code_numbers_are_unique_and_decode_to_the_same_code() {
     let numbers: BTreeSet<_> = ResultCode::ALL.iter().map(|code| code.number()).collect();
     assert_eq!(numbers.len(), ResultCode::ALL.len());
     for code in ResultCode::ALL {
--- a/crates/stairward-types/tests/freshness.rs
+++ b/crates/stairward-types/tests/freshness.rs
@@ -3,7 +3,7 @@
 use stairward_types::{BackendId, Freshness, LogPosition, Term};
 
 #[test]
-fn log_positions_survive_their_text_form() {
+fn log_positions_round_trip_through_text() {
     stairward_testing::check!()
         .with_type::<u64>()
         .for_each(|number| {
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn what_covers_a_join_covers_both_parts() {
+fn covering_a_join_means_covering_both_parts() {
     stairward_testing::check!()
         .with_type::<[u64; 6]>()
         .for_each(|numbers| {
@@ -28,14 +28,14 @@
 }
 
 #[test]
-fn a_higher_position_of_an_older_term_covers_nothing_newer() {
+fn a_higher_position_of_an_older_term_does_not_cover_a_newer_term() {
     let diverged = Freshness::new(Term(1), LogPosition(900));
     let floor = Freshness::new(Term(2), LogPosition(100));
     assert!(!diverged.covers(floor));
 }
 
 #[test]
-fn names_refuse_what_would_need_quoting() {
+fn names_that_need_quoting_are_refused() {
     for bad in ["", "-a", "A", "a b", "a/b", &"a".repeat(64)] {
         assert!(BackendId::new(bad).is_err(), "{bad:?}");
     }
