--- a/crates/stairward-session/src/cache.rs
+++ b/crates/stairward-session/src/cache.rs
@@ -1,4 +1,4 @@
-//! A bounded cache of statement classes, since most callers send the same few texts.
+//! A bounded cache of statement classes, since most clients repeat a small number of statements.
 
 use std::collections::HashMap;
 use std::hash::BuildHasherDefault;
@@ -10,16 +10,16 @@
 use crate::classify::classify;
 use crate::comment::may_hold_hints;
 
-/// Longest text kept, in bytes.
+/// Maximum length of a cached text, in bytes.
 const MAXIMUM_TEXT_BYTES: usize = 4 * 1024;
 
-/// With a fixed hasher, so that equal inputs give equal runs.
+/// Uses a hasher with a fixed seed, to keep runs deterministic.
 type Generation = HashMap<Box<str>, Arc<StatementClass>, BuildHasherDefault<DefaultHasher>>;
 
-/// Remembers the classes of recent texts.
+/// Caches the classes of recently classified texts.
 ///
-/// Two generations: when the young one is full it becomes the old one and the old one is dropped, so
-/// that at most `2 * capacity` texts of 4 KiB are held.
+/// Uses two generations: when the young one is full, it replaces the old one, so that at most
+/// `2 * capacity` texts of 4 KiB are held.
 #[derive(Debug)]
 pub struct ClassCache {
     capacity: usize,
@@ -28,7 +28,7 @@
 }
 
 impl ClassCache {
-    /// A cache whose generations hold so many texts each.
+    /// Creates a cache whose generations hold up to `capacity` texts each.
     #[must_use]
     pub fn new(capacity: usize) -> Self {
         Self {
@@ -38,7 +38,7 @@
         }
     }
 
-    /// The class of a text.
+    /// Classifies a text, from the cache if possible.
     pub fn classify(&mut self, text: &str) -> Arc<StatementClass> {
         if let Some(class) = self.young.get(text) {
             return Arc::clone(class);
@@ -47,20 +47,20 @@
             Some(class) => Arc::clone(class),
             None => Arc::new(classify(text)),
         };
-        // Hints, above all request keys, make texts unique; they would push everything else out.
+        // Hints, request keys above all, make texts unique, which would evict all other entries.
         if text.len() <= MAXIMUM_TEXT_BYTES && !may_hold_hints(text) {
             self.remember(text, &class);
         }
         class
     }
 
-    /// Texts held.
+    /// Number of cached texts.
     #[must_use]
     pub fn len(&self) -> usize {
         self.young.len() + self.old.len()
     }
 
-    /// Whether nothing is held.
+    /// Whether the cache is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
--- a/crates/stairward-session/src/class.rs
+++ b/crates/stairward-session/src/class.rs
@@ -1,10 +1,10 @@
-//! What a piece of SQL text needs and changes.
+//! The class of an SQL text: the access that it requires and the session state that it changes.
 
 use std::fmt;
 
 use stairward_types::AccessClass;
 
-/// A feature that would bind a session to one connection or isn't offered.
+/// A feature that is refused because it would bind a session to one connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum UnsupportedFeature {
     /// `COPY`.
@@ -19,7 +19,7 @@
     CursorWithHold,
     /// `SET ROLE` and `SET SESSION AUTHORIZATION`.
     RoleChange,
-    /// `PREPARE TRANSACTION` and what ends such a transaction.
+    /// `PREPARE TRANSACTION` and the statements that end such a transaction.
     TwoPhaseCommit,
 }
 
@@ -37,16 +37,16 @@
     }
 }
 
-/// How a transaction was begun.
+/// Access mode of a started transaction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TransactionStart {
-    /// `READ ONLY`: a replica may serve it.
+    /// `READ ONLY`: a replica may run it.
     ReadOnly,
     /// Anything else.
     ReadWrite,
 }
 
-/// How a transaction is asked to end.
+/// How a transaction control statement ends a transaction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TransactionEnd {
     /// `COMMIT` or `END`.
@@ -55,7 +55,7 @@
     Rollback,
 }
 
-/// A change of session state, to be remembered when the statement succeeded.
+/// A change of session state, to be recorded once the statement has succeeded.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SessionChange {
     /// `SET name = value`.
@@ -64,7 +64,7 @@
         name: String,
         /// The value as SQL text, ready for another `SET`.
         value: String,
-        /// `SET LOCAL`: forgotten at the end of the transaction.
+        /// `SET LOCAL`: discarded at the end of the transaction.
         local: bool,
     },
     /// `RESET name` or `SET name TO DEFAULT`.
@@ -92,29 +92,29 @@
     DeallocateAll,
 }
 
-/// What a text of one or more statements needs and changes.
+/// Class of a text of one or more statements.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StatementClass {
-    /// The strongest access of any of its statements.
+    /// The strongest access required by any of its statements.
     pub access: AccessClass,
-    /// Statements in the text; zero for an empty text.
+    /// Number of statements; zero for an empty text.
     pub statements: usize,
-    /// Whether it holds `COMMIT` or `END`.
+    /// Whether it contains `COMMIT` or `END`.
     pub has_commit: bool,
-    /// The transaction that it leaves open when run outside of one.
+    /// The transaction that it leaves open when run outside a transaction.
     pub leaves_open: Option<TransactionStart>,
     /// How its last transaction control statement ends a transaction.
     pub ends: Option<TransactionEnd>,
-    /// Whether it may leave state on the connection that must be reset.
+    /// Whether it may leave session state on the connection, which must be reset afterwards.
     pub alters_session: bool,
-    /// A feature in it that is refused.
+    /// An unsupported feature that it uses.
     pub refused: Option<UnsupportedFeature>,
     /// Changes of session state, in order.
     pub changes: Vec<SessionChange>,
 }
 
 impl StatementClass {
-    /// The class of nothing at all.
+    /// The class of an empty text.
     #[must_use]
     pub const fn empty() -> Self {
         Self {
@@ -129,7 +129,7 @@
         }
     }
 
-    /// The class of text that can't be understood: a write that may change anything.
+    /// The class of text that cannot be parsed: a write that may change any session state.
     #[must_use]
     pub fn unknown() -> Self {
         Self {
@@ -149,13 +149,13 @@
         self.access == AccessClass::Write
     }
 
-    /// Whether it holds transaction control statements.
+    /// Whether it contains transaction control statements.
     #[must_use]
     pub fn controls_transaction(&self) -> bool {
         self.leaves_open.is_some() || self.ends.is_some() || self.has_commit
     }
 
-    /// Adds what follows in the same batch.
+    /// Combines this class with that of the next statement of the same batch.
     pub fn append(&mut self, next: Self) {
         self.access = self.access.max(next.access);
         self.statements += next.statements;
--- a/crates/stairward-session/src/classify.rs
+++ b/crates/stairward-session/src/classify.rs
@@ -1,4 +1,4 @@
-//! Classes of SQL text, by the `sqlparser` syntax tree. What can't be classified is a write.
+//! Classification of SQL text by the `sqlparser` syntax tree. Text that cannot be classified is treated as a write.
 
 use sqlparser::ast::{
     ContextModifier, DiscardObject, ObjectName, Reset, Set, Statement, TransactionAccessMode,
@@ -16,13 +16,13 @@
 use crate::keywords::{by_first_word, by_keywords};
 use crate::write_search::by_syntax_tree;
 
-/// Longest text parsed, in bytes. Longer text is classified by its first words.
+/// Maximum length of a parsed text, in bytes. Longer text is classified by its first word.
 const MAXIMUM_PARSED_BYTES: usize = 256 * 1024;
-/// Most operators parsed. Each may deepen the syntax tree by one level, and a tree is walked and
-/// dropped by recursion, which must fit the stack of a thread.
+/// Maximum number of operators in a parsed text. Each may deepen the syntax tree by one level, and
+/// the recursive traversal and drop of the tree must fit into a thread's stack.
 const MAXIMUM_OPERATORS: usize = 500;
 
-/// Says what a text of one or more statements needs.
+/// Classifies a text of one or more statements.
 #[must_use]
 pub fn classify(text: &str) -> StatementClass {
     if text.len() > MAXIMUM_PARSED_BYTES {
@@ -74,7 +74,7 @@
     }
 }
 
-/// A change of the session that any back end can make.
+/// The class of a statement that only changes session state, which any back end can run.
 fn changes(change: SessionChange) -> StatementClass {
     StatementClass {
         alters_session: true,
@@ -144,8 +144,8 @@
     }
 }
 
-/// Definitions and whatever else: writes, save for temporary objects and cursors that outlive their
-/// transaction.
+/// Classifies data definition and all remaining statements as writes. Cursors are classified by their query; temporary
+/// objects and `WITH HOLD` cursors are unsupported.
 fn classify_other(statement: &Statement) -> StatementClass {
     match statement {
         Statement::CreateTable(table) if table.temporary => {
@@ -274,7 +274,7 @@
     }
 }
 
-/// A name without quotes, in lower case.
+/// A name without quotes and in lower case.
 pub(crate) fn plain_name(name: &ObjectName) -> String {
     let parts: Vec<String> = name
         .0
@@ -293,7 +293,7 @@
     class
 }
 
-/// Whether a token may deepen the syntax tree. Nesting by brackets is bounded by the parser.
+/// Whether a token may deepen the syntax tree. The parser itself limits nesting by brackets.
 fn is_operator(token: &Token) -> bool {
     match token {
         Token::Word(word) => matches!(
--- a/crates/stairward-session/src/comment.rs
+++ b/crates/stairward-session/src/comment.rs
@@ -7,10 +7,10 @@
 
 use crate::hints::{HintError, Hints, PREFIX, is_hint_name};
 
-/// The hints in a text's comments. Keys of other tools are passed over.
+/// Extracts the hints from a text's comments. Keys of other tools are ignored.
 ///
 /// # Errors
-/// [`HintError`] for a `stairward.*` key that is unknown or has a bad value.
+/// [`HintError`] for a `stairward.*` key that is unknown or has an invalid value.
 pub fn hints_in_comments(text: &str) -> Result<Hints, HintError> {
     let mut hints = Hints::default();
     if !may_hold_hints(text) {
@@ -28,7 +28,7 @@
     Ok(hints)
 }
 
-/// Whether a text may hold hints; cheap, for the many that don't.
+/// Whether a text may contain hints: a cheap check, since most texts do not.
 pub(crate) fn may_hold_hints(text: &str) -> bool {
     text.contains("/*")
         && text
@@ -55,7 +55,7 @@
     Ok(())
 }
 
-/// Splits at the closing quote and takes the escapes out.
+/// Splits at the closing quote and removes escapes.
 fn split_quoted(text: &str) -> Option<(String, &str)> {
     let mut value = String::new();
     let mut characters = text.char_indices();
--- a/crates/stairward-session/src/floor.rs
+++ b/crates/stairward-session/src/floor.rs
@@ -1,18 +1,18 @@
-//! How fresh an answer to a session must be.
+//! The minimum freshness of answers to a session.
 
 use stairward_types::Freshness;
 
-/// The least freshness that a copy needs to answer a session, within the session's group.
+/// The minimum freshness that a back end of the session's group needs to answer the session.
 ///
-/// It covers the session's last acknowledged write, and everything it has read so far, so that reads
-/// never go back in time.
+/// It covers the session's last acknowledged write (read-your-writes) and everything that the session
+/// has read (monotonic reads).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct SessionFloor {
     covered: Option<Freshness>,
 }
 
 impl SessionFloor {
-    /// A floor that a token or a majority of the group gave.
+    /// Creates a floor from a token or from the answer of a majority of the group.
     #[must_use]
     pub const fn starting_at(freshness: Freshness) -> Self {
         Self {
@@ -20,13 +20,13 @@
         }
     }
 
-    /// The floor itself; `None` when nothing was seen yet.
+    /// The floor; `None` before the session has read or written anything.
     #[must_use]
     pub const fn get(self) -> Option<Freshness> {
         self.covered
     }
 
-    /// Raises the floor to cover what a batch read or committed. Returns whether it changed.
+    /// Raises the floor to cover the freshness that a batch read or committed. Returns whether it changed.
     pub fn raise(&mut self, seen: Freshness) -> bool {
         let raised = self.covered.map_or(seen, |covered| covered.join(seen));
         let changed = self.covered != Some(raised);
@@ -34,10 +34,10 @@
         changed
     }
 
-    /// Lowers a floor that lies beyond anything the group has.
+    /// Lowers a floor whose term is beyond the newest term of the group.
     ///
-    /// A floor in a term that the group never had comes from a group that was since set up anew. It
-    /// would keep every replica away from the session for good.
+    /// Such a floor dates from before the group was set up again, and would exclude every replica
+    /// from the session permanently.
     pub fn clamp(&mut self, newest: Freshness) {
         if let Some(covered) = self.covered
             && covered.term > newest.term
--- a/crates/stairward-session/src/hints.rs
+++ b/crates/stairward-session/src/hints.rs
@@ -1,26 +1,26 @@
-//! The `stairward.*` hints by which callers say what a request is like.
+//! The `stairward.*` hints with which callers describe their requests.
 
 use std::time::Duration;
 
 use snafu::{ResultExt, Snafu, ensure};
 
-/// What every hint's name starts with.
+/// Prefix of every hint's name.
 pub(crate) const PREFIX: &str = "stairward.";
-/// Longest request key, in bytes.
+/// Maximum length of a request key, in bytes.
 const MAXIMUM_KEY_BYTES: usize = 200;
-/// Longest deadline and staleness, in milliseconds: one day.
+/// Maximum deadline and staleness, in milliseconds: one day.
 const MAXIMUM_MILLISECONDS: u64 = 24 * 60 * 60 * 1_000;
 
-/// A hint that is refused.
+/// Why a hint was refused.
 #[derive(Debug, Snafu, PartialEq, Eq)]
 pub enum HintError {
     /// No hint has this name.
-    #[snafu(display("there is no hint {name:?}"))]
+    #[snafu(display("unknown hint {name:?}"))]
     UnknownName {
         /// The name.
         name: String,
     },
-    /// The value is neither true nor false.
+    /// The value is not a boolean.
     #[snafu(display("{name} must be on or off, not {value:?}"))]
     NotBoolean {
         /// The hint.
@@ -35,7 +35,7 @@
         name: String,
         /// The value.
         value: String,
-        /// What the number parser said.
+        /// The parser's error.
         source: std::num::ParseIntError,
     },
     /// The number is out of range.
@@ -43,18 +43,20 @@
     OutOfRange {
         /// The hint.
         name: String,
-        /// The least value allowed.
+        /// The minimum value.
         least: u64,
     },
     /// The request key is empty, too long or not printable.
-    #[snafu(display("a request key has 1 to {MAXIMUM_KEY_BYTES} printable ASCII characters"))]
+    #[snafu(display(
+        "a request key must have 1 to {MAXIMUM_KEY_BYTES} printable ASCII characters"
+    ))]
     BadRequestKey,
-    /// The hint can't be given in this place.
-    #[snafu(display("{name} can't be given here: {reason}"))]
+    /// The hint cannot be set in this place.
+    #[snafu(display("{name} cannot be set here: {reason}"))]
     WrongPlace {
         /// The hint.
         name: String,
-        /// Where it may be given.
+        /// Where it must be set instead.
         reason: &'static str,
     },
 }
@@ -62,21 +64,21 @@
 /// A set of hints; absent ones are `None`.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Hints {
-    /// A token that an earlier connection of the session was given.
+    /// A token issued to an earlier connection of the session.
     pub session_token: Option<String>,
-    /// Whether a write may run twice.
+    /// Whether a write may safely run more than once.
     pub repeatable: Option<bool>,
     /// Key under which a write runs at most once.
     pub request_key: Option<String>,
     /// How long a request may take.
     pub deadline: Option<Duration>,
-    /// How old an answer may be, beyond the session's floor.
+    /// Maximum staleness of an answer, in addition to the session's floor.
     pub maximum_staleness: Option<Duration>,
     /// Whether the session only reads.
     pub read_only: Option<bool>,
 }
 
-/// Whether a parameter's name is that of a hint, known or not.
+/// Whether a parameter's name has the prefix of hints, whether or not the hint exists.
 pub(crate) fn is_hint_name(name: &str) -> bool {
     name.get(..PREFIX.len())
         .is_some_and(|start| start.eq_ignore_ascii_case(PREFIX))
@@ -86,7 +88,7 @@
     /// Sets one hint by its full name.
     ///
     /// # Errors
-    /// [`HintError`] when there is no such hint or the value doesn't fit it; nothing changes then.
+    /// [`HintError`] for an unknown name or invalid value; nothing is changed then.
     pub fn set(&mut self, name: &str, value: &str) -> Result<(), HintError> {
         let lower = name.to_ascii_lowercase();
         match lower.strip_prefix(PREFIX).unwrap_or_default() {
@@ -103,7 +105,7 @@
         Ok(())
     }
 
-    /// Takes one hint back by its full name.
+    /// Unsets one hint by its full name.
     ///
     /// # Errors
     /// [`HintError::UnknownName`].
@@ -121,7 +123,7 @@
         Ok(())
     }
 
-    /// These hints, and where they are silent those of `outer`.
+    /// These hints, with unset ones taken from `outer`.
     #[must_use]
     pub fn or(self, outer: &Self) -> Self {
         Self {
@@ -135,7 +137,7 @@
     }
 }
 
-/// The hints of a session: given at start-up, by `SET`, and by `SET LOCAL` in a transaction.
+/// The hints of a session: from start-up options, from `SET`, and from `SET LOCAL` in a transaction.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct SessionHints {
     startup: Hints,
@@ -144,7 +146,7 @@
 }
 
 impl SessionHints {
-    /// Starts with the hints of the start-up message.
+    /// Creates session hints from those of the start-up message.
     #[must_use]
     pub fn new(startup: Hints) -> Self {
         Self {
@@ -156,14 +158,14 @@
     /// `SET` or `SET LOCAL`.
     ///
     /// # Errors
-    /// [`HintError`]; nothing changes then.
+    /// [`HintError`]; nothing is changed then.
     pub fn set(&mut self, name: &str, value: &str, local: bool) -> Result<(), HintError> {
         let is_token = name.eq_ignore_ascii_case("stairward.session_token");
         ensure!(
             !is_token,
             WrongPlaceSnafu {
                 name,
-                reason: "give it in the start-up options"
+                reason: "set it in the start-up options"
             }
         );
         if local {
@@ -173,7 +175,7 @@
         }
     }
 
-    /// `RESET`: back to what the start-up message said.
+    /// `RESET`: restores the value of the start-up message.
     ///
     /// # Errors
     /// [`HintError::UnknownName`].
@@ -186,12 +188,12 @@
         self.session = Hints::default();
     }
 
-    /// Forgets what `SET LOCAL` said.
+    /// Discards the hints of `SET LOCAL`.
     pub fn end_transaction(&mut self) {
         self.transaction = None;
     }
 
-    /// Forgets a request key given by `SET`, since a key serves one request.
+    /// Unsets a request key after use, since a key applies to a single request.
     pub fn consume_request_key(&mut self) {
         self.startup.request_key = None;
         self.session.request_key = None;
@@ -200,7 +202,7 @@
         }
     }
 
-    /// What is in force for a statement with hints of its own.
+    /// The effective hints for a statement with hints of its own.
     #[must_use]
     pub fn effective(&self, statement: Hints) -> Hints {
         let hints = match &self.transaction {
--- a/crates/stairward-session/src/keywords.rs
+++ b/crates/stairward-session/src/keywords.rs
@@ -1,11 +1,11 @@
-//! Classes of text that can't be parsed, by the first word of each statement.
+//! Classification of text that cannot be parsed, by the first word of each statement.
 
 use sqlparser::tokenizer::Token;
 
 use crate::class::{StatementClass, TransactionEnd, TransactionStart, UnsupportedFeature};
 use crate::classify::{begins, ends, read, refused};
 
-/// Classifies text that doesn't parse, by the first word of each statement.
+/// Classifies tokenized text by the first word of each statement.
 pub(crate) fn by_keywords(tokens: &[Token]) -> StatementClass {
     let mut class = StatementClass::empty();
     for statement in tokens.split(|token| *token == Token::SemiColon) {
--- a/crates/stairward-session/src/lib.rs
+++ b/crates/stairward-session/src/lib.rs
@@ -1,10 +1,10 @@
-//! The state of a caller's session that outlives any back end, and what its statements need.
+//! Session state that is independent of any back end connection, and classification of statements.
 //!
-//! * [`classify`] says what a statement needs from the back end that runs it.
-//! * [`Hints`] carries the `stairward.*` wishes of a session, a transaction or a statement.
-//! * [`SessionFloor`] is how fresh an answer must be; [`TokenKey`] signs it for the caller.
-//! * [`SessionVariables`] and [`PreparedStatements`] are what must be set up again on each
-//!   connection that serves the session.
+//! * [`classify`] determines what a statement requires from the back end that runs it.
+//! * [`Hints`] holds the `stairward.*` hints of a session, a transaction or a statement.
+//! * [`SessionFloor`] is the minimum freshness of an answer; [`TokenKey`] signs it for the caller.
+//! * [`SessionVariables`] and [`PreparedStatements`] are the state to restore on each connection
+//!   that serves the session.
 //!
 //! This crate does no I/O and reads no clock.
 
--- a/crates/stairward-session/src/prepared.rs
+++ b/crates/stairward-session/src/prepared.rs
@@ -1,4 +1,4 @@
-//! Named prepared statements of a session, kept so that any connection can serve them.
+//! Prepared statements of a session, stored so that they can be prepared again on any connection.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -7,10 +7,10 @@
 
 use crate::class::StatementClass;
 
-/// Most bytes of `Parse` messages kept per session.
+/// Maximum bytes of prepared statements stored per session.
 const MAXIMUM_BYTES: usize = 1024 * 1024;
 
-/// A session prepares more than is kept for it.
+/// A session's prepared statements exceed the limit.
 #[derive(Debug, Snafu, PartialEq, Eq)]
 #[snafu(display("the session's prepared statements exceed {MAXIMUM_BYTES} bytes"))]
 pub struct PreparedStatementsTooLarge;
@@ -18,9 +18,9 @@
 /// One prepared statement.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PreparedStatement {
-    /// The whole `Parse` message that made it.
+    /// The complete `Parse` message.
     pub message: Vec<u8>,
-    /// The class of its text.
+    /// Class of its text.
     pub class: Arc<StatementClass>,
     /// Its text.
     pub text: Arc<str>,
@@ -40,10 +40,10 @@
         self.statements.get(name)
     }
 
-    /// Remembers a statement. One of the same name is replaced.
+    /// Stores a statement, replacing one of the same name.
     ///
     /// # Errors
-    /// [`PreparedStatementsTooLarge`]; nothing changes then.
+    /// [`PreparedStatementsTooLarge`]; nothing is changed then.
     pub fn insert(
         &mut self,
         name: &str,
@@ -57,25 +57,25 @@
         Ok(())
     }
 
-    /// Forgets a statement.
+    /// Removes a statement.
     pub fn remove(&mut self, name: &str) {
         if let Some(statement) = self.statements.remove(name) {
             self.bytes -= size(&statement);
         }
     }
 
-    /// Forgets every statement.
+    /// Removes all statements.
     pub fn clear(&mut self) {
         *self = Self::default();
     }
 
-    /// How many statements there are.
+    /// Number of statements.
     #[must_use]
     pub fn len(&self) -> usize {
         self.statements.len()
     }
 
-    /// Whether there are none.
+    /// Whether there are no statements.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.statements.is_empty()
--- a/crates/stairward-session/src/pure_functions.rs
+++ b/crates/stairward-session/src/pure_functions.rs
@@ -1,5 +1,5 @@
-//! Functions known to neither write nor lock. Any other function makes its statement a write, since
-//! a function's name does not tell what it does.
+//! Functions known to neither write nor lock. A statement that calls any other function is classified
+//! as a write, since the effects of a function cannot be derived from its name.
 
 /// Sorted, for binary search.
 const PURE_FUNCTIONS: &[&str] = &[
@@ -185,7 +185,7 @@
     PURE_FUNCTIONS.binary_search(&name).is_ok()
 }
 
-/// Whether a function takes or gives back an advisory lock that outlives its transaction.
+/// Whether a function acquires or releases a session-level advisory lock, which outlives its transaction.
 pub(crate) fn is_session_lock_function(name: &str) -> bool {
     let is_advisory = name.starts_with("pg_advisory_") || name.starts_with("pg_try_advisory_");
     is_advisory && !name.contains("_xact_")
--- a/crates/stairward-session/src/token.rs
+++ b/crates/stairward-session/src/token.rs
@@ -1,7 +1,8 @@
-//! Session tokens: a floor that a caller carries from one proxy to another.
+//! Session tokens: a signed floor that a caller carries from one proxy to another.
 //!
 //! Layout before base64 (URL alphabet, no padding): version (1 byte), term (8), position (8), MAC
-//! (16), group name (the rest). The MAC is HMAC-SHA-256 (RFC 2104), cut to 16 bytes, over all else.
+//! (16), group name (the rest). The MAC is HMAC-SHA-256 (RFC 2104) truncated to 16 bytes, over a purpose string and all
+//! other fields.
 
 use std::fmt;
 
@@ -16,7 +17,7 @@
 const MAC_BYTES: usize = 16;
 const NUMBER_BYTES: usize = 8;
 const HEAD_BYTES: usize = 1 + 2 * NUMBER_BYTES + MAC_BYTES;
-/// Longest token text looked at, in bytes. Group names have at most 63.
+/// Maximum length of a token's text, in bytes. Group names have at most 63.
 const MAXIMUM_TEXT_BYTES: usize = 256;
 const PURPOSE: &[u8] = b"stairward-session-token";
 
@@ -24,35 +25,35 @@
 #[derive(Debug, Snafu, PartialEq, Eq)]
 pub enum TokenError {
     /// It is not base64 of the right length.
-    #[snafu(display("the token is damaged"))]
+    #[snafu(display("the token is malformed"))]
     Damaged,
-    /// It is of a version that this proxy doesn't know.
-    #[snafu(display("the token has version {version}, which is not known"))]
+    /// Its version is not supported by this proxy.
+    #[snafu(display("the token has unsupported version {version}"))]
     UnknownVersion {
-        /// The version it claims.
+        /// Version of the token.
         version: u8,
     },
-    /// Its signature is wrong.
-    #[snafu(display("the token's signature is wrong"))]
+    /// Its signature is invalid.
+    #[snafu(display("the token's signature is invalid"))]
     Forged,
-    /// It was made for another database group.
+    /// It was issued for another database group.
     #[snafu(display("the token belongs to database group {group}"))]
     OtherGroup {
-        /// The group it was made for.
+        /// The group it was issued for.
         group: GroupId,
     },
 }
 
-/// What a token says.
+/// Content of a token.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SessionToken {
-    /// The group its floor is for.
+    /// The group of the floor.
     pub group: GroupId,
     /// The floor.
     pub floor: Freshness,
 }
 
-/// The secret that signs tokens; the same on all proxies of a cluster. Never shown in logs.
+/// The secret that signs tokens, shared by all proxies of a cluster. Its debug output hides it.
 #[derive(Clone)]
 pub struct TokenKey(Vec<u8>);
 
@@ -69,7 +70,7 @@
         Self(secret.into())
     }
 
-    /// Writes and signs a token.
+    /// Encodes and signs a token.
     #[must_use]
     pub fn sign(&self, token: &SessionToken) -> String {
         let mut head = vec![TOKEN_VERSION];
@@ -82,7 +83,7 @@
         URL_SAFE_NO_PAD.encode(head)
     }
 
-    /// Reads a token made for `group`.
+    /// Decodes and verifies a token issued for `group`.
     ///
     /// # Errors
     /// [`TokenError`] when it was not signed with this key for this group.
--- a/crates/stairward-session/src/variables.rs
+++ b/crates/stairward-session/src/variables.rs
@@ -1,4 +1,4 @@
-//! Session settings made by `SET` and SQL-level `PREPARE`, to be made again on each connection.
+//! Session settings from `SET` and SQL-level `PREPARE`, which are restored on each connection.
 
 use std::collections::BTreeMap;
 
@@ -6,10 +6,10 @@
 
 use crate::class::SessionChange;
 
-/// Most bytes of settings kept per session.
+/// Maximum bytes of settings stored per session.
 const MAXIMUM_BYTES: usize = 64 * 1024;
 
-/// A session sets more than is kept for it.
+/// A session's settings exceed the limit.
 #[derive(Debug, Snafu, PartialEq, Eq)]
 #[snafu(display("the session's settings exceed {MAXIMUM_BYTES} bytes"))]
 pub struct SessionSettingsTooLarge;
@@ -22,7 +22,7 @@
 
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 struct Variables {
-    /// Values as SQL text, by parameter.
+    /// Parameter values as SQL text, by name.
     settings: BTreeMap<String, String>,
     /// Whole `PREPARE` statements, by name.
     prepared: BTreeMap<String, String>,
@@ -64,17 +64,17 @@
     }
 }
 
-/// What a session has set. Changes made in a transaction are undone when it is rolled back.
+/// The settings of a session. Changes made in a transaction are reverted when it is rolled back.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct SessionVariables {
     startup: BTreeMap<String, String>,
     current: Variables,
-    /// The state when the open transaction began, if it has changed since.
+    /// The state at the start of the open transaction, if changed since.
     before_transaction: Option<Box<Variables>>,
 }
 
 impl SessionVariables {
-    /// Starts with parameters of the start-up message, as SQL text.
+    /// Creates settings from the parameters of the start-up message, as SQL text.
     #[must_use]
     pub fn new(startup: BTreeMap<String, String>) -> Self {
         Self {
@@ -87,10 +87,10 @@
         }
     }
 
-    /// Notes a change that the back end has accepted.
+    /// Records a change that a back end has accepted.
     ///
     /// # Errors
-    /// [`SessionSettingsTooLarge`]; nothing changes then.
+    /// [`SessionSettingsTooLarge`]; nothing is changed then.
     pub fn apply(
         &mut self,
         change: &SessionChange,
@@ -110,19 +110,19 @@
         Ok(())
     }
 
-    /// The transaction was committed.
+    /// Keeps the changes of a committed transaction.
     pub fn commit(&mut self) {
         self.before_transaction = None;
     }
 
-    /// The transaction was rolled back or lost.
+    /// Reverts the changes of a transaction that was rolled back or lost.
     pub fn roll_back(&mut self) {
         if let Some(before) = self.before_transaction.take() {
             self.current = *before;
         }
     }
 
-    /// SQL that makes the settings again; empty when there are none.
+    /// SQL that restores the settings on a connection; empty if there are none.
     #[must_use]
     pub fn setup_sql(&self) -> String {
         let settings = self
--- a/crates/stairward-session/src/write_search.rs
+++ b/crates/stairward-session/src/write_search.rs
@@ -1,4 +1,4 @@
-//! Looking for writes in a syntax tree.
+//! Search for writes and locks in a syntax tree.
 
 use std::ops::ControlFlow;
 
@@ -11,14 +11,14 @@
 use crate::classify::{plain_name, read};
 use crate::pure_functions::{is_pure_function, is_session_lock_function};
 
-/// The class of a statement by what is in its syntax tree.
+/// Classifies a statement by searching its syntax tree.
 pub(crate) fn by_syntax_tree(statement: &Statement) -> StatementClass {
     let mut search = WriteSearch { class: read() };
     let _: ControlFlow<()> = statement.visit(&mut search);
     search.class
 }
 
-/// Looks through a syntax tree for anything that writes or locks.
+/// Syntax tree visitor that searches for anything that writes or locks.
 struct WriteSearch {
     class: StatementClass,
 }
@@ -32,7 +32,7 @@
         }
         if !is_pure_function(name) {
             self.found_write();
-            // It may call set_config or do anything else to the session.
+            // It may change session state, for example by calling set_config.
             self.class.alters_session = true;
         }
     }
--- a/crates/stairward-session/tests/classes.rs
+++ b/crates/stairward-session/tests/classes.rs
@@ -1,4 +1,4 @@
-//! Classes of statements.
+//! Classification of statements.
 
 use stairward_session::{
     ClassCache, SessionChange, TransactionEnd, TransactionStart, UnsupportedFeature, classify,
@@ -6,7 +6,7 @@
 use stairward_types::AccessClass;
 
 #[test]
-fn reads_are_recognised() {
+fn reads_are_not_classified_as_writes() {
     for text in [
         "SELECT 1",
         "SELECT count(*), max(id) FROM books WHERE title LIKE 'a%' GROUP BY shelf ORDER BY 1",
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn what_writes_locks_or_is_not_known_is_a_write() {
+fn writes_locks_and_unknown_statements_are_classified_as_writes() {
     for text in [
         "INSERT INTO books VALUES (1)",
         "UPDATE books SET title = 'x'",
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn session_bound_features_are_found_wherever_they_stand() {
+fn unsupported_features_are_detected_anywhere_in_a_text() {
     for (text, feature) in [
         ("COPY books FROM STDIN", UnsupportedFeature::Copy),
         ("SELECT 1; COPY books TO STDOUT", UnsupportedFeature::Copy),
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn transactions_are_followed_through_a_text() {
+fn transaction_state_is_tracked_through_a_text() {
     let begin = classify("BEGIN");
     assert_eq!(begin.leaves_open, Some(TransactionStart::ReadWrite));
     assert!(!begin.may_commit(false));
@@ -101,7 +101,7 @@
     assert_eq!(whole.ends, Some(TransactionEnd::Commit));
     assert!(whole.may_commit(false));
     let open = classify("BEGIN; INSERT INTO books VALUES (1)");
-    assert!(!open.may_commit(false), "nothing of it is committed yet");
+    assert!(!open.may_commit(false), "the transaction stays open");
     assert!(classify("INSERT INTO books VALUES (1)").may_commit(false));
     assert!(!classify("INSERT INTO books VALUES (1)").may_commit(true));
     assert!(classify("END").may_commit(true));
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn changes_of_the_session_are_read() {
+fn session_changes_are_extracted() {
     let set = |name: &str, value: &str, local| SessionChange::Set {
         name: name.to_owned(),
         value: value.to_owned(),
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn any_text_has_a_class() {
+fn classifying_any_text_does_not_panic() {
     stairward_testing::check!()
         .with_type::<String>()
         .for_each(|text| {
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn text_made_of_words_has_a_class() {
+fn random_keyword_sequences_starting_with_insert_are_writes() {
     const WORDS: &[&str] = &[
         "SELECT",
         "FROM",
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn the_cache_is_bounded_and_agrees_with_the_parser() {
+fn the_cache_is_bounded_and_agrees_with_classify() {
     let mut cache = ClassCache::new(10);
     for number in 0..1_000 {
         let text = format!("SELECT {number}");
@@ -216,5 +216,5 @@
     }
     let before = cache.len();
     cache.classify("SELECT 1 /*stairward.request_key='k'*/");
-    assert_eq!(cache.len(), before, "texts with hints are not kept");
+    assert_eq!(cache.len(), before, "texts with hints are not cached");
 }
--- a/crates/stairward-session/tests/state.rs
+++ b/crates/stairward-session/tests/state.rs
@@ -1,4 +1,4 @@
-//! Hints, tokens, floors and replayed state.
+//! Hints, tokens, floors and restored session state.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn bad_hints_are_refused() {
+fn invalid_hints_are_refused() {
     let unknown = hints_in_comments("SELECT 1 /*stairward.speed='1'*/");
     assert!(matches!(unknown, Err(HintError::UnknownName { .. })));
     let mut hints = Hints::default();
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn the_innermost_hint_is_in_force() {
+fn the_innermost_hint_is_effective() {
     let mut startup = Hints::default();
     startup.set("stairward.deadline_ms", "1").unwrap();
     let mut session = SessionHints::new(startup);
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_request_key_serves_one_request() {
+fn a_request_key_applies_to_one_request() {
     let mut session = SessionHints::default();
     session.set("stairward.request_key", "k", false).unwrap();
     session.consume_request_key();
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn any_comment_is_read_without_harm() {
+fn parsing_hints_of_any_comment_does_not_panic() {
     stairward_testing::check!()
         .with_type::<String>()
         .for_each(|text| {
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_token_comes_back_as_it_was_signed() {
+fn a_signed_token_verifies_and_round_trips() {
     let key = TokenKey::new(*b"secret");
     stairward_testing::check!()
         .with_type::<(u64, u64)>()
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn any_text_is_no_token() {
+fn random_text_is_refused_as_token() {
     let key = TokenKey::new(*b"secret");
     stairward_testing::check!()
         .with_type::<String>()
@@ -138,14 +138,14 @@
 }
 
 #[test]
-fn a_floor_only_rises_until_it_is_clamped() {
+fn a_floor_never_decreases_unless_clamped() {
     let mut floor = SessionFloor::default();
     assert!(floor.raise(freshness(1, 10)));
     assert!(!floor.raise(freshness(1, 5)));
     assert!(floor.raise(freshness(2, 5)));
     assert_eq!(floor.get(), Some(freshness(2, 10)));
     floor.clamp(freshness(2, 8));
-    assert_eq!(floor.get(), Some(freshness(2, 10)), "the term is known");
+    assert_eq!(floor.get(), Some(freshness(2, 10)), "the term exists");
     floor.clamp(freshness(1, 8));
     assert_eq!(floor.get(), Some(freshness(1, 8)));
 }
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn settings_are_undone_with_their_transaction() {
+fn settings_are_reverted_with_their_transaction() {
     let mut variables = SessionVariables::new([("a".to_owned(), "1".to_owned())].into());
     variables.apply(&set("a", "2"), true).unwrap();
     variables.apply(&set("b", "3"), true).unwrap();
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn kept_settings_are_bounded() {
+fn stored_settings_are_bounded() {
     let mut variables = SessionVariables::new(BTreeMap::new());
     let before = variables.clone();
     let large = quote_literal(&"x".repeat(100_000));
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn names_and_values_cannot_break_out_of_the_replayed_text() {
+fn names_and_values_cannot_inject_sql_into_the_setup_text() {
     let mut variables = SessionVariables::new(BTreeMap::new());
     let value = quote_literal("x'; DROP TABLE books; --");
     variables.apply(&set("a\"; DROP", &value), false).unwrap();
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn kept_statements_are_bounded() {
+fn stored_prepared_statements_are_bounded() {
     let statement = |length: usize| PreparedStatement {
         message: vec![0; length],
         class: Arc::new(classify("SELECT 1")),
