--- a/crates/stairward-store/src/client.rs
+++ b/crates/stairward-store/src/client.rs
@@ -1,4 +1,5 @@
-//! Reads, conditional writes and watches of named objects, and the list of machines.
+//! Client of the store's HTTP interface: reads, conditional writes and watches of named objects, and the list of
+//! machines.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -14,11 +15,10 @@
 use crate::transport::{Answer, Transport};
 use crate::{ReadError, WriteError};
 
-/// Longest the store may hold a watch, besides which the answer needs time on the way.
+/// Added to the wait time of a watch to get the request timeout, since the answer takes time to arrive.
 const WATCH_MARGIN: Duration = Duration::from_secs(2);
 
-/// An object and its version. Versions of an object only ever grow; an object that does not exist
-/// has version 0.
+/// An object with its version. Versions of an object only increase; a missing object has version 0.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionedObject<T> {
     /// The version.
@@ -27,22 +27,22 @@
     pub value: T,
 }
 
-/// What the platform says of a machine. It lags behind reality.
+/// State of a machine according to the platform, which may be stale.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MachineState {
-    /// It runs.
+    /// Running.
     Live,
-    /// It is about to be taken away.
+    /// About to be removed.
     Leaving,
 }
 
-/// One entry of the platform's list of machines.
+/// An entry of the platform's list of machines.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Machine {
-    /// Where its process listens for peers.
+    /// Address on which its process listens for peers.
     pub address: SocketAddr,
-    /// What the platform says of it.
+    /// Its state according to the platform.
     pub state: MachineState,
     /// Its region.
     pub region: RegionName,
@@ -50,19 +50,19 @@
     pub zone: ZoneName,
 }
 
-/// How to talk to the store.
+/// Settings of a [`PlatformClient`].
 #[derive(Debug, Clone)]
 pub struct PlatformClientSettings {
-    /// The store's addresses, tried in turn.
+    /// The store's addresses. After a failure the next one is used.
     pub addresses: Vec<SocketAddr>,
-    /// How long one exchange may take; a watch may take its own time longer.
+    /// Timeout of one request, except for watches, which have their own.
     pub request_timeout: Duration,
-    /// When to try again.
+    /// Number of attempts and delays between them.
     pub retry: RetryPolicy,
 }
 
 impl PlatformClientSettings {
-    /// Default times for these addresses.
+    /// Default settings for these addresses.
     #[must_use]
     pub fn new(addresses: Vec<SocketAddr>) -> Self {
         Self {
@@ -73,7 +73,7 @@
     }
 }
 
-/// A client of the platform's store. It keeps nothing of what it read.
+/// A client of the platform's store. It does not cache objects.
 pub struct PlatformClient {
     transport: Transport,
     request_timeout: Duration,
@@ -97,7 +97,7 @@
 }
 
 impl PlatformClient {
-    /// Makes a client; it connects when first used.
+    /// Creates a client, which connects on first use.
     ///
     /// # Errors
     /// [`ReadError::Unavailable`] when the HTTP client cannot be set up.
@@ -117,10 +117,10 @@
         })
     }
 
-    /// Reads an object; none when it does not exist.
+    /// Reads an object; none if it does not exist.
     ///
     /// # Errors
-    /// [`ReadError`] when all tries failed.
+    /// [`ReadError`] when all attempts failed.
     pub async fn get<T: DeserializeOwned>(
         &self,
         name: &str,
@@ -134,11 +134,11 @@
         }
     }
 
-    /// Waits until an object has a version above `after_version`; none when that takes longer than
-    /// `wait`. Tried once: whoever watches decides when to watch again.
+    /// Waits until an object has a version above `after_version`; none if that takes longer than
+    /// `wait`. Not retried: the caller decides when to watch again.
     ///
     /// # Errors
-    /// [`ReadError`] when the store cannot be asked.
+    /// [`ReadError`] when the request failed.
     pub async fn watch<T: DeserializeOwned>(
         &self,
         name: &str,
@@ -155,10 +155,10 @@
         }
     }
 
-    /// The platform's list of machines.
+    /// Reads the platform's list of machines.
     ///
     /// # Errors
-    /// [`ReadError`] when all tries failed.
+    /// [`ReadError`] when all attempts failed.
     pub async fn machines(&self) -> Result<Vec<Machine>, ReadError> {
         let answer = self
             .read_with_retries("/machines", self.request_timeout)
@@ -169,13 +169,13 @@
         }
     }
 
-    /// Writes an object if it is at version `if_version`; 0 if it does not exist yet. Returns the
+    /// Writes an object if it is at version `if_version`, which is 0 for a missing object. Returns the
     /// new version.
     ///
-    /// A try without a reply is repeated: the condition lets at most one of the tries take effect.
+    /// An attempt without a reply is repeated: the condition lets at most one attempt take effect.
     ///
     /// # Errors
-    /// [`WriteError`], which tells what is certain.
+    /// [`WriteError`], which states whether the write may have taken effect.
     pub async fn put_if_version<T: Serialize + Sync>(
         &self,
         name: &str,
@@ -205,15 +205,15 @@
             if !self.retry.allows_another(failed_attempts) {
                 return Err(last_write_error(error, may_have_been_applied));
             }
-            self.pause(failed_attempts).await;
+            self.wait_before_retry(failed_attempts).await;
         }
     }
 
     async fn put_once(&self, path: &str, body: Vec<u8>) -> Result<u64, WriteError> {
-        let exchange = self
+        let response = self
             .transport
-            .exchange(Method::PUT, path, Some(body), self.request_timeout);
-        let answer = match exchange.await {
+            .send(Method::PUT, path, Some(body), self.request_timeout);
+        let answer = match response.await {
             Ok(answer) => answer,
             Err(failure) => {
                 let reason = failure.reason;
@@ -224,7 +224,7 @@
                 };
             }
         };
-        let reason = format!("the store answered {}", answer.status);
+        let reason = format!("the store answered with status {}", answer.status);
         match answer.status {
             StatusCode::OK | StatusCode::CREATED => match parse::<VersionAnswer>(&answer.body) {
                 Ok(written) => Ok(written.version),
@@ -234,7 +234,8 @@
                 .fail(),
             },
             StatusCode::CONFLICT => {
-                let version = parse::<VersionAnswer>(&answer.body).map_or(0, |held| held.version);
+                let version =
+                    parse::<VersionAnswer>(&answer.body).map_or(0, |stored| stored.version);
                 ConflictSnafu {
                     version,
                     may_be_own: false,
@@ -257,23 +258,23 @@
             if !self.retry.allows_another(failed_attempts) {
                 return Err(error);
             }
-            self.pause_after_read(failed_attempts, &error).await;
+            self.wait_after_failed_read(failed_attempts, &error).await;
         }
     }
 
-    /// Waits as long as the retry policy says, or as long as the store asks readers to stay away,
-    /// but no longer than the policy's longest delay.
-    async fn pause_after_read(&self, failed_attempts: u32, error: &ReadError) {
+    /// Waits for the delay of the retry policy. If the store has too many readers, first waits for the
+    /// time that it requested, limited to the policy's longest delay.
+    async fn wait_after_failed_read(&self, failed_attempts: u32, error: &ReadError) {
         if let ReadError::TooManyReaders { retry_after } = error {
             tokio::time::sleep((*retry_after).min(self.retry.longest_delay)).await;
         }
-        self.pause(failed_attempts).await;
+        self.wait_before_retry(failed_attempts).await;
     }
 
-    /// One exchange; answers that say "not now" become errors.
+    /// Makes one request. Answers that report overload or a server error are returned as errors.
     async fn read_once(&self, path: &str, timeout: Duration) -> Result<Answer, ReadError> {
-        let exchange = self.transport.exchange(Method::GET, path, None, timeout);
-        let answer = exchange.await.map_err(|failure| ReadError::Unavailable {
+        let response = self.transport.send(Method::GET, path, None, timeout);
+        let answer = response.await.map_err(|failure| ReadError::Unavailable {
             reason: failure.reason,
         })?;
         if answer.status == StatusCode::TOO_MANY_REQUESTS {
@@ -283,19 +284,19 @@
         }
         if answer.status.is_server_error() {
             return Err(ReadError::Unavailable {
-                reason: format!("it answered {}", answer.status),
+                reason: format!("status {}", answer.status),
             });
         }
         Ok(answer)
     }
 
-    async fn pause(&self, failed_attempts: u32) {
+    async fn wait_before_retry(&self, failed_attempts: u32) {
         let delay = self.retry.delay(failed_attempts, (self.jitter)());
         tokio::time::sleep(delay).await;
     }
 }
 
-/// The error of a write after its last try: unknown if any of its tries was.
+/// The error of a write after its last attempt: unknown if the outcome of any attempt was.
 fn last_write_error(error: WriteError, may_have_been_applied: bool) -> WriteError {
     match error {
         WriteError::NotApplied { reason } if may_have_been_applied => {
--- a/crates/stairward-store/src/edit.rs
+++ b/crates/stairward-store/src/edit.rs
@@ -1,5 +1,5 @@
-//! Editing the settings in the store: read, apply, write if unchanged, and after a lost reply find
-//! out by the change id.
+//! Edits of the settings in the store: read, apply, write if unchanged. After a lost reply the change
+//! id shows whether the edit took effect.
 
 use snafu::{ResultExt, Snafu};
 use stairward_settings::{
@@ -10,51 +10,51 @@
 use crate::client::{PlatformClient, VersionedObject};
 use crate::error::{ReadError, WriteError};
 
-/// Times an edit is begun anew because the object changed between reading and writing. A change in
-/// between also makes the edit conflict, so more than a few mean that the store misbehaves.
+/// How often an edit is attempted when the object changes between read and write. Such a change also
+/// makes the edit conflict, so more than a few rounds mean that the store is faulty.
 const MAXIMUM_ROUNDS: u32 = 8;
 
-/// An edit that is in force.
+/// An edit that has taken effect.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EditOutcome {
-    /// The revision it made.
+    /// The revision created by the edit.
     pub revision: Revision,
-    /// The document read or written last, which holds the edit.
+    /// The document last read or written, which contains the edit.
     pub document: SettingsDocument,
 }
 
-/// Why an edit is not in force, or may not be.
+/// Why an edit did not take effect, or may not have.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum EditFailure {
-    /// It was refused and certainly did not take effect.
+    /// It was refused and did not take effect.
     #[snafu(display("{source}"))]
     Refused {
-        /// Why.
+        /// The reason.
         source: EditError,
     },
-    /// The store holds settings already.
-    #[snafu(display("the store holds settings already, at version {version}"))]
+    /// The store already contains settings.
+    #[snafu(display("the store already contains settings, at version {version}"))]
     SettingsExist {
         /// The object's version.
         version: u64,
     },
-    /// The tree is not valid as a whole.
+    /// The resulting tree is not valid.
     #[snafu(display("the settings are not valid: {} problems", problems.len()))]
     InvalidTree {
-        /// Every problem.
+        /// All problems found.
         problems: Vec<SettingsProblem>,
     },
     /// The store could not be read, and nothing was written.
     #[snafu(display("nothing was written: {source}"))]
     NotRead {
-        /// Why.
+        /// The read error.
         source: ReadError,
     },
-    /// The store could not be written, and the edit certainly did not take effect.
+    /// The store could not be written, and the edit did not take effect.
     #[snafu(display("{source}"))]
     NotWritten {
-        /// Why.
+        /// The write error.
         source: WriteError,
     },
     /// The edit may have taken effect. Sending it again with the same change id is safe.
@@ -62,13 +62,13 @@
     Unknown {
         /// The edit's change id.
         change_id: ChangeId,
-        /// What was seen last.
+        /// The last error.
         reason: String,
     },
 }
 
 impl EditFailure {
-    /// The result code to show.
+    /// The result code for this failure.
     #[must_use]
     pub fn code(&self) -> ResultCode {
         match self {
@@ -82,10 +82,10 @@
     }
 }
 
-/// Reads the settings; none when the store holds none.
+/// Reads the settings; none if the store contains none.
 ///
 /// # Errors
-/// [`ReadError`] when the store does not answer or holds something else.
+/// [`ReadError`] when the store does not answer or contains something else.
 pub async fn read_settings(
     client: &PlatformClient,
 ) -> Result<Option<VersionedObject<SettingsDocument>>, ReadError> {
@@ -95,7 +95,7 @@
 /// Writes the first settings, at revision 1.
 ///
 /// # Errors
-/// [`EditFailure`]; [`EditFailure::SettingsExist`] when there are settings already.
+/// [`EditFailure`]; [`EditFailure::SettingsExist`] if the store already contains settings.
 pub async fn create_settings(
     client: &PlatformClient,
     tree: SettingsTree,
@@ -108,7 +108,7 @@
             version,
             may_be_own,
         }) => {
-            let is_own = may_be_own && holds(client, &document).await;
+            let is_own = may_be_own && contains(client, &document).await;
             if is_own {
                 return Ok(document);
             }
@@ -118,46 +118,47 @@
     }
 }
 
-async fn holds(client: &PlatformClient, document: &SettingsDocument) -> bool {
+async fn contains(client: &PlatformClient, document: &SettingsDocument) -> bool {
     read_settings(client)
         .await
-        .is_ok_and(|held| held.is_some_and(|held| held.value == *document))
+        .is_ok_and(|stored| stored.is_some_and(|stored| stored.value == *document))
 }
 
-/// Makes an edit in the store. Of several that race, exactly one takes effect; the others are
-/// refused with [`EditError::Conflict`], which shows the newer revision.
+/// Applies an edit to the settings in the store. Of several concurrent edits exactly one takes effect; the
+/// others are refused with [`EditError::Conflict`], which contains the newer revision.
 ///
-/// An edit that had taken effect before counts as made, so that it can be sent again after
-/// [`EditFailure::Unknown`]. In a store without settings an edit based on revision 0 makes the first.
+/// An edit that has already taken effect succeeds again, so that it can be repeated after
+/// [`EditFailure::Unknown`]. In a store without settings, an edit based on revision 0 creates the first
+/// ones.
 ///
 /// # Errors
-/// [`EditFailure`], which tells what is certain.
+/// [`EditFailure`], which states whether the edit may have taken effect.
 pub async fn edit_settings(
     client: &PlatformClient,
     edit: &Edit,
 ) -> Result<EditOutcome, EditFailure> {
     let mut written_without_reply = false;
     for _ in 0..MAXIMUM_ROUNDS {
-        let held = match read_settings(client).await {
-            Ok(Some(held)) => held,
-            Ok(None) => nothing_held(),
+        let stored = match read_settings(client).await {
+            Ok(Some(stored)) => stored,
+            Ok(None) => missing_settings(),
             Err(source) if written_without_reply => {
                 return unknown(edit, source.to_string());
             }
             Err(source) => return Err(source).context(NotReadSnafu),
         };
-        let edited = match held.value.apply(edit) {
+        let edited = match stored.value.apply(edit) {
             Ok(edited) => edited,
             Err(EditError::AlreadyApplied { revision }) => {
                 return Ok(EditOutcome {
                     revision,
-                    document: held.value,
+                    document: stored.value,
                 });
             }
             Err(source) => return refused(edit, source),
         };
         let written = client
-            .put_if_version(SETTINGS_OBJECT, held.version, &edited)
+            .put_if_version(SETTINGS_OBJECT, stored.version, &edited)
             .await;
         match written {
             Ok(_) => {
@@ -172,19 +173,20 @@
             Err(source) => return Err(source).context(NotWrittenSnafu),
         }
     }
-    unknown(edit, "the store kept changing".to_owned())
+    unknown(edit, "the object changed before every write".to_owned())
 }
 
-/// What an edit is applied to when the store holds no settings: version 0 does not exist.
-fn nothing_held() -> VersionedObject<SettingsDocument> {
+/// The empty document that an edit is applied to if the store contains no settings; version 0 stands for a missing
+/// object.
+fn missing_settings() -> VersionedObject<SettingsDocument> {
     VersionedObject {
         version: 0,
         value: SettingsDocument::empty(),
     }
 }
 
-/// A refusal is certain unless the edit is based on a revision before the kept history: it may then
-/// be sent again after an unknown outcome, and the history no longer tells whether it took effect.
+/// Converts a refusal to a failure. The outcome is unknown if the edit is based on a revision before the
+/// stored history: the edit may be a repetition, and the history no longer shows whether it took effect.
 fn refused(edit: &Edit, source: EditError) -> Result<EditOutcome, EditFailure> {
     match source {
         EditError::Conflict {
@@ -192,7 +194,7 @@
             ..
         } => unknown(
             edit,
-            format!("{source}; the kept history does not reach back so far"),
+            format!("{source}; the stored history does not reach back to that revision"),
         ),
         source => Err(source).context(RefusedSnafu),
     }
--- a/crates/stairward-store/src/retry.rs
+++ b/crates/stairward-store/src/retry.rs
@@ -1,19 +1,19 @@
-//! When to try again: exponential delays with jitter, bounded in number and length.
+//! Retry policy: exponential backoff with jitter, bounded in number and length.
 
 use std::time::Duration;
 
-/// Gives a number from 0 up to, but not including, 1 at each call. Passed in, so that a seeded one
-/// makes the delays repeatable.
+/// Returns a random number of the interval [0, 1) on each call. Passed in, so that delays are
+/// repeatable with a seeded generator.
 pub type JitterSource = Box<dyn Fn() -> f64 + Send + Sync>;
 
-/// How often, and after which delays, a failed request is tried again.
+/// How often, and after which delays, a failed request is retried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RetryPolicy {
-    /// Tries in all, the first included.
+    /// Maximum number of attempts, including the first.
     pub attempts: u32,
-    /// Longest delay before the second try; doubles with each further try.
+    /// Maximum delay before the second attempt; doubles with each further attempt.
     pub first_delay: Duration,
-    /// No delay is longer than this.
+    /// Upper bound on every delay.
     pub longest_delay: Duration,
 }
 
@@ -28,8 +28,8 @@
 }
 
 impl RetryPolicy {
-    /// The delay after so many failed tries (1 after the first): half of it fixed, half of it scaled
-    /// by `jitter`, which lies between 0 and 1.
+    /// The delay after a number of failed attempts (1 after the first). Half of it is fixed, and half is
+    /// scaled by `jitter`, which lies between 0 and 1.
     #[must_use]
     pub fn delay(&self, failed_attempts: u32, jitter: f64) -> Duration {
         let doublings = failed_attempts.saturating_sub(1).min(u32::BITS - 1);
@@ -41,7 +41,7 @@
         half + half.mul_f64(jitter.clamp(0.0, 1.0))
     }
 
-    /// Whether another try is allowed after so many failed ones.
+    /// Whether another attempt is allowed after a number of failed ones.
     #[must_use]
     pub const fn allows_another(&self, failed_attempts: u32) -> bool {
         failed_attempts < self.attempts
--- a/crates/stairward-store/tests/objects.rs
+++ b/crates/stairward-store/tests/objects.rs
@@ -1,4 +1,4 @@
-//! Objects, watches and machines against the platform's stand-in, with its faults.
+//! Objects, watches and machines against a simulated platform store with injected faults.
 
 mod support;
 
@@ -18,7 +18,7 @@
 }
 
 #[tokio::test]
-async fn a_write_takes_effect_only_on_the_version_it_names() {
+async fn a_write_takes_effect_only_on_the_expected_version() {
     let store = start_store().await;
     let client = client(vec![store.address()]);
     assert_eq!(get(&client, "thing").await, None);
@@ -37,7 +37,7 @@
 }
 
 #[tokio::test]
-async fn a_watch_ends_with_a_newer_version_or_with_none() {
+async fn a_watch_returns_a_newer_version_or_none_after_its_timeout() {
     let store = start_store().await;
     let client = client(vec![store.address()]);
     let version = client.put_if_version("thing", 0, &json!(1)).await;
@@ -55,7 +55,7 @@
 }
 
 #[tokio::test]
-async fn after_a_lost_reply_the_conflict_may_be_of_its_own_making() {
+async fn a_conflict_after_a_lost_reply_is_reported_as_possibly_own() {
     let store = start_store().await;
     let client = client(vec![store.address()]);
     store.inject(StoreFault::LoseNextReply);
@@ -84,7 +84,7 @@
 }
 
 #[tokio::test]
-async fn a_write_that_was_never_sent_is_certainly_not_applied() {
+async fn a_write_that_was_never_sent_is_reported_as_not_applied() {
     let client = client(vec![unused_address()]);
     let written = client.put_if_version("thing", 0, &json!(1)).await;
     let is_certain = matches!(written, Err(WriteError::NotApplied { .. }));
@@ -95,7 +95,7 @@
 }
 
 #[tokio::test]
-async fn reads_from_a_store_that_is_down_fail_and_work_again_later() {
+async fn reads_fail_while_the_store_is_down_and_recover_afterwards() {
     let store = start_store().await;
     let client = client(vec![store.address()]);
     store.inject(StoreFault::Down);
@@ -117,7 +117,7 @@
 }
 
 #[tokio::test]
-async fn a_reader_too_many_is_told_when_to_come_back() {
+async fn a_reader_over_the_limit_gets_the_retry_delay() {
     let retry_after = Duration::from_secs(7);
     let store = start_store_with(StoreConfig {
         reader_limit: 0,
@@ -150,7 +150,7 @@
 }
 
 #[tokio::test]
-async fn an_answer_of_another_shape_is_refused() {
+async fn an_answer_of_another_type_is_reported_as_malformed() {
     let store = start_store().await;
     let client = client(vec![store.address()]);
     let written = client.put_if_version("thing", 0, &json!("text")).await;
@@ -159,7 +159,7 @@
     assert!(matches!(read, Err(ReadError::Malformed { .. })), "{read:?}");
 }
 
-/// An address of this machine that nobody listens on.
+/// A local address without a listener.
 fn unused_address() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     listener.local_addr().expect("an address")
--- a/crates/stairward-store/tests/retry.rs
+++ b/crates/stairward-store/tests/retry.rs
@@ -1,4 +1,4 @@
-//! Delays between tries are bounded and grow.
+//! Retry delays grow and are bounded.
 
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn tries_are_counted() {
+fn attempts_are_limited() {
     assert!(POLICY.allows_another(2));
     assert!(!POLICY.allows_another(3));
 }
--- a/crates/stairward-store/tests/settings.rs
+++ b/crates/stairward-store/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Edits of the settings in the store: lost replies, races, and a store that is down.
+//! Edits of the settings in the store: lost replies, concurrent edits, and a store that is down.
 
 mod support;
 
@@ -36,7 +36,7 @@
 }
 
 #[tokio::test]
-async fn settings_are_created_once() {
+async fn settings_are_created_only_once() {
     let (store, client) = store_with_settings().await;
     let again = create_settings(&client, tree()).await;
     let refused = again.expect_err("they exist");
@@ -55,7 +55,7 @@
 }
 
 #[tokio::test]
-async fn an_edit_on_revision_0_makes_the_first_settings() {
+async fn an_edit_based_on_revision_0_creates_the_first_settings() {
     let store = start_store().await;
     let client = client(vec![store.address()]);
     let ahead = edit_settings(&client, &weight_edit(1, FIRST, 5)).await;
@@ -73,7 +73,7 @@
 }
 
 #[tokio::test]
-async fn after_a_lost_reply_the_change_id_tells_that_the_edit_took_effect() {
+async fn after_a_lost_reply_the_change_id_shows_that_the_edit_took_effect() {
     let (store, client) = store_with_settings().await;
     let edit = weight_edit(1, FIRST, 5);
     store.inject(StoreFault::LoseNextReply);
@@ -85,7 +85,7 @@
 }
 
 #[tokio::test]
-async fn of_racing_operators_exactly_one_wins_and_the_others_see_its_edit() {
+async fn of_concurrent_edits_exactly_one_succeeds_and_the_conflicts_contain_it() {
     let (_store, client) = store_with_settings().await;
     let edits: Vec<_> = (1..=8)
         .map(|number| weight_edit(number, FIRST, number))
@@ -124,7 +124,7 @@
 }
 
 #[tokio::test]
-async fn an_edit_based_before_the_kept_history_has_an_unknown_outcome() {
+async fn an_edit_based_before_the_stored_history_has_an_unknown_outcome() {
     let (_store, client) = store_with_settings().await;
     let old_edit = weight_edit(1, FIRST, 5);
     let edits = stairward_settings::MAXIMUM_HISTORY_EDITS as u64 + 1;
@@ -144,7 +144,7 @@
     assert_eq!(failure.code(), ResultCode::StoreUnavailable);
 }
 
-/// An operator who makes edits one after another, and after each conflict looks again.
+/// Makes edits one after another as one operator, and rebases each on the new revision after a conflict.
 async fn make_edits(store: &PlatformStandin, client: &PlatformClient, change_ids: &[u64]) {
     for change_id in change_ids {
         loop {
@@ -163,7 +163,7 @@
 }
 
 #[tokio::test]
-async fn edits_of_racing_operators_take_effect_once_each_although_replies_are_lost() {
+async fn concurrent_edits_take_effect_exactly_once_despite_lost_replies() {
     let (store, client) = store_with_settings().await;
     let change_ids: Vec<u64> = (1..=20).collect();
     let operators = change_ids.chunks(5);
--- a/crates/stairward-store/tests/support/mod.rs
+++ b/crates/stairward-store/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of the platform client share.
+//! Support code shared by the tests of the platform client.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -10,14 +10,13 @@
 use stairward_store::{PlatformClient, PlatformClientSettings, RetryPolicy};
 use stairward_types::{ChangeId, Revision};
 
-/// How long an exchange may take before the client gives up; only tests of a silent store wait it
-/// out.
+/// Timeout of a request. Only tests of a silent store wait for it.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The settings of the Lintas site, which are valid.
+/// Valid settings: those of the Lintas site.
 const TREE: &str = include_str!("../../../../examples/lintas.toml");
 
-/// A store that refuses no reader and shows changes of the machine list at once.
+/// Starts a store that refuses no reader and applies changes of the machine list at once.
 pub async fn start_store() -> PlatformStandin {
     start_store_with(StoreConfig {
         machine_lag: Duration::ZERO,
@@ -34,7 +33,7 @@
     PlatformStandin::start(config).await.expect("a free port")
 }
 
-/// A client that tries three times with short delays.
+/// Creates a client with three attempts and short delays.
 pub fn client(addresses: Vec<SocketAddr>) -> PlatformClient {
     let settings = PlatformClientSettings {
         addresses,
