--- a/crates/stairward-testing/src/lib.rs
+++ b/crates/stairward-testing/src/lib.rs
@@ -1,9 +1,9 @@
 //! Repeatable property tests.
 //!
-//! `bolero`'s own test engine (0.13) draws its inputs from the system's entropy, so that two runs of
-//! the tests try different inputs. [`check!`] stands in for `bolero::check!` with an engine that
-//! draws them from a fixed seed. The environment names the seed and the number of inputs, by the
-//! same variables that `bolero` reads; `.cargo/config.toml` sets them.
+//! `bolero`'s own test engine (0.13) draws its inputs from the system's entropy, so every run of the
+//! tests uses different inputs. [`check!`] replaces `bolero::check!` with an engine that draws them
+//! from a fixed seed. Seed and number of inputs come from the same environment variables that
+//! `bolero` reads; `.cargo/config.toml` sets them.
 
 #![forbid(unsafe_code)]
 
@@ -15,7 +15,7 @@
 use rand::{Rng as _, SeedableRng as _};
 use rand_chacha::ChaCha8Rng;
 
-/// Bytes that one input is made of; more than any of the generators uses.
+/// Random bytes per input; more than any of the generators uses.
 const INPUT_BYTES: usize = 16 * 1024;
 const SEED_VARIABLE: &str = "BOLERO_RANDOM_SEED";
 const ITERATIONS_VARIABLE: &str = "BOLERO_RANDOM_ITERATIONS";
@@ -30,7 +30,7 @@
     };
 }
 
-/// Tries a fixed number of inputs drawn from a fixed seed.
+/// Test engine that runs a fixed number of inputs drawn from a fixed seed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FixedSeedEngine {
     seed: u64,
@@ -38,13 +38,13 @@
 }
 
 impl FixedSeedEngine {
-    /// An engine with this seed and number of inputs.
+    /// Creates an engine with this seed and number of inputs.
     #[must_use]
     pub const fn new(seed: u64, iterations: u64) -> Self {
         Self { seed, iterations }
     }
 
-    /// The seed and number of inputs that the environment names, or the defaults.
+    /// Creates an engine with the seed and number of inputs from the environment, or the defaults.
     #[must_use]
     pub fn from_environment() -> Self {
         Self::new(
@@ -71,7 +71,7 @@
     /// Runs the test on every input.
     ///
     /// # Panics
-    /// On the first input that fails, and when the generator could make no input at all.
+    /// On the first input that fails, and if the generator produced no valid input.
     fn run(self, mut test: T, options: Options) {
         bolero_engine::panic::set_hook();
         let forwarded = bolero_engine::panic::forward_panic(false);
@@ -95,6 +95,6 @@
             }
         }
         bolero_engine::panic::forward_panic(forwarded);
-        assert!(valid_inputs > 0, "the generator made no valid input");
+        assert!(valid_inputs > 0, "the generator produced no valid input");
     }
 }
--- a/crates/stairward-testing/tests/fixed_seed.rs
+++ b/crates/stairward-testing/tests/fixed_seed.rs
@@ -1,4 +1,4 @@
-//! The engine repeats its inputs, varies them with the seed, and reports failures.
+//! The engine generates the same inputs for the same seed, others for another seed, and reports failures.
 
 use std::cell::RefCell;
 use std::panic::AssertUnwindSafe;
