--- a/crates/stairward-pool/src/pool/message.rs
+++ b/crates/stairward-pool/src/pool/message.rs
@@ -81,7 +81,7 @@
     Requested(ConnectionRequest),
     /// A waiting request is cancelled. Has no effect if the request was admitted in the meantime.
     Cancelled(RequestId),
-    /// A transaction that holds a connection wants a slot for its next batch.
+    /// A transaction that holds a connection requests a slot for its next batch.
     SlotWanted(RequestId),
     /// A batch has ended; its transaction continues without a slot.
     SlotReleased(RequestId),
--- a/crates/stairward-runtime/src/node.rs
+++ b/crates/stairward-runtime/src/node.rs
@@ -542,7 +542,6 @@
         }
     }
 
-    /// Sleeps for a while.
     pub(crate) async fn pause(duration: Duration) {
         tokio::time::sleep(duration).await;
     }
--- a/crates/stairward-session/src/cache.rs
+++ b/crates/stairward-session/src/cache.rs
@@ -8,7 +8,7 @@
 
 use crate::class::StatementClass;
 use crate::classify::classify;
-use crate::comment::may_hold_hints;
+use crate::comment::may_contain_hints;
 
 /// Maximum length of a cached text, in bytes.
 const MAXIMUM_TEXT_BYTES: usize = 4 * 1024;
@@ -48,8 +48,8 @@
             None => Arc::new(classify(text)),
         };
         // Hints, request keys above all, make texts unique, which would evict all other entries.
-        if text.len() <= MAXIMUM_TEXT_BYTES && !may_hold_hints(text) {
-            self.remember(text, &class);
+        if text.len() <= MAXIMUM_TEXT_BYTES && !may_contain_hints(text) {
+            self.insert(text, &class);
         }
         class
     }
@@ -66,7 +66,7 @@
         self.len() == 0
     }
 
-    fn remember(&mut self, text: &str, class: &Arc<StatementClass>) {
+    fn insert(&mut self, text: &str, class: &Arc<StatementClass>) {
         if self.young.len() >= self.capacity {
             self.old = std::mem::take(&mut self.young);
         }
--- a/crates/stairward-session/src/classify.rs
+++ b/crates/stairward-session/src/classify.rs
@@ -13,8 +13,8 @@
 use crate::class::{
     SessionChange, StatementClass, TransactionEnd, TransactionStart, UnsupportedFeature,
 };
-use crate::keywords::{by_first_word, by_keywords};
-use crate::write_search::by_syntax_tree;
+use crate::keywords::{classify_by_first_word, classify_by_keywords};
+use crate::write_search::classify_by_syntax_tree;
 
 /// Maximum length of a parsed text, in bytes. Longer text is classified by its first word.
 const MAXIMUM_PARSED_BYTES: usize = 256 * 1024;
@@ -26,22 +26,22 @@
 #[must_use]
 pub fn classify(text: &str) -> StatementClass {
     if text.len() > MAXIMUM_PARSED_BYTES {
-        return by_first_word(text.split_whitespace().next().unwrap_or_default());
+        return classify_by_first_word(text.split_whitespace().next().unwrap_or_default());
     }
     let dialect = PostgreSqlDialect {};
     let Ok(tokens) = Tokenizer::new(&dialect, text).tokenize() else {
-        return by_first_word(text.split_whitespace().next().unwrap_or_default());
+        return classify_by_first_word(text.split_whitespace().next().unwrap_or_default());
     };
     let operators = tokens.iter().filter(|token| is_operator(token)).count();
     if operators > MAXIMUM_OPERATORS {
-        return by_keywords(&tokens);
+        return classify_by_keywords(&tokens);
     }
     match Parser::new(&dialect)
         .with_tokens(tokens.clone())
         .parse_statements()
     {
         Ok(statements) => classify_all(&statements),
-        Err(_) => by_keywords(&tokens),
+        Err(_) => classify_by_keywords(&tokens),
     }
 }
 
@@ -53,37 +53,37 @@
     class
 }
 
-pub(crate) fn read() -> StatementClass {
+pub(crate) fn read_class() -> StatementClass {
     StatementClass {
         statements: 1,
         ..StatementClass::empty()
     }
 }
 
-fn write() -> StatementClass {
+fn write_class() -> StatementClass {
     StatementClass {
         access: AccessClass::Write,
-        ..read()
+        ..read_class()
     }
 }
 
-pub(crate) fn refused(feature: UnsupportedFeature) -> StatementClass {
+pub(crate) fn unsupported_class(feature: UnsupportedFeature) -> StatementClass {
     StatementClass {
         refused: Some(feature),
-        ..write()
+        ..write_class()
     }
 }
 
 /// The class of a statement that only changes session state, which any back end can run.
-fn changes(change: SessionChange) -> StatementClass {
+fn session_change_class(change: SessionChange) -> StatementClass {
     StatementClass {
         alters_session: true,
         changes: vec![change],
-        ..read()
+        ..read_class()
     }
 }
 
-pub(crate) fn begins(start: TransactionStart) -> StatementClass {
+pub(crate) fn begin_class(start: TransactionStart) -> StatementClass {
     let access = match start {
         TransactionStart::ReadOnly => AccessClass::Read,
         TransactionStart::ReadWrite => AccessClass::Write,
@@ -91,55 +91,55 @@
     StatementClass {
         access,
         leaves_open: Some(start),
-        ..read()
+        ..read_class()
     }
 }
 
-pub(crate) fn ends(end: TransactionEnd) -> StatementClass {
+pub(crate) fn end_class(end: TransactionEnd) -> StatementClass {
     StatementClass {
         has_commit: end == TransactionEnd::Commit,
         ends: Some(end),
-        ..read()
+        ..read_class()
     }
 }
 
 fn classify_statement(statement: &Statement) -> StatementClass {
     match statement {
-        Statement::Query(_) => by_syntax_tree(statement),
+        Statement::Query(_) => classify_by_syntax_tree(statement),
         Statement::Insert(_) | Statement::Update(_) | Statement::Delete(_) => {
-            let mut class = by_syntax_tree(statement);
+            let mut class = classify_by_syntax_tree(statement);
             class.access = AccessClass::Write;
             class
         }
-        Statement::ShowVariable { .. } => read(),
+        Statement::ShowVariable { .. } => read_class(),
         Statement::Explain {
             analyze,
             options,
             statement,
             ..
         } => classify_explain(*analyze, options.as_deref(), statement),
-        Statement::StartTransaction { modes, .. } => begins(transaction_start(modes)),
-        Statement::Commit { chain, .. } => chained(TransactionEnd::Commit, *chain),
+        Statement::StartTransaction { modes, .. } => begin_class(transaction_start(modes)),
+        Statement::Commit { chain, .. } => chained_end_class(TransactionEnd::Commit, *chain),
         Statement::Rollback {
             savepoint: Some(_), ..
         }
         | Statement::Savepoint { .. }
         | Statement::ReleaseSavepoint { .. }
         | Statement::Fetch { .. }
-        | Statement::Close { .. } => read(),
-        Statement::Rollback { chain, .. } => chained(TransactionEnd::Rollback, *chain),
+        | Statement::Close { .. } => read_class(),
+        Statement::Rollback { chain, .. } => chained_end_class(TransactionEnd::Rollback, *chain),
         Statement::Set(set) => classify_set(set),
         Statement::Reset(reset) => classify_reset(&reset.reset),
         Statement::Discard { object_type } => classify_discard(*object_type),
-        Statement::Prepare { name, .. } => changes(SessionChange::Prepare {
+        Statement::Prepare { name, .. } => session_change_class(SessionChange::Prepare {
             name: name.value.clone(),
             text: statement.to_string(),
         }),
-        Statement::Deallocate { name, .. } => changes(deallocate(&name.value)),
+        Statement::Deallocate { name, .. } => session_change_class(deallocate(&name.value)),
         Statement::LISTEN { .. } | Statement::UNLISTEN { .. } => {
-            refused(UnsupportedFeature::Listen)
+            unsupported_class(UnsupportedFeature::Listen)
         }
-        Statement::Copy { .. } => refused(UnsupportedFeature::Copy),
+        Statement::Copy { .. } => unsupported_class(UnsupportedFeature::Copy),
         other => classify_other(other),
     }
 }
@@ -149,26 +149,26 @@
 fn classify_other(statement: &Statement) -> StatementClass {
     match statement {
         Statement::CreateTable(table) if table.temporary => {
-            refused(UnsupportedFeature::TemporaryObject)
+            unsupported_class(UnsupportedFeature::TemporaryObject)
         }
         Statement::CreateView(view) if view.temporary => {
-            refused(UnsupportedFeature::TemporaryObject)
+            unsupported_class(UnsupportedFeature::TemporaryObject)
         }
         Statement::CreateSequence {
             temporary: true, ..
-        } => refused(UnsupportedFeature::TemporaryObject),
+        } => unsupported_class(UnsupportedFeature::TemporaryObject),
         Statement::Declare { stmts, .. } => {
             if stmts.iter().any(|cursor| cursor.hold == Some(true)) {
-                return refused(UnsupportedFeature::CursorWithHold);
+                return unsupported_class(UnsupportedFeature::CursorWithHold);
             }
-            by_syntax_tree(statement)
+            classify_by_syntax_tree(statement)
         }
         Statement::CreateTable(_) | Statement::CreateIndex(_) | Statement::Truncate(_) => {
-            by_syntax_tree_of_write(statement)
+            classify_write_by_syntax_tree(statement)
         }
         _ => StatementClass {
             alters_session: true,
-            ..by_syntax_tree_of_write(statement)
+            ..classify_write_by_syntax_tree(statement)
         },
     }
 }
@@ -187,7 +187,7 @@
     if runs {
         return classify_statement(statement);
     }
-    read()
+    read_class()
 }
 
 fn transaction_start(modes: &[TransactionMode]) -> TransactionStart {
@@ -201,8 +201,8 @@
     }
 }
 
-fn chained(end: TransactionEnd, chain: bool) -> StatementClass {
-    let mut class = ends(end);
+fn chained_end_class(end: TransactionEnd, chain: bool) -> StatementClass {
+    let mut class = end_class(end);
     if chain {
         class.access = AccessClass::Write;
         class.leaves_open = Some(TransactionStart::ReadWrite);
@@ -220,19 +220,23 @@
         } => {
             let values: Vec<String> = values.iter().map(ToString::to_string).collect();
             let local = *scope == Some(ContextModifier::Local);
-            changes(assignment(plain_name(variable), values.join(", "), local))
+            session_change_class(assignment(
+                unquoted_name(variable),
+                values.join(", "),
+                local,
+            ))
         }
         Set::SetTimeZone { local, value } => {
-            changes(assignment("timezone".to_owned(), value.to_string(), *local))
+            session_change_class(assignment("timezone".to_owned(), value.to_string(), *local))
         }
-        Set::SetNames { charset_name, .. } => changes(assignment(
+        Set::SetNames { charset_name, .. } => session_change_class(assignment(
             "client_encoding".to_owned(),
             format!("'{charset_name}'"),
             false,
         )),
-        Set::SetTransaction { session: false, .. } => read(),
+        Set::SetTransaction { session: false, .. } => read_class(),
         Set::SetRole { .. } | Set::SetSessionAuthorization(_) => {
-            refused(UnsupportedFeature::RoleChange)
+            unsupported_class(UnsupportedFeature::RoleChange)
         }
         _ => StatementClass::unknown(),
     }
@@ -247,20 +251,20 @@
 
 fn classify_reset(reset: &Reset) -> StatementClass {
     match reset {
-        Reset::ALL => changes(SessionChange::ResetAll),
-        Reset::SessionAuthorization => refused(UnsupportedFeature::RoleChange),
-        Reset::ConfigurationParameter(name) => changes(SessionChange::Reset {
-            name: plain_name(name),
+        Reset::ALL => session_change_class(SessionChange::ResetAll),
+        Reset::SessionAuthorization => unsupported_class(UnsupportedFeature::RoleChange),
+        Reset::ConfigurationParameter(name) => session_change_class(SessionChange::Reset {
+            name: unquoted_name(name),
         }),
     }
 }
 
 fn classify_discard(object: DiscardObject) -> StatementClass {
     match object {
-        DiscardObject::ALL => changes(SessionChange::DiscardAll),
+        DiscardObject::ALL => session_change_class(SessionChange::DiscardAll),
         _ => StatementClass {
             alters_session: true,
-            ..read()
+            ..read_class()
         },
     }
 }
@@ -275,7 +279,7 @@
 }
 
 /// A name without quotes and in lower case.
-pub(crate) fn plain_name(name: &ObjectName) -> String {
+pub(crate) fn unquoted_name(name: &ObjectName) -> String {
     let parts: Vec<String> = name
         .0
         .iter()
@@ -287,8 +291,8 @@
     parts.join(".")
 }
 
-fn by_syntax_tree_of_write(statement: &Statement) -> StatementClass {
-    let mut class = by_syntax_tree(statement);
+fn classify_write_by_syntax_tree(statement: &Statement) -> StatementClass {
+    let mut class = classify_by_syntax_tree(statement);
     class.access = AccessClass::Write;
     class
 }
--- a/crates/stairward-session/src/comment.rs
+++ b/crates/stairward-session/src/comment.rs
@@ -13,7 +13,7 @@
 /// [`HintError`] for a `stairward.*` key that is unknown or has an invalid value.
 pub fn hints_in_comments(text: &str) -> Result<Hints, HintError> {
     let mut hints = Hints::default();
-    if !may_hold_hints(text) {
+    if !may_contain_hints(text) {
         return Ok(hints);
     }
     let dialect = PostgreSqlDialect {};
@@ -22,14 +22,14 @@
     };
     for token in tokens {
         if let Token::Whitespace(Whitespace::MultiLineComment(comment)) = token {
-            read_comment(&comment, &mut hints)?;
+            parse_comment(&comment, &mut hints)?;
         }
     }
     Ok(hints)
 }
 
 /// Whether a text may contain hints: a cheap check, since most texts do not.
-pub(crate) fn may_hold_hints(text: &str) -> bool {
+pub(crate) fn may_contain_hints(text: &str) -> bool {
     text.contains("/*")
         && text
             .as_bytes()
@@ -37,7 +37,7 @@
             .any(|window| window.eq_ignore_ascii_case(PREFIX.as_bytes()))
 }
 
-fn read_comment(comment: &str, hints: &mut Hints) -> Result<(), HintError> {
+fn parse_comment(comment: &str, hints: &mut Hints) -> Result<(), HintError> {
     let mut rest = comment;
     while let Some((key, after_key)) = rest.split_once('=') {
         let key = percent_decode(key.trim_start_matches(',').trim());
@@ -73,7 +73,7 @@
     let mut decoded = Vec::with_capacity(text.len());
     let mut rest = text.as_bytes();
     while let Some((&byte, tail)) = rest.split_first() {
-        let escaped = (byte == b'%').then(|| hexadecimal(tail)).flatten();
+        let escaped = (byte == b'%').then(|| decode_hex_byte(tail)).flatten();
         match escaped {
             Some(value) => {
                 decoded.push(value);
@@ -88,7 +88,7 @@
     String::from_utf8_lossy(&decoded).into_owned()
 }
 
-fn hexadecimal(text: &[u8]) -> Option<u8> {
+fn decode_hex_byte(text: &[u8]) -> Option<u8> {
     let digit = |byte: u8| char::from(byte).to_digit(16);
     let high = digit(*text.first()?)?;
     let low = digit(*text.get(1)?)?;
--- a/crates/stairward-session/src/prepared.rs
+++ b/crates/stairward-session/src/prepared.rs
@@ -49,8 +49,8 @@
         name: &str,
         statement: PreparedStatement,
     ) -> Result<(), PreparedStatementsTooLarge> {
-        let freed = self.statements.get(name).map_or(0, size);
-        let bytes = self.bytes - freed + size(&statement);
+        let freed = self.statements.get(name).map_or(0, stored_bytes);
+        let bytes = self.bytes - freed + stored_bytes(&statement);
         ensure!(bytes <= MAXIMUM_BYTES, PreparedStatementsTooLargeSnafu);
         self.bytes = bytes;
         self.statements.insert(name.to_owned(), statement);
@@ -60,7 +60,7 @@
     /// Removes a statement.
     pub fn remove(&mut self, name: &str) {
         if let Some(statement) = self.statements.remove(name) {
-            self.bytes -= size(&statement);
+            self.bytes -= stored_bytes(&statement);
         }
     }
 
@@ -82,6 +82,6 @@
     }
 }
 
-fn size(statement: &PreparedStatement) -> usize {
+fn stored_bytes(statement: &PreparedStatement) -> usize {
     statement.message.len() + statement.text.len()
 }
--- a/crates/stairward-session/src/write_search.rs
+++ b/crates/stairward-session/src/write_search.rs
@@ -8,12 +8,14 @@
 use stairward_types::AccessClass;
 
 use crate::class::{StatementClass, UnsupportedFeature};
-use crate::classify::{plain_name, read};
+use crate::classify::{read_class, unquoted_name};
 use crate::pure_functions::{is_pure_function, is_session_lock_function};
 
 /// Classifies a statement by searching its syntax tree.
-pub(crate) fn by_syntax_tree(statement: &Statement) -> StatementClass {
-    let mut search = WriteSearch { class: read() };
+pub(crate) fn classify_by_syntax_tree(statement: &Statement) -> StatementClass {
+    let mut search = WriteSearch {
+        class: read_class(),
+    };
     let _: ControlFlow<()> = statement.visit(&mut search);
     search.class
 }
@@ -24,20 +26,20 @@
 }
 
 impl WriteSearch {
-    fn found_function(&mut self, name: &ObjectName) {
-        let name = plain_name(name);
+    fn check_function(&mut self, name: &ObjectName) {
+        let name = unquoted_name(name);
         let name = name.strip_prefix("pg_catalog.").unwrap_or(&name);
         if is_session_lock_function(name) {
             self.class.refused = Some(UnsupportedFeature::AdvisoryLock);
         }
         if !is_pure_function(name) {
-            self.found_write();
+            self.mark_write();
             // It may change session state, for example by calling set_config.
             self.class.alters_session = true;
         }
     }
 
-    fn found_write(&mut self) {
+    fn mark_write(&mut self) {
         self.class.access = AccessClass::Write;
     }
 }
@@ -48,7 +50,7 @@
     fn pre_visit_statement(&mut self, statement: &Statement) -> ControlFlow<()> {
         let is_read = matches!(statement, Statement::Query(_) | Statement::Declare { .. });
         if !is_read {
-            self.found_write();
+            self.mark_write();
         }
         ControlFlow::Continue(())
     }
@@ -59,14 +61,14 @@
             SetExpr::Insert(_) | SetExpr::Update(_) | SetExpr::Delete(_) | SetExpr::Merge(_)
         );
         if writes || !query.locks.is_empty() {
-            self.found_write();
+            self.mark_write();
         }
         ControlFlow::Continue(())
     }
 
     fn pre_visit_select(&mut self, select: &Select) -> ControlFlow<()> {
         if select.into.is_some() {
-            self.found_write();
+            self.mark_write();
         }
         ControlFlow::Continue(())
     }
@@ -78,19 +80,19 @@
                 args: Some(_),
                 ..
             }
-            | TableFactor::Function { name, .. } => self.found_function(name),
+            | TableFactor::Function { name, .. } => self.check_function(name),
             TableFactor::Table { .. }
             | TableFactor::Derived { .. }
             | TableFactor::NestedJoin { .. }
             | TableFactor::UNNEST { .. } => {}
-            _ => self.found_write(),
+            _ => self.mark_write(),
         }
         ControlFlow::Continue(())
     }
 
     fn pre_visit_expr(&mut self, expression: &Expr) -> ControlFlow<()> {
         if let Expr::Function(function) = expression {
-            self.found_function(&function.name);
+            self.check_function(&function.name);
         }
         ControlFlow::Continue(())
     }
--- a/crates/stairward-types/src/result_code.rs
+++ b/crates/stairward-types/src/result_code.rs
@@ -77,7 +77,7 @@
     Overloaded = 2003, NotRun, "53300", "not run: the back end is at its limits";
     /// The back end is not, or no longer, the primary of the expected term.
     PrimaryReplaced = 2004, NotRun, "57P03", "not run: the primary has been replaced";
-    /// The node asked does not own the back end.
+    /// The node that received the request does not own the back end.
     NotOwner = 2005, NotRun, "57P03", "not run: the node asked does not own the back end";
     /// No back end of the group can be reached.
     BackendUnavailable = 2006, NotRun, "57P03", "not run: no back end can be reached";
