--- a/crates/stairward-runtime/src/backends.rs
+++ b/crates/stairward-runtime/src/backends.rs
@@ -29,7 +29,9 @@
 }
 
 /// Opens a connection to a back end and waits until it is ready.
-pub(crate) async fn open_connection<W: Wire>(target: &OpenTarget,) -> Result<OpenedConnection, OpenFailure> {
+pub(crate) async fn open_connection<W: Wire>(
+    target: &OpenTarget,
+) -> Result<OpenedConnection, OpenFailure> {
     let opening = open_without_limit::<W>(target);
     match tokio::time::timeout(OPEN_TIMEOUT, opening).await {
         Ok(opened) => opened,
--- a/crates/stairward-runtime/src/callers.rs
+++ b/crates/stairward-runtime/src/callers.rs
@@ -27,7 +27,8 @@
     pub async fn accept_callers(self: Rc<Self>, listener: TcpListener, limit: usize) {
         loop {
             match listener.accept().await {
-                Ok((stream, _)) if self.sessions.borrow().len() < limit => { self.start_session(stream)
+                Ok((stream, _)) if self.sessions.borrow().len() < limit => {
+                    self.start_session(stream)
                 }
                 Ok(_) => tracing::warn!(
                     event = LogEvent::SessionRefused.number(),
--- a/crates/stairward-runtime/src/failover.rs
+++ b/crates/stairward-runtime/src/failover.rs
@@ -74,8 +74,11 @@
             }
             Effect::ReportSilent(silent) => self.report_silent_backends(&silent),
             Effect::Verify { backend, asker } => self.verify_silence(backend, asker),
-            Effect::QueryStatus(backend) => self.send_member_request(backend, MemberRequest::Status),
-            Effect::Hold(backend, term) => { self.send_member_request(backend, MemberRequest::Hold(term))
+            Effect::QueryStatus(backend) => {
+                self.send_member_request(backend, MemberRequest::Status)
+            }
+            Effect::Hold(backend, term) => {
+                self.send_member_request(backend, MemberRequest::Hold(term))
             }
             Effect::Resume(backend) => self.send_member_request(backend, MemberRequest::Resume),
             Effect::QueryUntilReceived(backend, all) => {
@@ -155,8 +158,12 @@
     }
 
     /// Sends a member request directly or through a peer, by each of the given ways.
-    fn request_by_ways(self: &Rc<Self>, backend: &BackendId,
-        request: MemberRequest, ways: Vec<Via>,) {
+    fn request_by_ways(
+        self: &Rc<Self>,
+        backend: &BackendId,
+        request: MemberRequest,
+        ways: Vec<Via>,
+    ) {
         let target = self.open_target(backend);
         for via in ways {
             let node = Rc::clone(self);
--- a/crates/stairward-runtime/src/failover_peers.rs
+++ b/crates/stairward-runtime/src/failover_peers.rs
@@ -101,7 +101,11 @@
     }
 
     /// Tells the given nodes, and this one, that the promotion announced to them is no longer in progress.
-    pub(crate) fn send_lead_settled(self: &Rc<Self>, service: &ServiceName, users: BTreeSet<NodeId>,) {
+    pub(crate) fn send_lead_settled(
+        self: &Rc<Self>,
+        service: &ServiceName,
+        users: BTreeSet<NodeId>,
+    ) {
         self.handle(Event::PromotionEnded(service.clone()));
         // A node that misses the message accepts the new leader a little later.
         self.send_once(
@@ -135,7 +139,8 @@
         tokio::task::spawn_local(async move {
             let opened = open_connection::<W>(&target).await;
             let is_silent = matches!(opened, Err(OpenFailure::TimedOut));
-            node.log.silence_check(node.now(), &backend, asker, is_silent);
+            node.log
+                .silence_check(node.now(), &backend, asker, is_silent);
             if let Ok(opened) = opened {
                 opened.outgoing.close();
             }
@@ -155,7 +160,11 @@
     fn send_once(&self, nodes: impl IntoIterator<Item = NodeId>, message: &NeighbourMessage) {
         let message = frame(message);
         for node in nodes {
-            let address = self.leader_users.borrow().get(&node).map(|user| user.address);
+            let address = self
+                .leader_users
+                .borrow()
+                .get(&node)
+                .map(|user| user.address);
             let Some(address) = address else {
                 continue;
             };
@@ -177,8 +186,17 @@
     }
 
     /// Tells a node to reject leaders of lower terms. Returns the newest term that it knows to have begun, if it replies.
-    async fn send_revocation(&self, user: NodeId, service: &ServiceName, term: Term,) -> Option<Term> {
-        let address = self.leader_users.borrow().get(&user).map(|user| user.address)?;
+    async fn send_revocation(
+        &self,
+        user: NodeId,
+        service: &ServiceName,
+        term: Term,
+    ) -> Option<Term> {
+        let address = self
+            .leader_users
+            .borrow()
+            .get(&user)
+            .map(|user| user.address)?;
         self.traffic.opened(OpeningKind::OneShot);
         let sending = async {
             let (mut reader, outgoing) = connect(address).await?;
--- a/crates/stairward-runtime/src/feeds.rs
+++ b/crates/stairward-runtime/src/feeds.rs
@@ -101,7 +101,8 @@
     }
 
     fn publish(&self) {
-        self.objects.publish(self.unpublished_since.take().flatten());
+        self.objects
+            .publish(self.unpublished_since.take().flatten());
     }
 
     /// Changes after a revision, compressed.
--- a/crates/stairward-runtime/src/holders.rs
+++ b/crates/stairward-runtime/src/holders.rs
@@ -92,7 +92,10 @@
         let before = std::mem::replace(&mut self.members, members.len());
         // While a service's maximum is not below the number of nodes, every node is a holder.
         let crosses_threshold = |count: usize| (before > count) != (members.len() > count);
-        let crossing = self.counts.iter().filter(|(_, count)| crosses_threshold(**count));
+        let crossing = self
+            .counts
+            .iter()
+            .filter(|(_, count)| crosses_threshold(**count));
         changed.extend(crossing.map(|(service, _)| service.clone()));
         self.compute(own, members, changed)
     }
--- a/crates/stairward-runtime/src/log.rs
+++ b/crates/stairward-runtime/src/log.rs
@@ -283,7 +283,13 @@
     }
 
     /// Logs the result of a step-down or hold request.
-    pub fn member_request(&self, now: Time, backend: &BackendId, via: &Via, reach: MemberCallResult) {
+    pub fn member_request(
+        &self,
+        now: Time,
+        backend: &BackendId,
+        via: &Via,
+        reach: MemberCallResult,
+    ) {
         let event = LogEvent::MemberAsked;
         if let Some(left_out) = self.admit(now, event) {
             let (number, name) = (event.number(), event.name());
--- a/crates/stairward-runtime/src/member_requests.rs
+++ b/crates/stairward-runtime/src/member_requests.rs
@@ -46,7 +46,11 @@
         target: &OpenTarget,
         request: MemberRequest,
     ) -> MemberCallResult {
-        let kept = self.member_connections.borrow_mut().by_member.remove(&target.backend);
+        let kept = self
+            .member_connections
+            .borrow_mut()
+            .by_member
+            .remove(&target.backend);
         if let Some(mut opened) = kept
             && let Some(reach) = request_on_connection::<W>(&mut opened, request).await
         {
@@ -106,7 +110,10 @@
 ) -> Option<MemberCallResult> {
     let must_have_led = matches!(request, MemberRequest::StepDown(_));
     let led = must_have_led
-        && request_until_sufficient::<W>(opened, MemberRequest::Status).await?.role == BackendRole::Primary;
+        && request_until_sufficient::<W>(opened, MemberRequest::Status)
+            .await?
+            .role
+            == BackendRole::Primary;
     let status = request_until_sufficient::<W>(opened, request).await?;
     Some(if led && status.role == BackendRole::Replica {
         MemberCallResult::GaveWay(status)
@@ -117,8 +124,10 @@
 
 /// Repeats a request on a connection until the reply is sufficient or half of the timeout has passed; none if the
 /// connection fails.
-async fn request_until_sufficient<W: Wire>(opened: &mut OpenedConnection,
-    request: MemberRequest,) -> Option<MemberStatus> {
+async fn request_until_sufficient<W: Wire>(
+    opened: &mut OpenedConnection,
+    request: MemberRequest,
+) -> Option<MemberStatus> {
     let mut decoder = W::ReplyDecoder::default();
     let began = tokio::time::Instant::now();
     loop {
--- a/crates/stairward-runtime/src/node.rs
+++ b/crates/stairward-runtime/src/node.rs
@@ -424,15 +424,19 @@
             Effect::Send {
                 connection,
                 command,
-            } => W::encode_command(&command,
-                writes.to_connections.entry(connection).or_default(),),
+            } => W::encode_command(
+                &command,
+                writes.to_connections.entry(connection).or_default(),
+            ),
             Effect::CloseConnection { connection } => {
                 writes.to_connections.remove(&connection);
                 if let Some(outgoing) = self.connections.borrow_mut().remove(&connection) {
                     outgoing.close();
                 }
             }
-            Effect::BackendObserved { backend, evidence } => self.handle_evidence(now, backend, evidence),
+            Effect::BackendObserved { backend, evidence } => {
+                self.handle_evidence(now, backend, evidence)
+            }
             Effect::EvacuationObserved { zone, is_evacuated } => {
                 self.evacuation_observed(now, &zone, is_evacuated);
             }
--- a/crates/stairward-runtime/src/peers.rs
+++ b/crates/stairward-runtime/src/peers.rs
@@ -163,10 +163,11 @@
                 }
                 None
             }
-            NeighbourMessage::AskMember(question) => { match self.answer_relayed_request(&question).await {
-                Some(answer) => Some(answer),
-                None => return false,
-            }
+            NeighbourMessage::AskMember(question) => {
+                match self.answer_relayed_request(&question).await {
+                    Some(answer) => Some(answer),
+                    None => return false,
+                }
             }
             NeighbourMessage::Document { .. }
             | NeighbourMessage::Lead { .. }
@@ -190,7 +191,10 @@
     }
 
     fn document_reply(&self, name: Text) -> NeighbourMessage {
-        let content = self.feeds.compressed_snapshot(name.as_str()).unwrap_or_default();
+        let content = self
+            .feeds
+            .compressed_snapshot(name.as_str())
+            .unwrap_or_default();
         NeighbourMessage::Document {
             name,
             content: content.into(),
@@ -216,10 +220,18 @@
     }
 
     /// Returns the local id of another node's session and records its current request.
-    fn remote_session(&self, link: u64, outgoing: &Rc<Outgoing>,
-        remote_id: u64, request: u64,) -> SessionId {
+    fn remote_session(
+        &self,
+        link: u64,
+        outgoing: &Rc<Outgoing>,
+        remote_id: u64,
+        request: u64,
+    ) -> SessionId {
         let mut remote_sessions = self.remote_sessions.borrow_mut();
-        let known = remote_sessions.by_remote_id.get(&(link, remote_id)).copied();
+        let known = remote_sessions
+            .by_remote_id
+            .get(&(link, remote_id))
+            .copied();
         let own = known.unwrap_or_else(|| self.next_session());
         remote_sessions.by_remote_id.insert((link, remote_id), own);
         let remote_session = RemoteSession {
@@ -248,7 +260,9 @@
     fn close_remote_sessions_of(self: &Rc<Self>, link: u64) {
         let remote_id: Vec<u64> = {
             let remote_sessions = self.remote_sessions.borrow();
-            let of_link = remote_sessions.by_remote_id.range((link, 0)..=(link, u64::MAX));
+            let of_link = remote_sessions
+                .by_remote_id
+                .range((link, 0)..=(link, u64::MAX));
             of_link.map(|((_, remote_id), _)| *remote_id).collect()
         };
         for session in remote_id {
@@ -257,7 +271,11 @@
     }
 
     /// Sends a response to the node that forwarded the statement. Returns it unsent if the session is local.
-    pub(crate) fn answer_remote_session(&self, session: SessionId, response: Response,) -> Option<Response> {
+    pub(crate) fn answer_remote_session(
+        &self,
+        session: SessionId,
+        response: Response,
+    ) -> Option<Response> {
         let remote_sessions = self.remote_sessions.borrow();
         let Some(remote_session) = remote_sessions.by_local_id.get(&session) else {
             return Some(response);
@@ -272,7 +290,9 @@
     pub(crate) fn forget_remote_session(&self, session: SessionId) {
         let mut remote_sessions = self.remote_sessions.borrow_mut();
         if remote_sessions.by_local_id.remove(&session).is_some() {
-            remote_sessions.by_remote_id.retain(|_, own| *own != session);
+            remote_sessions
+                .by_remote_id
+                .retain(|_, own| *own != session);
         }
     }
 
@@ -389,7 +409,8 @@
                     told_at_microseconds,
                 } => {
                     let (asked, told) = (Time(asked_at_microseconds), Time(told_at_microseconds));
-                    self.feeds.set_source_clock(holder, PeerClock::new(asked, told));
+                    self.feeds
+                        .set_source_clock(holder, PeerClock::new(asked, told));
                 }
                 NeighbourMessage::FeedState(message) => self.handle_source_answer(holder, message),
                 _ => break,
