--- a/crates/stairward-engine/src/placement.rs
+++ b/crates/stairward-engine/src/placement.rs
@@ -135,10 +135,10 @@
             .iter()
             .filter(is_same_zone)
             .any(|holder| holder.node == self.options.limits.node);
-        let elsewhere = all
+        let other_zones = all
             .saturating_sub(same_zone)
             .saturating_mul(OTHER_ZONE_SHARE);
-        let shared = limit.saturating_sub(elsewhere) / same_zone;
+        let shared = limit.saturating_sub(other_zones) / same_zone;
         Some(if is_own {
             shared.max(OTHER_ZONE_SHARE)
         } else {
--- a/crates/stairward-engine/tests/holder_demand.rs
+++ b/crates/stairward-engine/tests/holder_demand.rs
@@ -1,5 +1,5 @@
-//! How many nodes hold connections to a service's back ends: no more than they can use, and together never more than a
-//! back end takes, also while nodes see different fleets.
+//! Number of connection holders: no more than back ends can use, and together never more connections than a
+//! back end takes, even if nodes have different views of the fleet.
 
 use stairward_engine::{HolderSizing, connections_per_holder};
 use stairward_testing::check;
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_small_limit_decides() {
+fn a_small_connection_limit_bounds_the_holders() {
     assert_eq!(demand(36, 3, 3).holder_count(), 11);
     assert_eq!(demand(50, 5, 3).holder_count(), 16);
     assert_eq!(demand(2, 3, 3).holder_count(), 1);
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_large_limit_brings_no_more_holders_than_the_slots_can_occupy() {
+fn a_large_connection_limit_adds_no_holders_beyond_the_slots() {
     let holders = demand(428, 3, 6).holder_count();
     assert_eq!(holders, demand(1_000_000, 3, 6).holder_count());
     assert!(holders < 20, "{holders}");
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn where_the_slots_are_not_known_the_limit_decides() {
+fn unknown_slots_leave_the_connection_limit_in_force() {
     let unknown = HolderSizing {
         slots: None,
         ..demand(428, 1, 6)
@@ -41,11 +41,11 @@
     assert_eq!(unknown.holder_count(), 142);
 }
 
-/// Connections that a back end keeps back.
+/// Connections reserved per back end.
 const RESERVED: u32 = 1;
 
 #[test]
-fn one_view_never_passes_the_limit_and_two_do_not_where_the_slots_decide() {
+fn holders_of_two_views_stay_within_the_connection_limit() {
     check!()
         .with_type::<(u16, u8, u8, u16)>()
         .for_each(|(connections, slots, zones, nodes)| {
@@ -55,7 +55,7 @@
                 u32::from(*zones),
             );
             let available = demand.connections.saturating_sub(RESERVED);
-            // Fewer nodes than holders: all of them hold.
+            // If there are fewer nodes than holders, all of them hold connections.
             let holders = demand.holder_count().min(u32::from(*nodes).max(1));
             let held = holders * connections_per_holder(available, holders);
             assert!(held <= available.max(holders), "{demand:?}: {held}");
--- a/crates/stairward-engine/tests/lead.rs
+++ b/crates/stairward-engine/tests/lead.rs
@@ -1,4 +1,4 @@
-//! A leader counts only while its replicas confirm it: what is withheld, what is let go, and what ends.
+//! A leader is trusted only while its replicas confirm it: which replies are withheld, released or rejected.
 
 mod support;
 
@@ -12,26 +12,26 @@
 use stairward_types::{BackendRole, MemberStatus, NodeId, ResultCode, Term};
 
 use support::{
-    FAR_REPLICA, LEADER_READS, NEAR_REPLICA, PRIMARY, Sent, World, at, done, held_by, listed,
+    FAR_REPLICA, Harness, LEADER_READS, NEAR_REPLICA, PRIMARY, Sent, at, done, held_by, listed,
     service, table, usual_backends,
 };
 
 const LEASE: Duration = Duration::from_millis(1_000);
 
-/// A world whose old leaders may go on.
-fn world() -> World {
-    let mut world = World::empty();
+/// A harness in which a replaced leader may keep answering.
+fn harness() -> Harness {
+    let mut harness = Harness::empty();
     let options = EngineOptions {
         leadership_lease: Some(LEASE),
-        ..world.engine_options()
+        ..harness.engine_options()
     };
-    world.engine = Engine::new(options);
-    world.tell(Event::ConfigurationChanged(Arc::new(table(1))));
-    world.tell(listed(usual_backends()));
-    world
+    harness.engine = Engine::new(options);
+    harness.handle(Event::ConfigurationChanged(Arc::new(table(1))));
+    harness.handle(listed(usual_backends()));
+    harness
 }
 
-fn word(role: BackendRole, term: u64, held: u64) -> BackendReply {
+fn status_report(role: BackendRole, term: u64, held: u64) -> BackendReply {
     let mut reply = done(TransactionStatus::Idle, at(1, 10));
     reply.member = Some(MemberStatus {
         role,
@@ -42,56 +42,59 @@
     reply
 }
 
-fn follows(term: u64) -> BackendReply {
-    word(BackendRole::Replica, term, 0)
+fn following(term: u64) -> BackendReply {
+    status_report(BackendRole::Replica, term, 0)
 }
 
-/// The oldest question for a status to a back end, taken.
-fn question_to(world: &mut World, name: &str) -> Option<Sent> {
-    let place = world.sent.iter().position(|sent| {
+/// Removes and returns the oldest status query to a back end.
+fn status_query_to(harness: &mut Harness, name: &str) -> Option<Sent> {
+    let place = harness.sent.iter().position(|sent| {
         sent.command == BackendCommand::QueryStatus && sent.backend.as_str() == name
     })?;
-    Some(world.sent.remove(place))
+    Some(harness.sent.remove(place))
 }
 
-fn answer_question(world: &mut World, name: &str, reply: BackendReply) {
-    let sent = question_to(world, name).expect("a question");
+fn answer_status_query(harness: &mut Harness, name: &str, reply: BackendReply) {
+    let sent = status_query_to(harness, name).expect("a status query");
     let connection = sent.connection;
-    world.tell(Event::Reply { connection, reply });
+    harness.handle(Event::Reply { connection, reply });
 }
 
-/// Answers the oldest command that is not a question for a status.
-fn answer_work(world: &mut World, reply: BackendReply) {
+/// Answers the oldest command that is not a status query.
+fn answer_work(harness: &mut Harness, reply: BackendReply) {
     let is_work = |sent: &Sent| sent.command != BackendCommand::QueryStatus;
-    let place = world.sent.iter().position(is_work).expect("a command");
-    let connection = world.sent.remove(place).connection;
-    world.tell(Event::Reply { connection, reply });
+    let place = harness.sent.iter().position(is_work).expect("a command");
+    let connection = harness.sent.remove(place).connection;
+    harness.handle(Event::Reply { connection, reply });
 }
 
 /// Both replicas confirm term 1.
-fn confirm(world: &mut World) {
-    answer_question(world, NEAR_REPLICA, follows(1));
-    answer_question(world, FAR_REPLICA, follows(1));
+fn confirm(harness: &mut Harness) {
+    answer_status_query(harness, NEAR_REPLICA, following(1));
+    answer_status_query(harness, FAR_REPLICA, following(1));
 }
 
-fn write(world: &mut World) {
-    let session = world.open(LEADER_READS);
-    world.say(session, StatementKind::Write);
+fn write(harness: &mut Harness) {
+    let session = harness.open(LEADER_READS);
+    harness.submit(session, StatementKind::Write);
 }
 
 #[test]
 fn a_write_is_acknowledged_once_all_replicas_confirm_the_leader() {
-    let mut world = world();
-    write(&mut world);
-    answer_work(&mut world, done(TransactionStatus::Idle, at(1, 11)));
-    assert!(world.responses.is_empty(), "its lead is not confirmed");
-    answer_question(&mut world, NEAR_REPLICA, follows(1));
+    let mut harness = harness();
+    write(&mut harness);
+    answer_work(&mut harness, done(TransactionStatus::Idle, at(1, 11)));
     assert!(
-        world.responses.is_empty(),
+        harness.responses.is_empty(),
+        "its leadership is not confirmed"
+    );
+    answer_status_query(&mut harness, NEAR_REPLICA, following(1));
+    assert!(
+        harness.responses.is_empty(),
         "the other may lead a later term"
     );
-    answer_question(&mut world, FAR_REPLICA, follows(1));
-    let result = world.response().result;
+    answer_status_query(&mut harness, FAR_REPLICA, following(1));
+    let result = harness.response().result;
     assert!(
         matches!(result, ResponseResult::Completed { .. }),
         "{result:?}"
@@ -99,165 +102,185 @@
 }
 
 #[test]
-fn while_confirmations_follow_each_other_closely_one_replica_is_enough() {
-    let mut world = world();
-    write(&mut world);
-    confirm(&mut world);
-    answer_work(&mut world, done(TransactionStatus::Idle, at(1, 11)));
-    world.response();
-    world.pass(LEASE * 3 / 5);
-    write(&mut world);
-    answer_work(&mut world, done(TransactionStatus::Idle, at(1, 12)));
-    world.response();
-    assert!(question_to(&mut world, FAR_REPLICA).is_none());
-    answer_question(&mut world, NEAR_REPLICA, follows(1));
-    world.pass(LEASE * 3 / 5);
-    write(&mut world);
-    answer_work(&mut world, done(TransactionStatus::Idle, at(1, 13)));
-    let result = world.response().result;
+fn one_replica_is_enough_while_confirmations_are_continuous() {
+    let mut harness = harness();
+    write(&mut harness);
+    confirm(&mut harness);
+    answer_work(&mut harness, done(TransactionStatus::Idle, at(1, 11)));
+    harness.response();
+    harness.advance(LEASE * 3 / 5);
+    write(&mut harness);
+    answer_work(&mut harness, done(TransactionStatus::Idle, at(1, 12)));
+    harness.response();
+    assert!(status_query_to(&mut harness, FAR_REPLICA).is_none());
+    answer_status_query(&mut harness, NEAR_REPLICA, following(1));
+    harness.advance(LEASE * 3 / 5);
+    write(&mut harness);
+    answer_work(&mut harness, done(TransactionStatus::Idle, at(1, 13)));
+    let result = harness.response().result;
     assert!(
         matches!(result, ResponseResult::Completed { .. }),
         "{result:?}"
     );
 }
 
-/// The lease counts from the question, also when the answer came late.
+/// The lease counts from the query even if the reply is late.
 #[test]
-fn a_confirmation_counts_from_its_question() {
-    let mut world = world();
-    write(&mut world);
-    answer_work(&mut world, done(TransactionStatus::Idle, at(1, 11)));
-    world.pass(Duration::from_millis(150));
-    confirm(&mut world);
-    world.response();
-    world.pass(LEASE - Duration::from_millis(100));
-    write(&mut world);
-    answer_work(&mut world, done(TransactionStatus::Idle, at(1, 12)));
-    assert!(world.responses.is_empty(), "a lease after the question");
+fn a_confirmation_counts_from_its_query() {
+    let mut harness = harness();
+    write(&mut harness);
+    answer_work(&mut harness, done(TransactionStatus::Idle, at(1, 11)));
+    harness.advance(Duration::from_millis(150));
+    confirm(&mut harness);
+    harness.response();
+    harness.advance(LEASE - Duration::from_millis(100));
+    write(&mut harness);
+    answer_work(&mut harness, done(TransactionStatus::Idle, at(1, 12)));
+    assert!(
+        harness.responses.is_empty(),
+        "a lease has passed since the query"
+    );
 }
 
 #[test]
 fn a_replica_on_hold_keeps_new_work_from_the_leader() {
-    let mut world = world();
-    write(&mut world);
-    confirm(&mut world);
-    answer_work(&mut world, done(TransactionStatus::Idle, at(1, 11)));
-    world.response();
-    world.pass(LEASE * 3 / 5);
-    write(&mut world);
-    answer_work(&mut world, done(TransactionStatus::Idle, at(1, 12)));
-    world.response();
-    answer_question(&mut world, NEAR_REPLICA, word(BackendRole::Replica, 1, 2));
-    assert_eq!(world.lead_changes.last(), Some(&LeadershipChange::Revoked));
-    let before = world.sent.len();
-    write(&mut world);
+    let mut harness = harness();
+    write(&mut harness);
+    confirm(&mut harness);
+    answer_work(&mut harness, done(TransactionStatus::Idle, at(1, 11)));
+    harness.response();
+    harness.advance(LEASE * 3 / 5);
+    write(&mut harness);
+    answer_work(&mut harness, done(TransactionStatus::Idle, at(1, 12)));
+    harness.response();
+    answer_status_query(
+        &mut harness,
+        NEAR_REPLICA,
+        status_report(BackendRole::Replica, 1, 2),
+    );
+    assert_eq!(
+        harness.leadership_changes.last(),
+        Some(&LeadershipChange::Revoked)
+    );
+    let before = harness.sent.len();
+    write(&mut harness);
     let is_work = |sent: &&Sent| sent.command != BackendCommand::QueryStatus;
-    assert_eq!(world.sent[before..].iter().filter(is_work).count(), 0);
+    assert_eq!(harness.sent[before..].iter().filter(is_work).count(), 0);
 }
 
-/// The holds end when the promotion takes effect, and a replica may not have heard of the new leader yet.
+/// Holds end when the promotion takes effect; a replica may not know the new leader yet.
 #[test]
 fn a_hold_that_has_ended_does_not_confirm_the_old_leader_again() {
-    let mut world = world();
-    write(&mut world);
-    confirm(&mut world);
-    answer_work(&mut world, done(TransactionStatus::Idle, at(1, 11)));
-    world.response();
-    world.pass(LEASE * 3 / 5);
-    write(&mut world);
-    answer_work(&mut world, done(TransactionStatus::Idle, at(1, 12)));
-    world.response();
-    answer_question(&mut world, NEAR_REPLICA, word(BackendRole::Replica, 1, 2));
-    // The other replica's word is by then older than a lease, as it is after any hold that was waited out.
-    world.pass(LEASE / 2);
-    write(&mut world);
-    answer_question(&mut world, NEAR_REPLICA, follows(1));
-    assert_eq!(world.lead_changes.last(), Some(&LeadershipChange::Revoked));
+    let mut harness = harness();
+    write(&mut harness);
+    confirm(&mut harness);
+    answer_work(&mut harness, done(TransactionStatus::Idle, at(1, 11)));
+    harness.response();
+    harness.advance(LEASE * 3 / 5);
+    write(&mut harness);
+    answer_work(&mut harness, done(TransactionStatus::Idle, at(1, 12)));
+    harness.response();
+    answer_status_query(
+        &mut harness,
+        NEAR_REPLICA,
+        status_report(BackendRole::Replica, 1, 2),
+    );
+    // By now the other replica's report is older than a lease, as after any hold that was waited out.
+    harness.advance(LEASE / 2);
+    write(&mut harness);
+    answer_status_query(&mut harness, NEAR_REPLICA, following(1));
+    assert_eq!(
+        harness.leadership_changes.last(),
+        Some(&LeadershipChange::Revoked)
+    );
 }
 
 #[test]
-fn a_leader_that_is_about_to_be_replaced_gets_nothing_more_and_is_not_believed() {
-    let mut world = world();
-    write(&mut world);
-    confirm(&mut world);
-    world.tell(Event::LeadershipRevoked(service(), Term(2)));
-    answer_work(&mut world, done(TransactionStatus::Idle, at(1, 11)));
-    assert!(world.responses.is_empty());
-    let before = world.sent.len();
-    write(&mut world);
+fn a_leader_about_to_be_replaced_gets_no_work_and_is_not_trusted() {
+    let mut harness = harness();
+    write(&mut harness);
+    confirm(&mut harness);
+    harness.handle(Event::LeadershipRevoked(service(), Term(2)));
+    answer_work(&mut harness, done(TransactionStatus::Idle, at(1, 11)));
+    assert!(harness.responses.is_empty());
+    let before = harness.sent.len();
+    write(&mut harness);
     let is_work = |sent: &&Sent| sent.command != BackendCommand::QueryStatus;
-    assert_eq!(world.sent[before..].iter().filter(is_work).count(), 0);
+    assert_eq!(harness.sent[before..].iter().filter(is_work).count(), 0);
 }
 
-/// Whoever led the announced term may be out of reach since, and no longer listed.
+/// The leader of the announced term may be unreachable and unlisted since.
 #[test]
-fn an_announced_term_is_not_forgotten_while_one_who_may_have_led_it_is_silent() {
-    let mut world = world();
-    write(&mut world);
-    confirm(&mut world);
-    answer_work(&mut world, done(TransactionStatus::Idle, at(1, 11)));
-    world.response();
-    world.tell(Event::LeadershipRevoked(service(), Term(2)));
-    world.tell(listed(vec![
+fn an_announced_term_is_kept_while_a_possible_leader_is_unreachable() {
+    let mut harness = harness();
+    write(&mut harness);
+    confirm(&mut harness);
+    answer_work(&mut harness, done(TransactionStatus::Idle, at(1, 11)));
+    harness.response();
+    harness.handle(Event::LeadershipRevoked(service(), Term(2)));
+    harness.handle(listed(vec![
         usual_backends()[0].clone(),
         usual_backends()[2].clone(),
     ]));
-    world.pass(LEASE * 2);
-    write(&mut world);
-    world.pass(Duration::from_millis(100));
-    while let Some(sent) = question_to(&mut world, FAR_REPLICA) {
+    harness.advance(LEASE * 2);
+    write(&mut harness);
+    harness.advance(Duration::from_millis(100));
+    while let Some(sent) = status_query_to(&mut harness, FAR_REPLICA) {
         let connection = sent.connection;
-        let reply = follows(1);
-        world.tell(Event::Reply { connection, reply });
+        let reply = following(1);
+        harness.handle(Event::Reply { connection, reply });
     }
     let is_work = |sent: &Sent| sent.command != BackendCommand::QueryStatus;
-    assert!(!world.sent.iter().any(is_work), "{:?}", world.sent);
+    assert!(!harness.sent.iter().any(is_work), "{:?}", harness.sent);
 }
 
 #[test]
-fn a_write_at_a_leader_that_was_replaced_ends_unknown_at_once() {
-    let mut world = world();
-    write(&mut world);
-    answer_work(&mut world, done(TransactionStatus::Idle, at(1, 11)));
-    answer_question(&mut world, NEAR_REPLICA, follows(2));
-    assert_eq!(world.refusal(), ResultCode::FenceNotProved);
+fn a_write_at_a_replaced_leader_ends_unknown_at_once() {
+    let mut harness = harness();
+    write(&mut harness);
+    answer_work(&mut harness, done(TransactionStatus::Idle, at(1, 11)));
+    answer_status_query(&mut harness, NEAR_REPLICA, following(2));
+    assert_eq!(harness.refusal(), ResultCode::FenceNotProved);
 }
 
 #[test]
-fn a_read_at_a_leader_that_was_replaced_goes_elsewhere() {
-    let mut world = world();
-    let session = world.open(LEADER_READS);
-    world.say(session, StatementKind::Read);
-    answer_work(&mut world, done(TransactionStatus::Open, at(1, 11)));
-    answer_question(&mut world, NEAR_REPLICA, follows(2));
+fn a_read_at_a_replaced_leader_does_not_run_there() {
+    let mut harness = harness();
+    let session = harness.open(LEADER_READS);
+    harness.submit(session, StatementKind::Read);
+    answer_work(&mut harness, done(TransactionStatus::Open, at(1, 11)));
+    answer_status_query(&mut harness, NEAR_REPLICA, following(2));
     assert!(
-        world.responses.is_empty(),
+        harness.responses.is_empty(),
         "it has not run: {:?}",
-        world.responses
+        harness.responses
     );
     let ran = |sent: &Sent| matches!(sent.command, BackendCommand::Run { .. });
-    assert!(!world.sent.iter().any(ran));
+    assert!(!harness.sent.iter().any(ran));
 }
 
 #[test]
-fn what_an_unconfirmed_leader_says_of_its_position_proves_nothing() {
-    let mut world = world();
-    write(&mut world);
-    answer_work(&mut world, done(TransactionStatus::Idle, at(1, 11)));
-    assert_eq!(world.engine.proved_position(world.now, &service()), None);
-    confirm(&mut world);
-    let proved = world.engine.proved_position(world.now, &service());
+fn an_unconfirmed_leaders_position_is_no_proof() {
+    let mut harness = harness();
+    write(&mut harness);
+    answer_work(&mut harness, done(TransactionStatus::Idle, at(1, 11)));
+    assert_eq!(
+        harness.engine.proved_position(harness.now, &service()),
+        None
+    );
+    confirm(&mut harness);
+    let proved = harness.engine.proved_position(harness.now, &service());
     assert_eq!(proved.map(|(position, _)| position), Some(at(1, 11)));
 }
 
-/// Nobody can be promoted where there is nobody else.
+/// Without other members nobody can be promoted.
 #[test]
 fn a_leader_without_replicas_needs_no_confirmation() {
-    let mut world = world();
-    world.tell(listed(vec![usual_backends()[0].clone()]));
-    write(&mut world);
-    answer_work(&mut world, done(TransactionStatus::Idle, at(1, 11)));
-    let result = world.response().result;
+    let mut harness = harness();
+    harness.handle(listed(vec![usual_backends()[0].clone()]));
+    write(&mut harness);
+    answer_work(&mut harness, done(TransactionStatus::Idle, at(1, 11)));
+    let result = harness.response().result;
     assert!(
         matches!(result, ResponseResult::Completed { .. }),
         "{result:?}"
@@ -265,90 +288,90 @@
 }
 
 #[test]
-fn a_caller_that_leaves_while_its_answer_is_withheld_frees_the_connection() {
-    let mut world = world();
-    let session = world.open(LEADER_READS);
-    world.say(session, StatementKind::Write);
-    answer_work(&mut world, done(TransactionStatus::Idle, at(1, 11)));
-    world.tell(Event::SessionClosed { session });
-    confirm(&mut world);
-    let opened = world.opened.len();
-    write(&mut world);
-    answer_work(&mut world, done(TransactionStatus::Idle, at(1, 12)));
-    world.response();
+fn a_caller_that_disconnects_during_withholding_frees_the_connection() {
+    let mut harness = harness();
+    let session = harness.open(LEADER_READS);
+    harness.submit(session, StatementKind::Write);
+    answer_work(&mut harness, done(TransactionStatus::Idle, at(1, 11)));
+    harness.handle(Event::SessionClosed { session });
+    confirm(&mut harness);
+    let opened = harness.opened.len();
+    write(&mut harness);
+    answer_work(&mut harness, done(TransactionStatus::Idle, at(1, 12)));
+    harness.response();
     let to_leader = |(_, id): &&(_, stairward_types::BackendId)| id.as_str() == PRIMARY;
-    let new = world.opened[opened..].iter().filter(to_leader).count();
+    let new = harness.opened[opened..].iter().filter(to_leader).count();
     assert_eq!(new, 0, "the connection was kept");
 }
 
 #[test]
-fn a_node_of_the_region_is_asked_first_and_the_replicas_if_it_does_not_answer() {
-    let mut world = world();
+fn the_leadership_source_is_queried_before_the_replicas() {
+    let mut harness = harness();
     let source = NodeId(5);
-    world.tell(held_by(ServiceHolders {
+    harness.handle(held_by(ServiceHolders {
         leadership_source: Some(source),
         ..ServiceHolders::default()
     }));
-    write(&mut world);
-    assert_eq!(world.asked_leads, [(source, service())]);
-    assert!(question_to(&mut world, NEAR_REPLICA).is_none());
-    answer_work(&mut world, done(TransactionStatus::Idle, at(1, 11)));
-    world.tell(Event::PeerLeadership {
+    write(&mut harness);
+    assert_eq!(harness.queried_leaderships, [(source, service())]);
+    assert!(status_query_to(&mut harness, NEAR_REPLICA).is_none());
+    answer_work(&mut harness, done(TransactionStatus::Idle, at(1, 11)));
+    harness.handle(Event::PeerLeadership {
         service: service(),
         possible_term: Term(1),
-        asked_at: world.now,
+        asked_at: harness.now,
         age: Duration::from_millis(300),
     });
-    world.response();
-    world.pass(LEASE);
-    write(&mut world);
-    answer_work(&mut world, done(TransactionStatus::Idle, at(1, 12)));
-    world.pass(LEASE * 3 / 10);
-    assert!(question_to(&mut world, NEAR_REPLICA).is_some());
+    harness.response();
+    harness.advance(LEASE);
+    write(&mut harness);
+    answer_work(&mut harness, done(TransactionStatus::Idle, at(1, 12)));
+    harness.advance(LEASE * 3 / 10);
+    assert!(status_query_to(&mut harness, NEAR_REPLICA).is_some());
 }
 
 #[test]
-fn a_peer_s_word_is_as_old_as_it_says() {
-    let mut world = world();
-    world.tell(held_by(ServiceHolders {
+fn a_peers_leadership_report_is_dated_by_its_age() {
+    let mut harness = harness();
+    harness.handle(held_by(ServiceHolders {
         leadership_source: Some(NodeId(5)),
         ..ServiceHolders::default()
     }));
-    write(&mut world);
-    answer_work(&mut world, done(TransactionStatus::Idle, at(1, 11)));
-    world.tell(Event::PeerLeadership {
+    write(&mut harness);
+    answer_work(&mut harness, done(TransactionStatus::Idle, at(1, 11)));
+    harness.handle(Event::PeerLeadership {
         service: service(),
         possible_term: Term(1),
-        asked_at: world.now,
+        asked_at: harness.now,
         age: LEASE,
     });
-    assert!(world.responses.is_empty());
+    assert!(harness.responses.is_empty());
 }
 
-/// A question that is refused, as by a full back end, is not repeated at once.
+/// A refused query, for example by a busy back end, is not repeated at once.
 #[test]
-fn a_busy_replica_is_not_asked_again_at_once() {
-    let mut world = world();
-    write(&mut world);
-    answer_work(&mut world, done(TransactionStatus::Idle, at(1, 11)));
+fn a_busy_replica_is_not_queried_again_at_once() {
+    let mut harness = harness();
+    write(&mut harness);
+    answer_work(&mut harness, done(TransactionStatus::Idle, at(1, 11)));
     let busy = support::failed(
         stairward_engine::BackendErrorCode::Busy,
         TransactionStatus::Idle,
     );
-    answer_question(&mut world, NEAR_REPLICA, busy);
-    world.pass(Duration::from_millis(100));
-    assert!(question_to(&mut world, NEAR_REPLICA).is_none());
-    world.pass(Duration::from_millis(200));
-    assert!(question_to(&mut world, NEAR_REPLICA).is_some());
+    answer_status_query(&mut harness, NEAR_REPLICA, busy);
+    harness.advance(Duration::from_millis(100));
+    assert!(status_query_to(&mut harness, NEAR_REPLICA).is_none());
+    harness.advance(Duration::from_millis(200));
+    assert!(status_query_to(&mut harness, NEAR_REPLICA).is_some());
 }
 
 #[test]
-fn effects_of_leads_are_told_once() {
-    let mut world = world();
-    write(&mut world);
-    answer_question(&mut world, NEAR_REPLICA, follows(2));
-    answer_question(&mut world, FAR_REPLICA, follows(2));
-    let revoked = world.lead_changes.iter();
+fn a_leadership_change_is_reported_once() {
+    let mut harness = harness();
+    write(&mut harness);
+    answer_status_query(&mut harness, NEAR_REPLICA, following(2));
+    answer_status_query(&mut harness, FAR_REPLICA, following(2));
+    let revoked = harness.leadership_changes.iter();
     let revoked = revoked.filter(|change| **change == LeadershipChange::Revoked);
     assert!(revoked.count() <= 1);
 }
--- a/crates/stairward-engine/tests/outcomes.rs
+++ b/crates/stairward-engine/tests/outcomes.rs
@@ -1,4 +1,4 @@
-//! What a caller is told: a promise that nothing is kept only where it is provable, and a write sent once.
+//! Outcomes reported to callers: "not run" only if provable, and no write is sent twice.
 
 mod support;
 
@@ -9,7 +9,7 @@
 };
 use stairward_types::{OutcomeClass, ResultCode};
 use support::{
-    BOUNDED, LEADER_READS, PRIMARY, TIMEOUT, TRANSACTION_IDLE, World, at, backend, done, failed,
+    BOUNDED, Harness, LEADER_READS, PRIMARY, TIMEOUT, TRANSACTION_IDLE, at, backend, done, failed,
     listed,
 };
 
@@ -18,44 +18,44 @@
 
 #[test]
 fn a_write_whose_connection_is_lost_is_unknown_and_not_sent_again() {
-    let mut world = World::new();
-    let session = world.open(LEADER_READS);
-    world.say(session, StatementKind::Write);
-    world.lose();
-    assert_eq!(world.refusal(), ResultCode::BackendLostAfterSend);
-    world.pass(Duration::from_secs(2));
-    assert!(world.sent.is_empty(), "{:?}", world.sent);
+    let mut harness = Harness::new();
+    let session = harness.open(LEADER_READS);
+    harness.submit(session, StatementKind::Write);
+    harness.drop_oldest();
+    assert_eq!(harness.refusal(), ResultCode::BackendLostAfterSend);
+    harness.advance(Duration::from_secs(2));
+    assert!(harness.sent.is_empty(), "{:?}", harness.sent);
 }
 
 #[test]
 fn a_write_without_an_answer_in_time_is_unknown_and_its_connection_closed() {
-    let mut world = World::new();
-    let session = world.open(LEADER_READS);
-    world.say(session, StatementKind::Write);
-    let connection = world.sent[0].connection;
-    world.pass(TIMEOUT);
-    assert_eq!(world.refusal(), ResultCode::DeadlineAfterSend);
-    assert!(world.closed_connections.contains(&connection));
+    let mut harness = Harness::new();
+    let session = harness.open(LEADER_READS);
+    harness.submit(session, StatementKind::Write);
+    let connection = harness.sent[0].connection;
+    harness.advance(TIMEOUT);
+    assert_eq!(harness.refusal(), ResultCode::DeadlineAfterSend);
+    assert!(harness.closed_connections.contains(&connection));
 }
 
 #[test]
 fn a_write_refused_by_one_that_lost_the_lead_is_not_run() {
-    let mut world = World::new();
-    let session = world.open(LEADER_READS);
-    world.say(session, StatementKind::Write);
-    world.answer(failed(BackendErrorCode::ReadOnly, IDLE));
-    world.pass(Duration::from_millis(200));
-    assert_eq!(world.refusal().class(), OutcomeClass::NotRun);
+    let mut harness = Harness::new();
+    let session = harness.open(LEADER_READS);
+    harness.submit(session, StatementKind::Write);
+    harness.answer(failed(BackendErrorCode::ReadOnly, IDLE));
+    harness.advance(Duration::from_millis(200));
+    assert_eq!(harness.refusal().class(), OutcomeClass::NotRun);
 }
 
 #[test]
 fn a_transaction_whose_connection_is_lost_is_undone_and_goes_on_failed() {
-    let mut world = World::new();
-    let session = world.open(LEADER_READS);
-    world.begin(session, false, at(1, 7));
-    world.say(session, StatementKind::Write);
-    world.lose();
-    let response = world.response();
+    let mut harness = Harness::new();
+    let session = harness.open(LEADER_READS);
+    harness.begin(session, false, at(1, 7));
+    harness.submit(session, StatementKind::Write);
+    harness.drop_oldest();
+    let response = harness.response();
     assert_eq!(response.status, TransactionStatus::Failed);
     assert!(matches!(
         response.result,
@@ -64,47 +64,47 @@
             ..
         }
     ));
-    world.say(session, StatementKind::Read);
-    assert_eq!(world.refusal(), ResultCode::ProtocolViolation);
-    world.say(session, StatementKind::Rollback);
-    assert_eq!(world.response().status, IDLE);
+    harness.submit(session, StatementKind::Read);
+    assert_eq!(harness.refusal(), ResultCode::ProtocolViolation);
+    harness.submit(session, StatementKind::Rollback);
+    assert_eq!(harness.response().status, IDLE);
 }
 
 #[test]
 fn a_commit_of_a_write_whose_answer_is_lost_is_unknown() {
-    let mut world = World::new();
-    let session = world.open(LEADER_READS);
-    world.begin(session, false, at(1, 7));
-    world.say(session, StatementKind::Write);
-    world.answer(done(OPEN, at(1, 7)));
-    world.response();
-    world.say(session, StatementKind::Commit);
-    world.lose();
-    assert_eq!(world.refusal(), ResultCode::BackendLostAfterSend);
+    let mut harness = Harness::new();
+    let session = harness.open(LEADER_READS);
+    harness.begin(session, false, at(1, 7));
+    harness.submit(session, StatementKind::Write);
+    harness.answer(done(OPEN, at(1, 7)));
+    harness.response();
+    harness.submit(session, StatementKind::Commit);
+    harness.drop_oldest();
+    assert_eq!(harness.refusal(), ResultCode::BackendLostAfterSend);
 }
 
 #[test]
 fn a_commit_without_a_write_keeps_nothing_whatever_became_of_it() {
-    let mut world = World::new();
-    let session = world.open(LEADER_READS);
-    world.begin(session, false, at(1, 7));
-    world.say(session, StatementKind::Commit);
-    world.lose();
-    assert_eq!(world.refusal(), ResultCode::TransactionLost);
+    let mut harness = Harness::new();
+    let session = harness.open(LEADER_READS);
+    harness.begin(session, false, at(1, 7));
+    harness.submit(session, StatementKind::Commit);
+    harness.drop_oldest();
+    assert_eq!(harness.refusal(), ResultCode::TransactionLost);
 }
 
 #[test]
 fn a_request_that_cannot_be_sent_is_refused_early_with_word_of_when_to_come_back() {
-    let mut world = World::empty();
-    world.opens = false;
-    world.tell(Event::ConfigurationChanged(std::sync::Arc::new(
+    let mut harness = Harness::empty();
+    harness.opens_automatically = false;
+    harness.handle(Event::ConfigurationChanged(std::sync::Arc::new(
         support::table(1),
     )));
-    world.tell(listed(support::usual_backends()));
-    let session = world.open(LEADER_READS);
-    world.say(session, StatementKind::Write);
-    world.pass(support::TARGET / 4);
-    let response = world.response();
+    harness.handle(listed(support::usual_backends()));
+    let session = harness.open(LEADER_READS);
+    harness.submit(session, StatementKind::Write);
+    harness.advance(support::TARGET / 4);
+    let response = harness.response();
     match response.result {
         ResponseResult::Refused { code, retry_after } => {
             assert_eq!(code.class(), OutcomeClass::NotRun);
@@ -116,113 +116,114 @@
 
 #[test]
 fn a_transaction_stays_on_its_connection_and_no_other_session_gets_it() {
-    let mut world = World::new();
-    let first = world.open(LEADER_READS);
-    world.say(first, StatementKind::Begin { read_only: false });
-    let begin = world.answer(done(OPEN, at(1, 7)));
-    world.response();
-    let second = world.open(LEADER_READS);
-    world.say(second, StatementKind::Write);
-    let other = world.answer(done(IDLE, at(1, 8)));
-    world.response();
-    world.say(first, StatementKind::Write);
-    let write = world.answer(done(OPEN, at(1, 8)));
-    world.response();
+    let mut harness = Harness::new();
+    let first = harness.open(LEADER_READS);
+    harness.submit(first, StatementKind::Begin { read_only: false });
+    let begin = harness.answer(done(OPEN, at(1, 7)));
+    harness.response();
+    let second = harness.open(LEADER_READS);
+    harness.submit(second, StatementKind::Write);
+    let other = harness.answer(done(IDLE, at(1, 8)));
+    harness.response();
+    harness.submit(first, StatementKind::Write);
+    let write = harness.answer(done(OPEN, at(1, 8)));
+    harness.response();
     assert_eq!(begin.connection, write.connection);
     assert_ne!(begin.connection, other.connection);
 }
 
 #[test]
-fn a_transaction_that_rests_is_undone_and_its_caller_told() {
-    let mut world = World::new();
-    let session = world.open(LEADER_READS);
-    world.begin(session, false, at(1, 7));
-    world.pass(TRANSACTION_IDLE);
-    assert_eq!(world.sent[0].command, BackendCommand::Rollback);
-    world.say(session, StatementKind::Write);
-    assert_eq!(world.refusal(), ResultCode::TransactionLost);
+fn an_idle_transaction_is_rolled_back_and_its_caller_told() {
+    let mut harness = Harness::new();
+    let session = harness.open(LEADER_READS);
+    harness.begin(session, false, at(1, 7));
+    harness.advance(TRANSACTION_IDLE);
+    assert_eq!(harness.sent[0].command, BackendCommand::Rollback);
+    harness.submit(session, StatementKind::Write);
+    assert_eq!(harness.refusal(), ResultCode::TransactionLost);
 }
 
 #[test]
 fn a_caller_that_leaves_has_its_transaction_undone() {
-    let mut world = World::new();
-    let session = world.open(LEADER_READS);
-    world.begin(session, false, at(1, 7));
-    world.tell(Event::SessionClosed { session });
-    assert_eq!(world.sent[0].command, BackendCommand::Rollback);
+    let mut harness = Harness::new();
+    let session = harness.open(LEADER_READS);
+    harness.begin(session, false, at(1, 7));
+    harness.handle(Event::SessionClosed { session });
+    assert_eq!(harness.sent[0].command, BackendCommand::Rollback);
 }
 
 #[test]
 fn a_caller_that_leaves_while_its_statement_runs_has_it_undone_afterwards() {
-    let mut world = World::new();
-    let session = world.open(LEADER_READS);
-    world.begin(session, false, at(1, 7));
-    world.say(session, StatementKind::Write);
-    world.tell(Event::SessionClosed { session });
-    world.answer(done(OPEN, at(1, 7)));
-    assert_eq!(world.sent[0].command, BackendCommand::Rollback);
-    assert!(world.responses.is_empty());
+    let mut harness = Harness::new();
+    let session = harness.open(LEADER_READS);
+    harness.begin(session, false, at(1, 7));
+    harness.submit(session, StatementKind::Write);
+    harness.handle(Event::SessionClosed { session });
+    harness.answer(done(OPEN, at(1, 7)));
+    assert_eq!(harness.sent[0].command, BackendCommand::Rollback);
+    assert!(harness.responses.is_empty());
 }
 
 #[test]
 fn a_silent_leader_gets_no_new_write() {
-    let mut world = World::new();
-    let first = world.open(LEADER_READS);
-    world.say(first, StatementKind::Write);
-    world.opens = false;
-    world.pass(Duration::from_millis(750));
-    let second = world.open(LEADER_READS);
-    let id = world.say(second, StatementKind::Write);
-    let was_sent = world.sent.iter().any(
+    let mut harness = Harness::new();
+    let first = harness.open(LEADER_READS);
+    harness.submit(first, StatementKind::Write);
+    harness.opens_automatically = false;
+    harness.advance(Duration::from_millis(750));
+    let second = harness.open(LEADER_READS);
+    let id = harness.submit(second, StatementKind::Write);
+    let was_sent = harness.sent.iter().any(
         |sent| matches!(&sent.command, BackendCommand::Run { id: sent_id, .. } if *sent_id == id),
     );
-    assert!(!was_sent, "{:?}", world.sent);
+    assert!(!was_sent, "{:?}", harness.sent);
 }
 
-/// Timed-out statements of a back end that answered others used to count as its silence for ever.
+/// Guards against a back end that counts as silent for ever because one reply timed out, although it answers
+/// others.
 #[test]
 fn a_back_end_that_answers_others_is_not_silent_because_one_answer_is_lost() {
-    let mut world = World::new();
-    let first = world.open(LEADER_READS);
-    world.say(first, StatementKind::Write);
-    world.pass(Duration::from_millis(400));
-    let second = world.open(LEADER_READS);
-    world.say(second, StatementKind::Write);
-    let answered = world.sent.pop().unwrap();
-    world.tell(Event::Reply {
+    let mut harness = Harness::new();
+    let first = harness.open(LEADER_READS);
+    harness.submit(first, StatementKind::Write);
+    harness.advance(Duration::from_millis(400));
+    let second = harness.open(LEADER_READS);
+    harness.submit(second, StatementKind::Write);
+    let answered = harness.sent.pop().unwrap();
+    harness.handle(Event::Reply {
         connection: answered.connection,
         reply: done(IDLE, at(1, 8)),
     });
-    world.pass(TIMEOUT);
-    assert_eq!(world.observed, []);
+    harness.advance(TIMEOUT);
+    assert_eq!(harness.observed, []);
 }
 
 #[test]
 fn a_lost_connection_to_the_leader_is_opened_again_to_see_whether_anything_listens() {
-    let mut world = World::new();
-    let primary = world
+    let mut harness = Harness::new();
+    let primary = harness
         .opened
         .iter()
         .find(|(_, id)| *id == backend(PRIMARY))
         .cloned();
-    world.opened.clear();
-    world.lose_connection(primary.unwrap().0);
-    assert_eq!(world.opened.len(), 1);
-    assert_eq!(world.opened[0].1, backend(PRIMARY));
+    harness.opened.clear();
+    harness.lose_connection(primary.unwrap().0);
+    assert_eq!(harness.opened.len(), 1);
+    assert_eq!(harness.opened[0].1, backend(PRIMARY));
 }
 
 #[test]
-fn statements_that_make_no_sense_are_answered_and_the_session_goes_on() {
-    let mut world = World::new();
-    let session = world.open(BOUNDED);
-    world.tell(Event::InvalidStatement { session });
-    assert_eq!(world.refusal(), ResultCode::ProtocolViolation);
-    world.say(session, StatementKind::Commit);
-    assert_eq!(world.refusal(), ResultCode::ProtocolViolation);
+fn invalid_statements_are_refused_and_the_session_continues() {
+    let mut harness = Harness::new();
+    let session = harness.open(BOUNDED);
+    harness.handle(Event::InvalidStatement { session });
+    assert_eq!(harness.refusal(), ResultCode::ProtocolViolation);
+    harness.submit(session, StatementKind::Commit);
+    assert_eq!(harness.refusal(), ResultCode::ProtocolViolation);
     let execute = StatementKind::Execute {
         name: "none".to_owned(),
         arguments: "x".to_owned(),
     };
-    world.say(session, execute);
-    assert_eq!(world.refusal(), ResultCode::UnknownPreparedStatement);
+    harness.submit(session, execute);
+    assert_eq!(harness.refusal(), ResultCode::UnknownPreparedStatement);
 }
--- a/crates/stairward-engine/tests/starts.rs
+++ b/crates/stairward-engine/tests/starts.rs
@@ -1,4 +1,5 @@
-//! Back ends whose process starts again under its id: nothing that was learnt of the earlier start is true of the new one.
+//! Back ends whose process restarts under the same id: knowledge of the previous process does not apply to
+//! the new one.
 
 mod support;
 
@@ -6,9 +7,9 @@
 
 use stairward_engine::{BackendDescription, BackendEvidence, EngineOptions, StatementKind};
 use stairward_types::{BackendRole, Freshness, Incarnation, ResultCode, StoreRevision};
-use support::{LEADER_READS, NEAR_REPLICA, PRIMARY, World, at, backend, listed, usual_backends};
+use support::{Harness, LEADER_READS, NEAR_REPLICA, PRIMARY, at, backend, listed, usual_backends};
 
-fn born(times: [u64; 3]) -> Vec<BackendDescription> {
+fn with_incarnations(times: [u64; 3]) -> Vec<BackendDescription> {
     let mut list = usual_backends();
     for (description, time) in list.iter_mut().zip(times) {
         description.incarnation = Some(Incarnation(time));
@@ -16,97 +17,97 @@
     list
 }
 
-fn proved() -> World {
-    let mut world = World::new();
-    world.tell(listed(born([1, 1, 1])));
-    world.prove(at(1, 5));
-    world.sent.clear();
-    world
+fn with_proof() -> Harness {
+    let mut harness = Harness::new();
+    harness.handle(listed(with_incarnations([1, 1, 1])));
+    harness.prove_position(at(1, 5));
+    harness.sent.clear();
+    harness
 }
 
 #[test]
-fn a_start_that_is_told_for_the_first_time_is_no_new_one() {
-    let world = proved();
-    assert!(world.starts.is_empty());
+fn a_first_reported_incarnation_is_no_restart() {
+    let harness = with_proof();
+    assert!(harness.starts.is_empty());
 }
 
 #[test]
 fn idle_connections_to_the_earlier_start_are_closed() {
-    let mut world = proved();
-    let before: Vec<_> = world.closed_connections.clone();
-    world.tell(listed(born([1, 2, 1])));
-    assert_eq!(world.starts, [backend(NEAR_REPLICA)]);
-    let closed = &world.closed_connections[before.len()..];
+    let mut harness = with_proof();
+    let before: Vec<_> = harness.closed_connections.clone();
+    harness.handle(listed(with_incarnations([1, 2, 1])));
+    assert_eq!(harness.starts, [backend(NEAR_REPLICA)]);
+    let closed = &harness.closed_connections[before.len()..];
     assert!(!closed.is_empty());
     for connection in closed {
-        assert_eq!(world.targets[connection].backend, backend(NEAR_REPLICA));
+        assert_eq!(harness.targets[connection].backend, backend(NEAR_REPLICA));
     }
 }
 
 #[test]
-fn a_start_at_an_earlier_time_is_a_new_one_too() {
-    let mut world = proved();
-    world.tell(listed(born([1, 1, 9])));
-    world.tell(listed(born([1, 1, 3])));
-    assert_eq!(world.starts.len(), 2);
+fn an_earlier_incarnation_is_a_restart_too() {
+    let mut harness = with_proof();
+    harness.handle(listed(with_incarnations([1, 1, 9])));
+    harness.handle(listed(with_incarnations([1, 1, 3])));
+    assert_eq!(harness.starts.len(), 2);
 }
 
 #[test]
-fn what_the_earlier_start_said_of_leaving_does_not_bind_the_new_one() {
-    let mut world = proved();
-    let mut list = born([1, 1, 1]);
+fn leaving_of_the_previous_process_does_not_apply_to_the_new_one() {
+    let mut harness = with_proof();
+    let mut list = with_incarnations([1, 1, 1]);
     list[0].is_leaving = true;
     list[0].revision = StoreRevision::new(0, 7);
-    world.tell(listed(list.clone()));
+    harness.handle(listed(list.clone()));
     let limit = EngineOptions::default().leaving_limit.after_notice;
-    world.pass(limit + Duration::from_secs(1));
-    // The new one leaves as well, and has its own time.
+    harness.advance(limit + Duration::from_secs(1));
+    // The new process leaves as well, with its own time limit.
     list[0].incarnation = Some(Incarnation(2));
     list[0].revision = StoreRevision::new(0, 8);
-    world.tell(listed(list));
-    world.prove(at(1, 5));
-    world.sent.clear();
-    let session = world.open(LEADER_READS);
-    world.say(session, StatementKind::Write);
-    assert_eq!(world.sent[0].backend.as_str(), PRIMARY);
+    harness.handle(listed(list));
+    harness.prove_position(at(1, 5));
+    harness.sent.clear();
+    let session = harness.open(LEADER_READS);
+    harness.submit(session, StatementKind::Write);
+    assert_eq!(harness.sent[0].backend.as_str(), PRIMARY);
 }
 
 #[test]
 fn a_transaction_of_the_earlier_start_ends_with_its_connection() {
-    let mut world = proved();
-    let session = world.open(LEADER_READS);
-    world.begin(session, false, at(1, 5));
-    world.tell(listed(born([2, 1, 1])));
-    world.say(session, StatementKind::Read);
-    world.lose();
-    assert_eq!(world.refusal(), ResultCode::TransactionLost);
+    let mut harness = with_proof();
+    let session = harness.open(LEADER_READS);
+    harness.begin(session, false, at(1, 5));
+    harness.handle(listed(with_incarnations([2, 1, 1])));
+    harness.submit(session, StatementKind::Read);
+    harness.drop_oldest();
+    assert_eq!(harness.refusal(), ResultCode::TransactionLost);
 }
 
-/// The primary's process starts again with this log, and its connections end.
-fn restart_primary(world: &mut World, position: Option<Freshness>) {
+/// Restarts the primary's process with this log position; its connections end.
+fn restart_primary(harness: &mut Harness, position: Option<Freshness>) {
     match position {
-        Some(position) => world.positions.insert(backend(PRIMARY), position),
-        None => world.positions.remove(&backend(PRIMARY)),
+        Some(position) => harness.positions.insert(backend(PRIMARY), position),
+        None => harness.positions.remove(&backend(PRIMARY)),
     };
-    let there: Vec<_> = world
+    let there: Vec<_> = harness
         .targets
         .iter()
         .filter(|(id, target)| {
-            target.backend == backend(PRIMARY) && !world.closed_connections.contains(id)
+            target.backend == backend(PRIMARY) && !harness.closed_connections.contains(id)
         })
         .map(|(id, _)| *id)
         .collect();
     for connection in there {
-        world.lose_connection(connection);
+        harness.lose_connection(connection);
     }
 }
 
-fn is_written_at_primary(world: &mut World) -> bool {
-    world.sent.clear();
-    let session = world.open(LEADER_READS);
-    world.say(session, StatementKind::Write);
-    world.pass(Duration::from_millis(50));
-    world
+fn is_written_at_primary(harness: &mut Harness) -> bool {
+    harness.sent.clear();
+    let session = harness.open(LEADER_READS);
+    harness.submit(session, StatementKind::Write);
+    harness.advance(Duration::from_millis(50));
+    harness
         .sent
         .iter()
         .any(|sent| sent.backend == backend(PRIMARY))
@@ -115,11 +116,11 @@
 #[test]
 fn a_primary_that_starts_again_with_its_log_leads() {
     for position in [at(1, 5), at(1, 6)] {
-        let mut world = proved();
-        restart_primary(&mut world, Some(position));
-        assert!(is_written_at_primary(&mut world));
+        let mut harness = with_proof();
+        restart_primary(&mut harness, Some(position));
+        assert!(is_written_at_primary(&mut harness));
         assert!(
-            !world
+            !harness
                 .observed
                 .contains(&(backend(PRIMARY), BackendEvidence::LostLog))
         );
@@ -129,30 +130,30 @@
 #[test]
 fn a_primary_that_starts_again_without_its_log_does_not_lead_whether_it_says_so_or_not() {
     for position in [None, Some(at(0, 0)), Some(at(1, 0)), Some(at(1, 4))] {
-        for list in [born([1, 1, 1]), born([2, 1, 1])] {
-            let mut world = proved();
-            restart_primary(&mut world, position);
-            world.tell(listed(list));
-            assert!(!is_written_at_primary(&mut world), "{position:?}");
+        for list in [with_incarnations([1, 1, 1]), with_incarnations([2, 1, 1])] {
+            let mut harness = with_proof();
+            restart_primary(&mut harness, position);
+            harness.handle(listed(list));
+            assert!(!is_written_at_primary(&mut harness), "{position:?}");
             let lost = (backend(PRIMARY), BackendEvidence::LostLog);
-            assert!(world.observed.contains(&lost), "{position:?}");
+            assert!(harness.observed.contains(&lost), "{position:?}");
         }
     }
 }
 
 #[test]
-fn one_that_lost_its_log_leads_once_it_was_a_replica_and_is_promoted() {
-    let mut world = proved();
-    restart_primary(&mut world, None);
-    world.tell(listed(born([2, 1, 1])));
-    assert!(!is_written_at_primary(&mut world));
-    let mut list = born([2, 1, 1]);
+fn a_primary_that_lost_its_log_leads_again_after_a_promotion() {
+    let mut harness = with_proof();
+    restart_primary(&mut harness, None);
+    harness.handle(listed(with_incarnations([2, 1, 1])));
+    assert!(!is_written_at_primary(&mut harness));
+    let mut list = with_incarnations([2, 1, 1]);
     list[0].role = BackendRole::Replica;
     list[0].revision = StoreRevision::new(0, 8);
-    world.tell(listed(list.clone()));
+    harness.handle(listed(list.clone()));
     list[0].role = BackendRole::Primary;
     list[0].revision = StoreRevision::new(0, 9);
-    world.positions.insert(backend(PRIMARY), at(2, 5));
-    world.tell(listed(list));
-    assert!(is_written_at_primary(&mut world));
+    harness.positions.insert(backend(PRIMARY), at(2, 5));
+    harness.handle(listed(list));
+    assert!(is_written_at_primary(&mut harness));
 }
--- a/crates/stairward-engine/tests/support/mod.rs
+++ b/crates/stairward-engine/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A scripted world around one engine: tests say what happens and look at what the engine wants done.
+//! A scripted harness around one engine: tests feed events and inspect the resulting effects.
 
 #![allow(dead_code, reason = "each test file uses its own part")]
 
@@ -26,7 +26,7 @@
 pub const PRIMARY: &str = "db-1";
 pub const NEAR_REPLICA: &str = "db-2";
 pub const FAR_REPLICA: &str = "db-3";
-/// Databases that routes lead to, by the consistency of their reads.
+/// Routed databases, by the consistency of their reads.
 pub const LEADER_READS: &str = "leader-reads";
 pub const BOUNDED: &str = "bounded";
 pub const OWN_READS: &str = "own-reads";
@@ -124,7 +124,7 @@
     }
 }
 
-/// Discovery's list, of which all that is new has just come about.
+/// Discovery's list, with changes that have just occurred.
 pub fn listed(list: Vec<BackendDescription>) -> Event {
     Event::BackendsListed {
         list,
@@ -132,7 +132,7 @@
     }
 }
 
-/// The service's holders.
+/// Sets the service's holders.
 pub fn held_by(holders: ServiceHolders) -> Event {
     Event::HoldersChanged(BTreeMap::from([(service(), holders)]))
 }
@@ -145,7 +145,7 @@
     })
 }
 
-/// The evacuated zones, of which all that is new has just come about.
+/// The evacuated zones, with changes that have just occurred.
 pub fn evacuated(zones: BTreeSet<ZoneName>) -> Event {
     Event::EvacuatedZonesChanged {
         zones,
@@ -153,7 +153,7 @@
     }
 }
 
-/// A command that was sent and not answered.
+/// A sent command without a reply.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Sent {
     pub connection: ConnectionId,
@@ -174,8 +174,8 @@
     }
 }
 
-/// The engine and what it wanted done.
-pub struct World {
+/// An engine and the effects that it produced.
+pub struct Harness {
     pub engine: Engine,
     pub now: Time,
     pub sent: Vec<Sent>,
@@ -186,35 +186,35 @@
     pub closed_connections: Vec<ConnectionId>,
     pub opened: Vec<(ConnectionId, BackendId)>,
     pub forwarded: Vec<(NodeId, SessionId, u64, ForwardedRequest)>,
-    pub asked_peers: Vec<ServiceName>,
-    pub asked_holders: Vec<NodeId>,
-    pub asked_leads: Vec<(NodeId, ServiceName)>,
-    pub lead_changes: Vec<LeadershipChange>,
+    pub queried_positions: Vec<ServiceName>,
+    pub pinged_holders: Vec<NodeId>,
+    pub queried_leaderships: Vec<(NodeId, ServiceName)>,
+    pub leadership_changes: Vec<LeadershipChange>,
     pub leaving: Vec<LeavingChange>,
     pub starts: Vec<BackendId>,
     pub closed_forwarded: Vec<(NodeId, SessionId)>,
     pub observed: Vec<(BackendId, BackendEvidence)>,
     pub is_stopped: bool,
     connections: BTreeMap<ConnectionId, BackendId>,
-    /// What each connection was opened to.
+    /// The target of each connection.
     pub targets: BTreeMap<ConnectionId, OpenTarget>,
-    /// Which session each statement is of.
-    pub asked_by: BTreeMap<String, SessionId>,
-    /// How far each back end's log had come when it last answered; it says so on new connections.
+    /// The session of each statement.
+    pub session_of_statement: BTreeMap<String, SessionId>,
+    /// The log position in each back end's last reply, reported on new connections.
     pub positions: BTreeMap<BackendId, Freshness>,
-    /// Whether connections open by themselves.
-    pub opens: bool,
+    /// Whether requested connections open automatically.
+    pub opens_automatically: bool,
     next_session: u64,
     next_statement: u64,
 }
 
-impl World {
-    /// How engines are set up.
+impl Harness {
+    /// The engine settings of the tests.
     pub fn engine_options(&self) -> EngineOptions {
         engine_options()
     }
 
-    /// An engine that knows nothing.
+    /// An engine without configuration or back ends.
     pub fn empty() -> Self {
         Self {
             engine: Engine::new(engine_options()),
@@ -227,10 +227,10 @@
             closed_connections: Vec::new(),
             opened: Vec::new(),
             forwarded: Vec::new(),
-            asked_peers: Vec::new(),
-            asked_holders: Vec::new(),
-            asked_leads: Vec::new(),
-            lead_changes: Vec::new(),
+            queried_positions: Vec::new(),
+            pinged_holders: Vec::new(),
+            queried_leaderships: Vec::new(),
+            leadership_changes: Vec::new(),
             leaving: Vec::new(),
             starts: Vec::new(),
             closed_forwarded: Vec::new(),
@@ -238,9 +238,9 @@
             is_stopped: false,
             connections: BTreeMap::new(),
             targets: BTreeMap::new(),
-            asked_by: BTreeMap::new(),
+            session_of_statement: BTreeMap::new(),
             positions: BTreeMap::new(),
-            opens: true,
+            opens_automatically: true,
             next_session: 0,
             next_statement: 0,
         }
@@ -248,14 +248,14 @@
 
     /// An engine with a configuration, three back ends and a connection to each.
     pub fn new() -> Self {
-        let mut world = Self::empty();
-        world.tell(Event::ConfigurationChanged(Arc::new(table(1))));
-        world.tell(listed(usual_backends()));
-        world.tell(Event::NodeCountChanged(1));
-        world
+        let mut harness = Self::empty();
+        harness.handle(Event::ConfigurationChanged(Arc::new(table(1))));
+        harness.handle(listed(usual_backends()));
+        harness.handle(Event::NodeCountChanged(1));
+        harness
     }
 
-    pub fn tell(&mut self, event: Event) {
+    pub fn handle(&mut self, event: Event) {
         let effects = self.engine.handle(self.now, event);
         let mut opening = Vec::new();
         for effect in effects {
@@ -299,12 +299,12 @@
                 Effect::CloseForwardedSession { holder, session } => {
                     self.closed_forwarded.push((holder, session));
                 }
-                Effect::PingHolder { holder } => self.asked_holders.push(holder),
-                Effect::QueryPosition { service } => self.asked_peers.push(service),
+                Effect::PingHolder { holder } => self.pinged_holders.push(holder),
+                Effect::QueryPosition { service } => self.queried_positions.push(service),
                 Effect::QueryLeadership { holder, service } => {
-                    self.asked_leads.push((holder, service))
+                    self.queried_leaderships.push((holder, service))
                 }
-                Effect::LeadershipObserved { change, .. } => self.lead_changes.push(change),
+                Effect::LeadershipObserved { change, .. } => self.leadership_changes.push(change),
                 Effect::LeavingObserved { change, .. } => self.leaving.push(change),
                 Effect::RestartObserved { backend } => self.starts.push(backend),
                 Effect::AcceptSession { session } => self.accepted_sessions.push(session),
@@ -318,11 +318,11 @@
                 | Effect::Measured(_) => {}
             }
         }
-        if self.opens {
+        if self.opens_automatically {
             for connection in opening {
                 let backend = &self.connections[&connection];
                 let position = self.positions.get(backend).copied();
-                self.tell(Event::ConnectionOpened {
+                self.handle(Event::ConnectionOpened {
                     connection,
                     position,
                 });
@@ -330,21 +330,21 @@
         }
     }
 
-    /// Lets time pass, waking the engine when it wants to be woken.
-    pub fn pass(&mut self, duration: Duration) {
+    /// Advances the time and fires the engine's timers.
+    pub fn advance(&mut self, duration: Duration) {
         let end = self.now + duration;
         while let Some(wake) = self.engine.next_wake().filter(|wake| *wake <= end) {
             self.now = self.now.max(wake);
-            self.tell(Event::Tick);
+            self.handle(Event::Tick);
         }
         self.now = end;
-        self.tell(Event::Tick);
+        self.handle(Event::Tick);
     }
 
     pub fn open(&mut self, database: &str) -> SessionId {
         self.next_session += 1;
         let session = SessionId(self.next_session);
-        self.tell(Event::SessionOpened {
+        self.handle(Event::SessionOpened {
             session,
             database: GroupId::new(database).unwrap(),
             key: None,
@@ -352,33 +352,33 @@
         session
     }
 
-    /// Sends a statement of a session; its text is its kind's name.
-    pub fn say(&mut self, session: SessionId, kind: StatementKind) -> String {
+    /// Sends a statement of a session; its text is the name of its kind.
+    pub fn submit(&mut self, session: SessionId, kind: StatementKind) -> String {
         self.next_statement += 1;
         let id = format!("s{}", self.next_statement);
-        self.asked_by.insert(id.clone(), session);
+        self.session_of_statement.insert(id.clone(), session);
         let statement = Statement {
             id: id.clone(),
             text: format!("{kind:?}"),
             kind,
         };
-        self.tell(Event::Statement { session, statement });
+        self.handle(Event::Statement { session, statement });
         id
     }
 
-    /// Answers the oldest command without an answer.
+    /// Answers the oldest unanswered command.
     pub fn answer(&mut self, reply: BackendReply) -> Sent {
         let sent = self.sent.remove(0);
         let connection = sent.connection;
         if let Some(position) = reply.position {
             self.positions.insert(sent.backend.clone(), position);
         }
-        self.tell(Event::Reply { connection, reply });
+        self.handle(Event::Reply { connection, reply });
         sent
     }
 
-    /// Loses the connection of the oldest command without an answer.
-    pub fn lose(&mut self) -> Sent {
+    /// Drops the connection of the oldest unanswered command.
+    pub fn drop_oldest(&mut self) -> Sent {
         let sent = self.sent.remove(0);
         self.lose_connection(sent.connection);
         sent
@@ -386,27 +386,27 @@
 
     pub fn lose_connection(&mut self, connection: ConnectionId) {
         self.sent.retain(|other| other.connection != connection);
-        self.tell(Event::ConnectionLost { connection });
+        self.handle(Event::ConnectionLost { connection });
     }
 
     pub fn refuse_openings(&mut self) {
         let opened = std::mem::take(&mut self.opened);
         for (connection, _) in opened {
-            self.tell(Event::OpenFailed {
+            self.handle(Event::OpenFailed {
                 connection,
                 failure: OpenFailure::Refused,
             });
         }
     }
 
-    /// The only response so far, taken.
+    /// Removes and returns the only response.
     #[track_caller]
     pub fn response(&mut self) -> Response {
         assert_eq!(self.responses.len(), 1, "{:?}", self.responses);
         self.responses.remove(0).1
     }
 
-    /// The code of the only response so far, which is a refusal.
+    /// Removes the only response, which must be a refusal, and returns its code.
     #[track_caller]
     pub fn refusal(&mut self) -> ResultCode {
         match self.response().result {
@@ -416,23 +416,23 @@
     }
 
     /// Proves the leader's position by a write of another session.
-    pub fn prove(&mut self, position: Freshness) {
+    pub fn prove_position(&mut self, position: Freshness) {
         let session = self.open(LEADER_READS);
-        self.say(session, StatementKind::Write);
+        self.submit(session, StatementKind::Write);
         self.answer(done(TransactionStatus::Idle, position));
         self.response();
-        self.tell(Event::SessionClosed { session });
+        self.handle(Event::SessionClosed { session });
     }
 
     /// Begins a transaction and answers its start.
     pub fn begin(&mut self, session: SessionId, read_only: bool, position: Freshness) {
-        self.say(session, StatementKind::Begin { read_only });
+        self.submit(session, StatementKind::Begin { read_only });
         self.answer(done(TransactionStatus::Open, position));
         assert_eq!(self.response().status, TransactionStatus::Open);
     }
 }
 
-/// A statement of one of its sessions that another node forwards; the session's number here is the same each time.
+/// A statement forwarded by another node, always with the same session number.
 pub fn forwarded(database: &str, tenant: Option<TenantName>, kind: StatementKind) -> Event {
     let statement = Statement {
         id: "x1".to_owned(),
--- a/crates/stairward-engine/tests/support/tenants.rs
+++ b/crates/stairward-engine/tests/support/tenants.rs
@@ -1,4 +1,4 @@
-//! Tenants and their clients, for the tests about them.
+//! Tenants and their clients, for tests.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,7 +10,7 @@
 };
 use stairward_types::{ApiKey, GroupId, Revision, TenantName};
 
-use super::{LEADER_READS, World, table};
+use super::{Harness, LEADER_READS, table};
 
 pub const FIRST: &str = "tenant-1";
 pub const SECOND: &str = "tenant-2";
@@ -42,16 +42,16 @@
     ]
 }
 
-pub fn world() -> World {
-    let mut world = World::new();
-    world.tell(Event::ConfigurationChanged(Arc::new(table_of(2, both()))));
-    world
+pub fn harness() -> Harness {
+    let mut harness = Harness::new();
+    harness.handle(Event::ConfigurationChanged(Arc::new(table_of(2, both()))));
+    harness
 }
 
-impl World {
+impl Harness {
     pub fn open_with(&mut self, session: u64, database: &str, key: Option<&str>) -> SessionId {
         let session = SessionId(session);
-        self.tell(Event::SessionOpened {
+        self.handle(Event::SessionOpened {
             session,
             database: GroupId::new(database).unwrap(),
             key: key.map(ApiKey::new),
@@ -59,8 +59,11 @@
         session
     }
 
-    pub fn owner_of(&self, connection: ConnectionId) -> Option<String> {
-        let target = self.targets.get(&connection).expect("it was opened");
+    pub fn tenant_of(&self, connection: ConnectionId) -> Option<String> {
+        let target = self
+            .targets
+            .get(&connection)
+            .expect("the connection was opened");
         target
             .tenant
             .as_ref()
--- a/crates/stairward-engine/tests/tenant_holders.rs
+++ b/crates/stairward-engine/tests/tenant_holders.rs
@@ -1,4 +1,4 @@
-//! Which holder a tenant's statements go to.
+//! Selection of the holder for a tenant's statements.
 
 mod support;
 
@@ -11,16 +11,16 @@
     ServiceHolders, StatementKind, TransactionStatus,
 };
 use stairward_types::{BackendRole, NodeId, ResultCode, ZoneName};
-use support::tenants::{FIRST, name, table_of, tenant, world};
+use support::tenants::{FIRST, harness, name, table_of, tenant};
 use support::{
-    LEADER_READS, OWN_READS, PRIMARY, World, at, done, failed, held_by, listed, service,
+    Harness, LEADER_READS, OWN_READS, PRIMARY, at, done, failed, held_by, listed, service,
     usual_backends,
 };
 
-/// The node of the engines under test.
+/// The node under test.
 const OWN: NodeId = NodeId(0);
 
-fn places(world: &mut World, near: &[NodeId], far: &[NodeId]) {
+fn places(harness: &mut Harness, near: &[NodeId], far: &[NodeId]) {
     let place = |nodes: &[NodeId], is_same_region| -> Vec<Holder> {
         let nodes = nodes.iter();
         nodes
@@ -33,7 +33,7 @@
     };
     let all = [place(near, true), place(far, false)].concat();
     let others: Vec<_> = all.iter().map(|holder| holder.node).collect();
-    world.tell(held_by(ServiceHolders {
+    harness.handle(held_by(ServiceHolders {
         forward_targets: if others.contains(&OWN) {
             Vec::new()
         } else {
@@ -44,19 +44,19 @@
     }));
 }
 
-/// Where the only statement of each of many tenants goes; the node itself where it is not forwarded.
+/// The nodes to which single statements of many tenants go; this node if not forwarded.
 fn destinations(near: &[NodeId], far: &[NodeId]) -> Vec<NodeId> {
     let tenants = (0..24).map(|n| tenant(&format!("t{n}"), &[&format!("k{n}")]));
-    let mut world = World::new();
-    world.tell(Event::ConfigurationChanged(Arc::new(table_of(
+    let mut harness = Harness::new();
+    harness.handle(Event::ConfigurationChanged(Arc::new(table_of(
         2,
         tenants.collect(),
     ))));
-    places(&mut world, near, far);
+    places(&mut harness, near, far);
     let destination = |n: u64| {
-        let session = world.open_with(n + 1, LEADER_READS, Some(&format!("k{n}")));
-        world.say(session, StatementKind::Write);
-        let forwarded = world.forwarded.pop();
+        let session = harness.open_with(n + 1, LEADER_READS, Some(&format!("k{n}")));
+        harness.submit(session, StatementKind::Write);
+        let forwarded = harness.forwarded.pop();
         forwarded.map_or(OWN, |(holder, ..)| holder)
     };
     (0..24).map(destination).collect()
@@ -70,32 +70,32 @@
     let used: BTreeSet<NodeId> = first.iter().copied().collect();
     assert_eq!(used, BTreeSet::from(near));
     assert_eq!(first, destinations(&near, &far));
-    // Without a holder near by, a far one of the tenant's own.
+    // Without a holder in the region, the tenant's holder in the other one is used.
     let elsewhere = destinations(&[], &far);
     assert!(elsewhere.iter().all(|node| far.contains(node)));
 }
 
-/// A world whose leader is in the far zone, and whose leader's position is known.
-fn led_from_afar() -> World {
-    let mut world = world();
+/// A harness whose leader is in the far zone.
+fn leader_in_far_zone() -> Harness {
+    let mut harness = harness();
     let mut members = usual_backends();
     members[0].role = BackendRole::Replica;
     members[2].role = BackendRole::Primary;
-    world.tell(listed(members));
-    world
+    harness.handle(listed(members));
+    harness
 }
 
 #[test]
-fn what_the_leader_must_take_goes_to_a_holder_beside_it_and_reads_to_one_near_by() {
-    let mut world = led_from_afar();
-    places(&mut world, &[NodeId(7)], &[NodeId(20), NodeId(21)]);
-    let session = world.open_with(1, LEADER_READS, Some("key-1"));
-    world.say(session, StatementKind::Write);
-    let (holder, ..) = world.forwarded.pop().unwrap();
+fn leader_work_goes_to_a_holder_in_its_zone_and_reads_to_a_near_one() {
+    let mut harness = leader_in_far_zone();
+    places(&mut harness, &[NodeId(7)], &[NodeId(20), NodeId(21)]);
+    let session = harness.open_with(1, LEADER_READS, Some("key-1"));
+    harness.submit(session, StatementKind::Write);
+    let (holder, ..) = harness.forwarded.pop().unwrap();
     assert!([NodeId(20), NodeId(21)].contains(&holder), "{holder:?}");
-    let session = world.open_with(2, OWN_READS, Some("key-1"));
-    world.say(session, StatementKind::Read);
-    let (holder, ..) = world.forwarded.pop().unwrap();
+    let session = harness.open_with(2, OWN_READS, Some("key-1"));
+    harness.submit(session, StatementKind::Read);
+    let (holder, ..) = harness.forwarded.pop().unwrap();
     assert_eq!(holder, NodeId(7));
 }
 
@@ -105,29 +105,29 @@
 
 #[test]
 fn a_holder_whose_copies_are_behind_sends_a_forwarded_read_back_at_once() {
-    let mut world = led_from_afar();
-    places(&mut world, &[OWN], &[NodeId(20)]);
-    world.tell(Event::PeerPosition {
+    let mut harness = leader_in_far_zone();
+    places(&mut harness, &[OWN], &[NodeId(20)]);
+    harness.handle(Event::PeerPosition {
         service: service(),
         freshness: at(1, 5),
-        asked_at: world.now,
+        asked_at: harness.now,
         age: Duration::ZERO,
     });
-    world.tell(support::forwarded(
+    harness.handle(support::forwarded(
         OWN_READS,
         Some(name(FIRST)),
         StatementKind::Read,
     ));
-    // Both copies of this zone are behind; the leader is in the other one.
+    // Both replicas of this zone lag behind; the leader is in the other zone.
     for _ in 0..2 {
-        let sent = world.sent.iter().position(|sent| is_run(&sent.command));
-        let sent = world.sent.remove(sent.expect("sent"));
-        world.tell(Event::Reply {
+        let sent = harness.sent.iter().position(|sent| is_run(&sent.command));
+        let sent = harness.sent.remove(sent.expect("sent"));
+        harness.handle(Event::Reply {
             connection: sent.connection,
             reply: behind(),
         });
     }
-    assert_eq!(world.refusal(), ResultCode::NotFreshEnough);
+    assert_eq!(harness.refusal(), ResultCode::NotFreshEnough);
 }
 
 fn is_run(command: &BackendCommand) -> bool {
@@ -135,11 +135,11 @@
 }
 
 #[test]
-fn a_read_that_found_copies_behind_goes_on_to_a_holder_beside_the_leader_once() {
-    let mut world = led_from_afar();
-    places(&mut world, &[NodeId(7)], &[NodeId(20)]);
-    let session = world.open_with(1, OWN_READS, Some("key-1"));
-    world.say(session, StatementKind::Read);
+fn a_stale_read_is_forwarded_once_to_a_holder_in_the_leaders_zone() {
+    let mut harness = leader_in_far_zone();
+    places(&mut harness, &[NodeId(7)], &[NodeId(20)]);
+    let session = harness.open_with(1, OWN_READS, Some("key-1"));
+    harness.submit(session, StatementKind::Read);
     let refused = Response {
         rows: Vec::new(),
         result: ResponseResult::Refused {
@@ -150,80 +150,81 @@
         position: None,
     };
     for expected in [NodeId(7), NodeId(20)] {
-        let (holder, session, request, _) = world.forwarded.pop().unwrap();
+        let (holder, session, request, _) = harness.forwarded.pop().unwrap();
         assert_eq!(holder, expected);
         let response = refused.clone();
-        world.tell(Event::ForwardAnswered {
+        harness.handle(Event::ForwardAnswered {
             holder,
             session,
             request,
             response,
         });
     }
-    assert!(world.forwarded.is_empty());
-    assert_eq!(world.refusal(), ResultCode::NotFreshEnough);
+    assert!(harness.forwarded.is_empty());
+    assert_eq!(harness.refusal(), ResultCode::NotFreshEnough);
 }
 
 #[test]
-fn the_holders_beside_a_back_end_share_its_connections() {
-    let mut world = world();
-    places(&mut world, &[OWN], &[NodeId(20)]);
-    // Of 11, one is for the holder in the other zone, and of the rest one is left to other tenants.
+fn the_holders_in_a_back_ends_zone_share_its_connections() {
+    let mut harness = harness();
+    places(&mut harness, &[OWN], &[NodeId(20)]);
+    // Of 11 connections one is for the holder in the other zone, and one of the rest is left to other
+    // tenants.
     for number in 0..12 {
-        let session = world.open_with(number + 1, LEADER_READS, Some("key-1"));
-        world.say(session, StatementKind::Write);
+        let session = harness.open_with(number + 1, LEADER_READS, Some("key-1"));
+        harness.submit(session, StatementKind::Write);
     }
-    let to = |world: &World, name: &str| {
-        let opened = world.opened.iter();
+    let to = |harness: &Harness, name: &str| {
+        let opened = harness.opened.iter();
         opened.filter(|(_, id)| id.as_str() == name).count()
     };
-    assert!(to(&world, PRIMARY) >= 9, "{:?}", world.opened);
-    // One that stands elsewhere keeps to a single connection.
-    places(&mut world, &[NodeId(7)], &[OWN, NodeId(20)]);
-    let before = to(&world, PRIMARY);
-    let session = world.open_with(20, LEADER_READS, Some("key-1"));
-    world.say(session, StatementKind::Write);
-    assert_eq!(to(&world, PRIMARY), before);
+    assert!(to(&harness, PRIMARY) >= 9, "{:?}", harness.opened);
+    // A holder in another zone keeps to a single connection.
+    places(&mut harness, &[NodeId(7)], &[OWN, NodeId(20)]);
+    let before = to(&harness, PRIMARY);
+    let session = harness.open_with(20, LEADER_READS, Some("key-1"));
+    harness.submit(session, StatementKind::Write);
+    assert_eq!(to(&harness, PRIMARY), before);
 }
 
 #[test]
 fn a_tenant_whose_holder_is_lost_goes_to_the_next_one() {
-    let mut world = world();
-    places(&mut world, &[NodeId(7), NodeId(8)], &[]);
-    let session = world.open_with(1, OWN_READS, Some("key-1"));
-    world.say(session, StatementKind::Read);
-    let (first, ..) = world.forwarded.pop().unwrap();
-    world.tell(Event::HolderLost(first));
-    let (second, ..) = world.forwarded.pop().unwrap();
+    let mut harness = harness();
+    places(&mut harness, &[NodeId(7), NodeId(8)], &[]);
+    let session = harness.open_with(1, OWN_READS, Some("key-1"));
+    harness.submit(session, StatementKind::Read);
+    let (first, ..) = harness.forwarded.pop().unwrap();
+    harness.handle(Event::HolderLost(first));
+    let (second, ..) = harness.forwarded.pop().unwrap();
     assert_ne!(first, second);
 }
 
 #[test]
 fn a_node_keeps_no_connection_to_back_ends_that_others_hold() {
-    let mut world = world();
-    places(&mut world, &[OWN], &[NodeId(20)]);
-    let session = world.open_with(1, LEADER_READS, Some("key-1"));
-    world.say(session, StatementKind::Write);
-    // While the statement runs, others turn out to hold the service.
-    places(&mut world, &[NodeId(7)], &[NodeId(20)]);
-    while !world.sent.is_empty() {
-        world.answer(done(TransactionStatus::Idle, at(1, 5)));
+    let mut harness = harness();
+    places(&mut harness, &[OWN], &[NodeId(20)]);
+    let session = harness.open_with(1, LEADER_READS, Some("key-1"));
+    harness.submit(session, StatementKind::Write);
+    // While the statement runs, other nodes become the holders.
+    places(&mut harness, &[NodeId(7)], &[NodeId(20)]);
+    while !harness.sent.is_empty() {
+        harness.answer(done(TransactionStatus::Idle, at(1, 5)));
     }
-    world.response();
-    world.pass(Duration::from_secs(2));
-    assert_eq!(world.engine.statistics().connections, 0);
+    harness.response();
+    harness.advance(Duration::from_secs(2));
+    assert_eq!(harness.engine.statistics().connections, 0);
 }
 
 #[test]
 fn clients_without_a_key_go_to_a_holder_beside_the_leader_too() {
-    let mut world = led_from_afar();
+    let mut harness = leader_in_far_zone();
     let mut open = table_of(3, vec![tenant(FIRST, &["key-1"])]);
     for route in open.routes.values_mut() {
         Arc::make_mut(route).is_public = true;
     }
-    world.tell(Event::ConfigurationChanged(Arc::new(open)));
-    places(&mut world, &[NodeId(7)], &[NodeId(20)]);
-    let session = world.open_with(1, LEADER_READS, None);
-    world.say(session, StatementKind::Write);
-    assert_eq!(world.forwarded.pop().unwrap().0, NodeId(20));
+    harness.handle(Event::ConfigurationChanged(Arc::new(open)));
+    places(&mut harness, &[NodeId(7)], &[NodeId(20)]);
+    let session = harness.open_with(1, LEADER_READS, None);
+    harness.submit(session, StatementKind::Write);
+    assert_eq!(harness.forwarded.pop().unwrap().0, NodeId(20));
 }
--- a/crates/stairward-engine/tests/tenant_limits.rs
+++ b/crates/stairward-engine/tests/tenant_limits.rs
@@ -1,4 +1,4 @@
-//! Tenants' operations beyond their limit.
+//! Operations of tenants beyond their limit.
 
 mod support;
 
@@ -12,7 +12,7 @@
 use stairward_limits::RateLimit;
 use stairward_types::ResultCode;
 use support::tenants::{FIRST, table_of, tenant};
-use support::{LEADER_READS, World, at, done};
+use support::{Harness, LEADER_READS, at, done};
 
 fn limited(rate: u64) -> Vec<Tenant> {
     let limit = RateLimit {
@@ -25,45 +25,45 @@
     }]
 }
 
-/// A world whose engine knows that it is the only node.
-fn alone(rate: u64) -> World {
-    let mut world = World::new();
-    world.tell(Event::FleetSizeRecorded(1));
-    world.tell(Event::Members {
+/// A harness whose engine knows that it is the only node.
+fn single_node(rate: u64) -> Harness {
+    let mut harness = Harness::new();
+    harness.handle(Event::FleetSizeRecorded(1));
+    harness.handle(Event::Members {
         live: BTreeSet::from([EngineOptions::default().limits.node]),
         leaving: BTreeSet::new(),
     });
-    world.tell(Event::ConfigurationChanged(Arc::new(table_of(
+    harness.handle(Event::ConfigurationChanged(Arc::new(table_of(
         2,
         limited(rate),
     ))));
-    world.pass(Duration::from_secs(4));
-    world
+    harness.advance(Duration::from_secs(4));
+    harness
 }
 
 #[test]
 fn operations_beyond_the_limit_are_refused_at_once_and_told_when_to_come_back() {
-    let mut world = alone(5);
-    let session = world.open_with(1, LEADER_READS, Some("key-1"));
+    let mut harness = single_node(5);
+    let session = harness.open_with(1, LEADER_READS, Some("key-1"));
     let mut served = 0;
     let mut retries = Vec::new();
     for _ in 0..30 {
-        world.say(session, StatementKind::Write);
-        if !world.sent.is_empty() {
-            world.answer(done(TransactionStatus::Idle, at(1, 1)));
+        harness.submit(session, StatementKind::Write);
+        if !harness.sent.is_empty() {
+            harness.answer(done(TransactionStatus::Idle, at(1, 1)));
             served += 1;
         }
-        world.pass(Duration::from_millis(130));
-        match world.response().result {
+        harness.advance(Duration::from_millis(130));
+        match harness.response().result {
             ResponseResult::Completed { .. } => {}
             ResponseResult::Refused { code, retry_after } => {
                 assert_eq!(code, ResultCode::LimitReached);
-                retries.push(retry_after.expect("a time to come back"));
+                retries.push(retry_after.expect("a retry delay"));
             }
             ResponseResult::Failed(error) => panic!("{error:?}"),
         }
     }
-    // The burst of 5, and 5 a second for 3.9 s.
+    // The burst of 5, plus 5 per second for 3.9 s.
     assert!((20..=25).contains(&served), "{served}");
     assert!(
         retries
@@ -74,37 +74,37 @@
 
 #[test]
 fn a_transaction_is_one_operation() {
-    let mut world = alone(1);
-    let session = world.open_with(1, LEADER_READS, Some("key-1"));
-    world.begin(session, false, at(1, 1));
+    let mut harness = single_node(1);
+    let session = harness.open_with(1, LEADER_READS, Some("key-1"));
+    harness.begin(session, false, at(1, 1));
     for number in 2..8 {
-        world.say(session, StatementKind::Write);
-        world.answer(done(TransactionStatus::Open, at(1, number)));
+        harness.submit(session, StatementKind::Write);
+        harness.answer(done(TransactionStatus::Open, at(1, number)));
         assert!(matches!(
-            world.response().result,
+            harness.response().result,
             ResponseResult::Completed { .. }
         ));
     }
-    world.say(session, StatementKind::Commit);
-    world.answer(done(TransactionStatus::Idle, at(1, 9)));
+    harness.submit(session, StatementKind::Commit);
+    harness.answer(done(TransactionStatus::Idle, at(1, 9)));
     assert!(matches!(
-        world.response().result,
+        harness.response().result,
         ResponseResult::Completed { .. }
     ));
 }
 
 #[test]
 fn a_client_that_leaves_while_it_waits_for_its_limit_leaves_nothing_behind() {
-    let mut world = World::new();
-    world.tell(Event::ConfigurationChanged(Arc::new(table_of(
+    let mut harness = Harness::new();
+    harness.handle(Event::ConfigurationChanged(Arc::new(table_of(
         2,
         limited(5),
     ))));
-    let session = world.open_with(1, LEADER_READS, Some("key-1"));
-    world.say(session, StatementKind::Write);
-    world.tell(Event::SessionClosed { session });
-    assert!(world.responses.is_empty());
-    let effects = world.engine.handle(world.now, Event::Tick);
+    let session = harness.open_with(1, LEADER_READS, Some("key-1"));
+    harness.submit(session, StatementKind::Write);
+    harness.handle(Event::SessionClosed { session });
+    assert!(harness.responses.is_empty());
+    let effects = harness.engine.handle(harness.now, Event::Tick);
     assert!(
         effects
             .iter()
--- a/crates/stairward-engine/tests/tenants.rs
+++ b/crates/stairward-engine/tests/tenants.rs
@@ -1,4 +1,4 @@
-//! Tenants: keys that are known, withdrawn or unknown, and connections that serve one tenant alone.
+//! Tenants: known, revoked and unknown keys, and connections that serve a single tenant.
 
 mod support;
 
@@ -11,21 +11,21 @@
 };
 use stairward_testing::check;
 use stairward_types::{ApiKey, GroupId, NodeId, ResultCode};
-use support::tenants::{FIRST, SECOND, both, forwarded, name, table_of, tenant, world};
-use support::{LEADER_READS, OWN_READS, World, at, done, held_elsewhere, service};
+use support::tenants::{FIRST, SECOND, both, forwarded, harness, name, table_of, tenant};
+use support::{Harness, LEADER_READS, OWN_READS, at, done, held_elsewhere, service};
 
 #[test]
 fn a_client_without_a_known_key_is_refused_at_once() {
-    let mut world = world();
+    let mut harness = harness();
     for (session, key) in [
         (1, None),
         (2, Some("")),
         (3, Some("key-9")),
         (4, Some("KEY-1")),
     ] {
-        world.open_with(session, LEADER_READS, key);
+        harness.open_with(session, LEADER_READS, key);
     }
-    let codes: Vec<_> = world
+    let codes: Vec<_> = harness
         .refused_sessions
         .iter()
         .map(|(_, code)| *code)
@@ -35,16 +35,16 @@
 
 #[test]
 fn a_public_route_asks_for_no_key_and_its_statements_carry_no_tenant() {
-    let mut world = World::new();
+    let mut harness = Harness::new();
     let mut table = table_of(2, both());
     for route in table.routes.values_mut() {
         Arc::make_mut(route).is_public = true;
     }
-    world.tell(Event::ConfigurationChanged(Arc::new(table)));
-    let session = world.open_with(1, LEADER_READS, None);
-    world.say(session, StatementKind::Write);
-    let sent = world.answer(done(TransactionStatus::Idle, at(1, 1)));
-    assert_eq!(world.owner_of(sent.connection), None);
+    harness.handle(Event::ConfigurationChanged(Arc::new(table)));
+    let session = harness.open_with(1, LEADER_READS, None);
+    harness.submit(session, StatementKind::Write);
+    let sent = harness.answer(done(TransactionStatus::Idle, at(1, 1)));
+    assert_eq!(harness.tenant_of(sent.connection), None);
 }
 
 #[test]
@@ -59,63 +59,66 @@
     assert!(directory.active_tenant(&name(FIRST)).is_some());
     assert!(
         directory.active_tenant(&name(SECOND)).is_none(),
-        "it has no key left"
+        "the tenant has no valid key left"
     );
 }
 
 #[test]
 fn statements_run_on_connections_of_their_own_tenant() {
-    let mut world = world();
-    let first = world.open_with(1, LEADER_READS, Some("key-1"));
-    let second = world.open_with(2, LEADER_READS, Some("key-2"));
-    world.say(first, StatementKind::Write);
-    world.say(second, StatementKind::Write);
-    let sent = world.answer(done(TransactionStatus::Idle, at(1, 1)));
-    assert_eq!(world.owner_of(sent.connection).as_deref(), Some(FIRST));
-    let sent = world.answer(done(TransactionStatus::Idle, at(1, 2)));
-    assert_eq!(world.owner_of(sent.connection).as_deref(), Some(SECOND));
+    let mut harness = harness();
+    let first = harness.open_with(1, LEADER_READS, Some("key-1"));
+    let second = harness.open_with(2, LEADER_READS, Some("key-2"));
+    harness.submit(first, StatementKind::Write);
+    harness.submit(second, StatementKind::Write);
+    let sent = harness.answer(done(TransactionStatus::Idle, at(1, 1)));
+    assert_eq!(harness.tenant_of(sent.connection).as_deref(), Some(FIRST));
+    let sent = harness.answer(done(TransactionStatus::Idle, at(1, 2)));
+    assert_eq!(harness.tenant_of(sent.connection).as_deref(), Some(SECOND));
 }
 
-/// Many tenants use fewer connections than there are tenants, in any order.
+/// Many tenants share fewer connections than there are tenants, in any order of events.
 #[test]
 fn no_sequence_of_events_runs_a_statement_on_another_tenants_connection() {
     check!().with_type::<Vec<(u8, u8)>>().for_each(|steps| {
         let tenants = (0..8).map(|n| tenant(&format!("t{n}"), &[&format!("k{n}")]));
-        let mut world = World::new();
-        world.tell(Event::ConfigurationChanged(Arc::new(table_of(
+        let mut harness = Harness::new();
+        harness.handle(Event::ConfigurationChanged(Arc::new(table_of(
             2,
             tenants.collect(),
         ))));
         let sessions: Vec<_> = (0..8)
-            .map(|n| world.open_with(n + 1, LEADER_READS, Some(&format!("k{n}"))))
+            .map(|n| harness.open_with(n + 1, LEADER_READS, Some(&format!("k{n}"))))
             .collect();
         for (action, which) in steps.iter().take(60) {
             let session = sessions[usize::from(which % 8)];
             match action % 5 {
                 0 => {
-                    world.say(session, StatementKind::Write);
+                    harness.submit(session, StatementKind::Write);
                 }
                 1 => {
-                    world.say(session, StatementKind::Read);
+                    harness.submit(session, StatementKind::Read);
                 }
-                2 if !world.sent.is_empty() => {
-                    let is_begin = matches!(world.sent[0].command, BackendCommand::Begin { .. });
+                2 if !harness.sent.is_empty() => {
+                    let is_begin = matches!(harness.sent[0].command, BackendCommand::Begin { .. });
                     let status = if is_begin {
                         TransactionStatus::Open
                     } else {
                         TransactionStatus::Idle
                     };
-                    world.answer(done(status, at(1, 1)));
+                    harness.answer(done(status, at(1, 1)));
                 }
-                3 if !world.sent.is_empty() => {
-                    world.lose();
+                3 if !harness.sent.is_empty() => {
+                    harness.drop_oldest();
                 }
-                _ => world.pass(Duration::from_millis(u64::from(*which) * 7)),
+                _ => harness.advance(Duration::from_millis(u64::from(*which) * 7)),
             }
-            for sent in &world.sent {
+            for sent in &harness.sent {
                 if let BackendCommand::Run { id, .. } = &sent.command {
-                    let owner = world.owner_of(sent.connection);
-                    let asked = world.asked_by.get(id).expect("a statement of a session");
+                    let owner = harness.tenant_of(sent.connection);
+                    let asked = harness
+                        .session_of_statement
+                        .get(id)
+                        .expect("a statement of a session");
                     let expected = format!("t{}", asked.0 - 1);
                     assert_eq!(owner.as_deref(), Some(expected.as_str()));
                 }
@@ -125,105 +128,105 @@
 }
 
 #[test]
-fn an_idle_connection_of_another_tenant_gives_way() {
-    let mut world = World::new();
+fn an_idle_connection_of_another_tenant_is_closed_for_room() {
+    let mut harness = Harness::new();
     let tenants = (0..9).map(|n| tenant(&format!("t{n}"), &[&format!("k{n}")]));
     let mut table = table_of(2, tenants.collect());
     table.services.get_mut(&service()).unwrap().connections = 4;
-    world.tell(Event::ConfigurationChanged(Arc::new(table)));
+    harness.handle(Event::ConfigurationChanged(Arc::new(table)));
     for n in 0..9 {
-        let session = world.open_with(n + 1, LEADER_READS, Some(&format!("k{n}")));
-        world.say(session, StatementKind::Write);
-        world.answer(done(TransactionStatus::Idle, at(1, n + 1)));
+        let session = harness.open_with(n + 1, LEADER_READS, Some(&format!("k{n}")));
+        harness.submit(session, StatementKind::Write);
+        harness.answer(done(TransactionStatus::Idle, at(1, n + 1)));
         assert_eq!(
-            world.responses.pop().unwrap().1.status,
+            harness.responses.pop().unwrap().1.status,
             TransactionStatus::Idle
         );
     }
-    assert!(!world.closed_connections.is_empty());
+    assert!(!harness.closed_connections.is_empty());
 }
 
 #[test]
 fn a_withdrawn_key_ends_idle_sessions_and_rolls_their_transactions_back() {
-    let mut world = world();
-    let idle = world.open_with(1, LEADER_READS, Some("key-1"));
-    let open = world.open_with(2, LEADER_READS, Some("key-1"));
-    let other_key = world.open_with(3, LEADER_READS, Some("key-1b"));
-    world.begin(open, false, at(1, 1));
+    let mut harness = harness();
+    let idle = harness.open_with(1, LEADER_READS, Some("key-1"));
+    let open = harness.open_with(2, LEADER_READS, Some("key-1"));
+    let other_key = harness.open_with(3, LEADER_READS, Some("key-1b"));
+    harness.begin(open, false, at(1, 1));
     let left = vec![tenant(FIRST, &["key-1b"]), tenant(SECOND, &["key-2"])];
-    world.tell(Event::ConfigurationChanged(Arc::new(table_of(3, left))));
-    assert_eq!(world.closed_sessions, [idle, open]);
-    let commands: Vec<_> = world.sent.iter().map(|sent| &sent.command).collect();
+    harness.handle(Event::ConfigurationChanged(Arc::new(table_of(3, left))));
+    assert_eq!(harness.closed_sessions, [idle, open]);
+    let commands: Vec<_> = harness.sent.iter().map(|sent| &sent.command).collect();
     assert_eq!(commands, [&BackendCommand::Rollback]);
-    world.answer(done(TransactionStatus::Idle, at(1, 1)));
-    world.say(other_key, StatementKind::Write);
-    world.answer(done(TransactionStatus::Idle, at(1, 2)));
+    harness.answer(done(TransactionStatus::Idle, at(1, 1)));
+    harness.submit(other_key, StatementKind::Write);
+    harness.answer(done(TransactionStatus::Idle, at(1, 2)));
     assert!(matches!(
-        world.response().result,
+        harness.response().result,
         ResponseResult::Completed { .. }
     ));
-    world.open_with(4, LEADER_READS, Some("key-1"));
-    assert_eq!(world.refused_sessions[0].1, ResultCode::NotAuthenticated);
+    harness.open_with(4, LEADER_READS, Some("key-1"));
+    assert_eq!(harness.refused_sessions[0].1, ResultCode::NotAuthenticated);
 }
 
 #[test]
 fn what_runs_as_its_key_is_withdrawn_is_answered_and_nothing_runs_after_it() {
-    let mut world = world();
-    let session = world.open_with(1, LEADER_READS, Some("key-1"));
-    world.say(session, StatementKind::Write);
-    world.tell(Event::ConfigurationChanged(Arc::new(table_of(
+    let mut harness = harness();
+    let session = harness.open_with(1, LEADER_READS, Some("key-1"));
+    harness.submit(session, StatementKind::Write);
+    harness.handle(Event::ConfigurationChanged(Arc::new(table_of(
         3,
         vec![tenant(SECOND, &["key-2"])],
     ))));
-    assert!(world.closed_sessions.is_empty());
-    world.answer(done(TransactionStatus::Idle, at(1, 1)));
+    assert!(harness.closed_sessions.is_empty());
+    harness.answer(done(TransactionStatus::Idle, at(1, 1)));
     assert!(matches!(
-        world.response().result,
+        harness.response().result,
         ResponseResult::Completed { .. }
     ));
-    assert_eq!(world.closed_sessions, [session]);
+    assert_eq!(harness.closed_sessions, [session]);
 }
 
 #[test]
 fn what_waits_as_its_key_is_withdrawn_is_refused_as_not_run() {
-    let mut world = world();
-    world.opens = false;
-    let session = world.open_with(1, LEADER_READS, Some("key-1"));
-    world.say(session, StatementKind::Write);
-    assert!(world.sent.is_empty());
-    world.tell(Event::ConfigurationChanged(Arc::new(table_of(
+    let mut harness = harness();
+    harness.opens_automatically = false;
+    let session = harness.open_with(1, LEADER_READS, Some("key-1"));
+    harness.submit(session, StatementKind::Write);
+    assert!(harness.sent.is_empty());
+    harness.handle(Event::ConfigurationChanged(Arc::new(table_of(
         3,
         vec![tenant(SECOND, &["key-2"])],
     ))));
-    assert_eq!(world.refusal(), ResultCode::NotAuthenticated);
-    assert_eq!(world.closed_sessions, [session]);
+    assert_eq!(harness.refusal(), ResultCode::NotAuthenticated);
+    assert_eq!(harness.closed_sessions, [session]);
 }
 
 #[test]
 fn a_holder_runs_forwarded_statements_only_for_tenants_that_it_knows() {
-    let mut world = world();
+    let mut harness = harness();
     for (session, by) in [(1_001, None), (1_002, Some("tenant-9"))] {
-        world.tell(Event::ForwardedRequest {
+        harness.handle(Event::ForwardedRequest {
             session: SessionId(session),
             forwarded: Box::new(forwarded(by)),
         });
-        assert_eq!(world.refusal(), ResultCode::NotAuthenticated);
+        assert_eq!(harness.refusal(), ResultCode::NotAuthenticated);
     }
-    world.tell(Event::ForwardedRequest {
+    harness.handle(Event::ForwardedRequest {
         session: SessionId(1_003),
         forwarded: Box::new(forwarded(Some(SECOND))),
     });
-    let sent = world.answer(done(TransactionStatus::Idle, at(1, 1)));
-    assert_eq!(world.owner_of(sent.connection).as_deref(), Some(SECOND));
+    let sent = harness.answer(done(TransactionStatus::Idle, at(1, 1)));
+    assert_eq!(harness.tenant_of(sent.connection).as_deref(), Some(SECOND));
 }
 
 #[test]
 fn a_forwarded_statement_names_its_tenant_and_never_its_key() {
-    let mut world = world();
-    world.tell(held_elsewhere(&[NodeId(7)]));
-    let session = world.open_with(1, OWN_READS, Some("key-1"));
-    world.say(session, StatementKind::Write);
-    let (_, _, _, forwarded) = world.forwarded.pop().unwrap();
+    let mut harness = harness();
+    harness.handle(held_elsewhere(&[NodeId(7)]));
+    let session = harness.open_with(1, OWN_READS, Some("key-1"));
+    harness.submit(session, StatementKind::Write);
+    let (_, _, _, forwarded) = harness.forwarded.pop().unwrap();
     assert_eq!(forwarded.tenant, Some(name(FIRST)));
     assert!(!format!("{forwarded:?}").contains("key-1"));
 }
@@ -237,13 +240,13 @@
         database: GroupId::new(LEADER_READS).unwrap(),
         key: Some(key.clone()),
     };
-    let mut world = world();
-    world.open_with(1, LEADER_READS, Some("key-1"));
+    let mut harness = harness();
+    harness.open_with(1, LEADER_READS, Some("key-1"));
     for text in [
         format!("{key:?}"),
         format!("{directory:?}"),
         format!("{event:?}"),
-        format!("{:?}", world.engine),
+        format!("{:?}", harness.engine),
     ] {
         assert!(!text.contains("key-1"), "{text}");
     }
--- a/crates/stairward-failover/src/ending.rs
+++ b/crates/stairward-failover/src/ending.rs
@@ -4,7 +4,7 @@
 //! Two ways prove the end, and either will do: the old leader answers that it has stepped down, and all other
 //! members say that they follow; or every member that anybody reaches is on hold, so that no node can confirm
 //! the old leader any more, and either every node has said that it believes the old one no more, or the nodes'
-//! last confirmations have lapsed since (see `stairward_engine`'s `lead` module). That nothing listens at the old leader's address proves nothing: its process may be back
+//! last confirmations have lapsed since (see `stairward_engine`'s `leadership` module). That nothing listens at the old leader's address proves nothing: its process may be back
 //! before the promotion takes effect.
 
 use std::collections::{BTreeMap, BTreeSet};
