--- a/crates/stairward-engine/src/choice.rs
+++ b/crates/stairward-engine/src/choice.rs
@@ -133,11 +133,11 @@
             return self.choose_leader(now, request, &connection_request);
         }
         let staleness = request.route.consistency.staleness().unwrap_or_default();
-        let own = session.commits.get(service).copied();
+        let own_commit = session.commits.get(service).copied();
         let floor = self
             .groups
             .get(service)
-            .and_then(|group| group.floor(request.received, staleness, own));
+            .and_then(|group| group.floor(request.received, staleness, own_commit));
         self.keep_proof_fresh(now, service, staleness);
         let Some(floor) = floor else {
             return Choice::Wait(WaitReason::NotFresh);
@@ -205,7 +205,11 @@
             if let Some(connection) = self.connection_to(now, &id, connection_request) {
                 return Choice::Use(connection, Some(floor));
             }
-            if self.backends.get(&id).is_some_and(|copy| copy.is_silent) {
+            if self
+                .backends
+                .get(&id)
+                .is_some_and(|backend| backend.is_silent)
+            {
                 // Don't wait for a back end that doesn't answer.
                 continue;
             }
@@ -234,7 +238,7 @@
         let Some(group) = self.groups.get(&request.route.service) else {
             return Vec::new();
         };
-        let mut copies: Vec<_> = group
+        let mut candidates: Vec<_> = group
             .members
             .iter()
             .filter_map(|id| {
@@ -250,8 +254,11 @@
                 is_usable.then_some((!backend.is_healthy(), cost, id))
             })
             .collect();
-        copies.sort();
-        copies.into_iter().map(|(_, _, id)| id.clone()).collect()
+        candidates.sort();
+        candidates
+            .into_iter()
+            .map(|(_, _, id)| id.clone())
+            .collect()
     }
 
     /// Whether a request may run in a back end's region.
--- a/crates/stairward-engine/src/group.rs
+++ b/crates/stairward-engine/src/group.rs
@@ -45,17 +45,17 @@
         &self,
         start: Time,
         staleness: Duration,
-        own: Option<Freshness>,
+        own_commit: Option<Freshness>,
     ) -> Option<Freshness> {
         let oldest_allowed = start.since(Time::ZERO + staleness);
         let proof = self.proofs.oldest_since(Time::ZERO + oldest_allowed)?;
-        let Some(own) = own else {
+        let Some(own_commit) = own_commit else {
             return Some(proof.freshness);
         };
-        match own.term.cmp(&proof.freshness.term) {
+        match own_commit.term.cmp(&proof.freshness.term) {
             std::cmp::Ordering::Less => Some(proof.freshness),
-            std::cmp::Ordering::Equal => Some(own.join(proof.freshness)),
-            std::cmp::Ordering::Greater => Some(own),
+            std::cmp::Ordering::Equal => Some(own_commit.join(proof.freshness)),
+            std::cmp::Ordering::Greater => Some(own_commit),
         }
     }
 }
--- a/crates/stairward-engine/src/placement.rs
+++ b/crates/stairward-engine/src/placement.rs
@@ -42,12 +42,12 @@
 
     fn ranked_holders(&self, now: Time, session: &Session, request: &Request) -> Vec<NodeId> {
         let service = &request.route.service;
-        let places = self.holders.holders_of(service);
+        let holders = self.holders.holders_of(service);
         let is_by_tenant = self
             .table
             .as_ref()
             .is_some_and(|table| table.tenants.is_some());
-        let Some(places) = places.filter(|_| is_by_tenant) else {
+        let Some(holders) = holders.filter(|_| is_by_tenant) else {
             return self.holders.forward_targets(service).to_vec();
         };
         // Clients without a key have no tenant; those of one database share a holder.
@@ -59,7 +59,7 @@
         let target = self.expected_backend(now, request);
         let zone = target.map(|backend| &backend.description.zone);
         let region = target.and_then(|backend| backend.region.as_ref());
-        let mut ranked: Vec<_> = places
+        let mut ranked: Vec<_> = holders
             .iter()
             .map(|holder| {
                 let is_same_zone = zone == Some(&holder.zone);
@@ -82,8 +82,8 @@
             return self.backends.get(&leader).map(Box::as_ref);
         }
         let members = self.groups.get(service)?.members.iter();
-        let copies = members.filter_map(|id| Some((id, self.backends.get(id)?.as_ref())));
-        let usable = copies.filter(|(id, backend)| {
+        let candidates = members.filter_map(|id| Some((id, self.backends.get(id)?.as_ref())));
+        let usable = candidates.filter(|(id, backend)| {
             backend.is_healthy()
                 && backend.is_usable(now)
                 && !self.is_cold(now, id)
@@ -95,7 +95,11 @@
 
     /// Whether a read forwarded by another node has no untried back end left in this node's zone. The
     /// client's node then knows a better holder.
-    pub(crate) fn is_no_same_zone_copy_left(&self, session: &Session, request: &Request) -> bool {
+    pub(crate) fn has_no_same_zone_backend_left(
+        &self,
+        session: &Session,
+        request: &Request,
+    ) -> bool {
         let service = &request.route.service;
         let Some(group) = self.groups.get(service).filter(|_| session.is_forwarded) else {
             return false;
@@ -123,15 +127,15 @@
     pub(crate) fn same_zone_share(&self, id: &BackendId, limit: u32) -> Option<u32> {
         self.table.as_ref()?.tenants.as_ref()?;
         let backend = self.backends.get(id)?;
-        let places = self.holders.holders_of(&backend.description.service)?;
+        let holders = self.holders.holders_of(&backend.description.service)?;
         let is_same_zone = |holder: &&Holder| holder.zone == backend.description.zone;
         let same_zone =
-            u32::try_from(places.iter().filter(is_same_zone).count()).unwrap_or(u32::MAX);
-        let all = u32::try_from(places.len()).unwrap_or(u32::MAX);
+            u32::try_from(holders.iter().filter(is_same_zone).count()).unwrap_or(u32::MAX);
+        let all = u32::try_from(holders.len()).unwrap_or(u32::MAX);
         if same_zone == 0 {
             return None;
         }
-        let is_own = places
+        let is_own = holders
             .iter()
             .filter(is_same_zone)
             .any(|holder| holder.node == self.options.limits.node);
--- a/crates/stairward-engine/src/replies.rs
+++ b/crates/stairward-engine/src/replies.rs
@@ -347,7 +347,7 @@
         let session = self.sessions.get(&id);
         let request = session.and_then(|session| Some((session, session.request.as_ref()?)));
         let must_go_back = request
-            .is_some_and(|(session, request)| self.is_no_same_zone_copy_left(session, request));
+            .is_some_and(|(session, request)| self.has_no_same_zone_backend_left(session, request));
         if must_go_back {
             return self.refuse(now, id, ResultCode::NotFreshEnough, Some(RETRY_BUSY));
         }
