--- a/crates/stairward-runtime/src/failover.rs
+++ b/crates/stairward-runtime/src/failover.rs
@@ -155,7 +155,7 @@
         });
     }
 
-    /// Sends a member request directly or through a peer, by each of the given ways.
+    /// Sends a member request by each of the given ways, directly or through a peer, and reports every result.
     fn request_by_ways(
         self: &Rc<Self>,
         backend: &BackendId,
--- a/crates/stairward-runtime/src/holders.rs
+++ b/crates/stairward-runtime/src/holders.rs
@@ -154,7 +154,7 @@
 }
 
 /// Orders holders by distance: own zone, own region, others. Holders at the same distance are ordered by XOR with the
-/// node id, so that nodes spread their load over them.
+/// own node id, so that the nodes spread their load over them.
 fn by_distance(own: &LocalNode, holders: &[&Profile]) -> Vec<NodeId> {
     let rank = |holder: &&Profile| {
         (
--- a/crates/stairward-runtime/src/member_requests.rs
+++ b/crates/stairward-runtime/src/member_requests.rs
@@ -61,7 +61,7 @@
         let mut opened = loop {
             match open_connection::<W>(target).await {
                 Ok(opened) => break opened,
-                // Connections of callers are closed soon, so a free one is likely.
+                // Other connections open and close frequently, so one may become free before the timeout.
                 Err(OpenFailure::ConnectionLimit) => Self::pause(RETRY_DELAY).await,
                 Err(OpenFailure::Refused) => return Reach::Refused,
                 Err(_) => return Reach::Silent,
