--- a/crates/stairward-proxy/src/edge/session.rs
+++ b/crates/stairward-proxy/src/edge/session.rs
@@ -275,7 +275,7 @@
         let counters = &self.service.counters;
         match code.class() {
             OutcomeClass::OutcomeUnknown => {
-                counters.unknown.add(1);
+                counters.outcomes_unknown.add(1);
                 tracing::warn!(
                     event = LogEvent::OutcomeUnknown.number(),
                     code = code.number(),
--- a/crates/stairward-proxy/src/edge/settings.rs
+++ b/crates/stairward-proxy/src/edge/settings.rs
@@ -15,20 +15,20 @@
 pub struct EdgeSettings {
     /// Signs session tokens; the same on all proxies of a cluster.
     pub token_key: TokenKey,
-    /// Users who authenticate by SCRAM-SHA-256; `None` trusts every caller.
+    /// Users who authenticate by SCRAM-SHA-256; `None` trusts every client.
     pub users: Option<Users>,
     /// Certificates for TLS; `None` refuses TLS.
     pub tls: Option<Arc<rustls::ServerConfig>>,
     /// Client connections at once, those still authenticating included.
     pub maximum_clients: usize,
-    /// How long a caller may take to start up and authenticate.
+    /// How long a client may take to start up and authenticate.
     pub startup_timeout: Duration,
 }
 
 impl EdgeSettings {
-    /// Trusts every caller, without TLS, with room for 20,000 clients.
+    /// Trust authentication for every client, no TLS, and at most 20,000 clients.
     #[must_use]
-    pub fn trusting(token_key: TokenKey) -> Self {
+    pub fn with_trust_authentication(token_key: TokenKey) -> Self {
         Self {
             token_key,
             users: None,
--- a/crates/stairward-proxy/src/edge/statistics.rs
+++ b/crates/stairward-proxy/src/edge/statistics.rs
@@ -16,7 +16,7 @@
     /// Requests refused as not run.
     pub refused: u64,
     /// Requests that ended with their outcome unknown.
-    pub unknown: u64,
+    pub outcomes_unknown: u64,
     /// Sessions open now.
     pub sessions: u64,
 }
@@ -52,7 +52,7 @@
     pub(super) replica_reads: Counter,
     pub(super) writes: Counter,
     pub(super) refused: Counter,
-    pub(super) unknown: Counter,
+    pub(super) outcomes_unknown: Counter,
     sessions: AtomicU64,
 }
 
@@ -64,7 +64,7 @@
             replica_reads: Counter::new("stairward_replica_reads_total"),
             writes: Counter::new("stairward_writes_total"),
             refused: Counter::new("stairward_requests_refused_total"),
-            unknown: Counter::new("stairward_outcomes_unknown_total"),
+            outcomes_unknown: Counter::new("stairward_outcomes_unknown_total"),
             sessions: AtomicU64::new(0),
         }
     }
@@ -78,7 +78,7 @@
             replica_reads: self.replica_reads.get(),
             writes: self.writes.get(),
             refused: self.refused.get(),
-            unknown: self.unknown.get(),
+            outcomes_unknown: self.outcomes_unknown.get(),
             sessions: self.sessions.load(Ordering::Relaxed),
         }
     }
--- a/crates/stairward-proxy/src/node/mod.rs
+++ b/crates/stairward-proxy/src/node/mod.rs
@@ -302,7 +302,7 @@
         .into_iter()
         .filter_map(|(user, secret)| Some((user, secret.expose_text()?.to_owned())))
         .collect::<crate::edge::Users>();
-    let mut edge = EdgeSettings::trusting(token_key_from(&token_key));
+    let mut edge = EdgeSettings::with_trust_authentication(token_key_from(&token_key));
     // Embedded nodes without users trust their callers; a process file always names a users file.
     edge.users = (!users.is_empty()).then_some(users);
     edge.tls = tls::server(settings.callers.tls.as_ref())?;
--- a/crates/stairward-proxy/tests/edge_control.rs
+++ b/crates/stairward-proxy/tests/edge_control.rs
@@ -85,7 +85,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_cancel_request_finds_its_session_through_another_proxy() {
     guarded(async {
-        let site = Site::start_with(2, &EdgeSettings::trusting(token_key())).await;
+        let site = Site::start_with(2, &EdgeSettings::with_trust_authentication(token_key())).await;
         let _holder = lock_row(&site).await;
         let client = site.node().connect().await;
         cancelled_query(&site, &client, 1).await;
--- a/crates/stairward-proxy/tests/edge_outcomes.rs
+++ b/crates/stairward-proxy/tests/edge_outcomes.rs
@@ -276,7 +276,11 @@
         client.batch_execute(WRITE).await.unwrap_err();
         client.batch_execute(WRITE).await.unwrap();
         let statistics = site.edge.statistics();
-        let counted = (statistics.refused, statistics.unknown, statistics.writes);
+        let counted = (
+            statistics.refused,
+            statistics.outcomes_unknown,
+            statistics.writes,
+        );
         assert_eq!(counted, (1, 1, 1));
         assert_eq!(ResultCode::Overloaded.class(), OutcomeClass::NotRun);
     })
--- a/crates/stairward-proxy/tests/edge_sessions.rs
+++ b/crates/stairward-proxy/tests/edge_sessions.rs
@@ -13,7 +13,7 @@
 const SHOW_TOKEN: &str = "SHOW stairward.session_token";
 
 async fn two_nodes() -> Site {
-    Site::start_with(2, &EdgeSettings::trusting(token_key())).await
+    Site::start_with(2, &EdgeSettings::with_trust_authentication(token_key())).await
 }
 
 /// Has one replica apply changes so late that no test waits for it. The other one has to keep up,
--- a/crates/stairward-proxy/tests/edge_startup.rs
+++ b/crates/stairward-proxy/tests/edge_startup.rs
@@ -143,7 +143,7 @@
     guarded(async {
         let settings = EdgeSettings {
             startup_timeout: std::time::Duration::from_millis(50),
-            ..EdgeSettings::trusting(token_key())
+            ..EdgeSettings::with_trust_authentication(token_key())
         };
         let site = Site::start_with(1, &settings).await;
         let mut socket = raw(&site).await;
@@ -157,7 +157,7 @@
     guarded(async {
         let settings = EdgeSettings {
             maximum_clients: 1,
-            ..EdgeSettings::trusting(token_key())
+            ..EdgeSettings::with_trust_authentication(token_key())
         };
         let site = Site::start_with(1, &settings).await;
         let first = site.node().connect().await;
@@ -174,7 +174,7 @@
 fn with_users() -> EdgeSettings {
     EdgeSettings {
         users: Some([("reader".to_owned(), "pässword".to_owned())].into()),
-        ..EdgeSettings::trusting(token_key())
+        ..EdgeSettings::with_trust_authentication(token_key())
     }
 }
 
@@ -261,7 +261,7 @@
         let (server, _) = tls();
         let settings = EdgeSettings {
             tls: Some(server),
-            ..EdgeSettings::trusting(token_key())
+            ..EdgeSettings::with_trust_authentication(token_key())
         };
         let site = Site::start_with(1, &settings).await;
         let mut socket = raw(&site).await;
--- a/crates/stairward-proxy/tests/edge_support/mod.rs
+++ b/crates/stairward-proxy/tests/edge_support/mod.rs
@@ -229,9 +229,9 @@
 }
 
 impl Site {
-    /// One node, trusting its callers.
+    /// One node with trust authentication.
     pub async fn start() -> Self {
-        Self::start_with(1, &EdgeSettings::trusting(token_key())).await
+        Self::start_with(1, &EdgeSettings::with_trust_authentication(token_key())).await
     }
 
     pub async fn start_with(nodes: u64, edge_settings: &EdgeSettings) -> Self {
--- a/crates/stairward-proxy/tests/edge_support/scripted.rs
+++ b/crates/stairward-proxy/tests/edge_support/scripted.rs
@@ -350,7 +350,7 @@
         let script = Arc::new(Script::default());
         *script.position.lock().unwrap() = 100;
         network.set_service(Arc::new(ScriptedOwner(Arc::clone(&script))));
-        let edge_settings = EdgeSettings::trusting(token_key());
+        let edge_settings = EdgeSettings::with_trust_authentication(token_key());
         let edge = EdgeService::new(cluster.clone(), network, edge_settings);
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
