--- a/crates/stairward-proxy/src/edge/active.rs
+++ b/crates/stairward-proxy/src/edge/active.rs
@@ -9,17 +9,17 @@
 use stairward_session::PreparedStatements;
 use stairward_types::{AccessClass, BackendRole};
 
-use super::answer::AnswerFilter;
 use super::batch::{Batch, BatchKind, PreparedChange};
+use super::response_filter::ResponseFilter;
 use crate::peer::EdgeStream;
 
 /// Bytes of answers written to the caller before the owner is granted as many more.
-const CREDIT_STEP_BYTES: u32 = INITIAL_WINDOW_BYTES / 4;
+const CREDIT_GRANT_BYTES: u32 = INITIAL_WINDOW_BYTES / 4;
 
 /// A change of the statements prepared on the connection, once the back end confirms it.
 pub(super) enum PendingChange {
     /// The caller's own `Parse` or `Close`.
-    Caller(PreparedChange),
+    Client(PreparedChange),
     /// A `Parse` that the edge added, of a statement that the session has.
     Replayed { name: String },
 }
@@ -28,12 +28,12 @@
 pub(super) struct RunningBatch {
     /// The batch, or its latest part.
     pub(super) batch: Batch,
-    pub(super) filter: AnswerFilter,
+    pub(super) filter: ResponseFilter,
     pub(super) changes: Vec<PendingChange>,
     /// Whether running it may have committed writes.
     pub(super) may_commit: bool,
     /// Whether its answer has begun to come.
-    pub(super) gathered: bool,
+    pub(super) response_started: bool,
 }
 
 /// A stream and what is known of the connection at its other end.
@@ -45,26 +45,30 @@
     /// Statements prepared on the connection.
     prepared: BTreeSet<String>,
     /// Bytes of answers taken since the last grant.
-    taken: u32,
+    uncredited_bytes: u32,
 }
 
 /// A batch made ready for an owner.
-pub(super) struct Prepared {
+pub(super) struct OutgoingBatch {
     pub(super) wire: WireBatch,
     pub(super) running: RunningBatch,
 }
 
 /// Adds to a batch the `Parse` messages of statements that the connection lacks.
-pub(super) fn prepare(
+pub(super) fn build_outgoing(
     batch: Batch,
-    present: impl Fn(&str) -> bool,
+    is_on_connection: impl Fn(&str) -> bool,
     session: &PreparedStatements,
     may_commit: bool,
-) -> Prepared {
-    let mut filter = AnswerFilter::default();
+) -> OutgoingBatch {
+    let mut filter = ResponseFilter::default();
     let mut changes = Vec::new();
     let mut messages = Vec::new();
-    for name in batch.uses.iter().filter(|name| !present(name)) {
+    for name in batch
+        .referenced_statements
+        .iter()
+        .filter(|name| !is_on_connection(name))
+    {
         if let Some(statement) = session.get(name) {
             messages.extend_from_slice(&statement.message);
             filter.expect_parse(true);
@@ -72,20 +76,20 @@
             changes.push(PendingChange::Replayed { name });
         }
     }
-    for change in &batch.prepared {
+    for change in &batch.prepared_changes {
         if matches!(change, PreparedChange::Parsed { .. }) {
             filter.expect_parse(false);
         }
-        changes.push(PendingChange::Caller(change.clone()));
+        changes.push(PendingChange::Client(change.clone()));
     }
-    messages.extend(batch.joined());
-    let replays = changes
+    messages.extend(batch.message_bytes());
+    let injects_named = changes
         .iter()
         .any(|change| matches!(change, PendingChange::Replayed { name } if !name.is_empty()));
     let wire = WireBatch {
         sequence: 1,
         complete: u8::from(batch.kind != BatchKind::Partial),
-        alters_session: u8::from(batch.alters_session() || replays),
+        alters_session: u8::from(batch.alters_session() || injects_named),
         messages: messages.into(),
     };
     let running = RunningBatch {
@@ -93,9 +97,9 @@
         filter,
         changes,
         may_commit,
-        gathered: false,
+        response_started: false,
     };
-    Prepared { wire, running }
+    OutgoingBatch { wire, running }
 }
 
 impl ActiveStream {
@@ -107,7 +111,7 @@
             running: Some(Box::new(running)),
             sequence: 1,
             prepared: BTreeSet::new(),
-            taken: 0,
+            uncredited_bytes: 0,
         }
     }
 
@@ -115,10 +119,10 @@
     pub(super) fn has_prepared(&self, name: &str) -> bool {
         let is_pending = |change: &PendingChange| match change {
             PendingChange::Replayed { name: pending }
-            | PendingChange::Caller(PreparedChange::Parsed { name: pending, .. }) => {
+            | PendingChange::Client(PreparedChange::Parsed { name: pending, .. }) => {
                 pending == name
             }
-            PendingChange::Caller(PreparedChange::Closed { .. }) => false,
+            PendingChange::Client(PreparedChange::Closed { .. }) => false,
         };
         self.prepared.contains(name)
             || self
@@ -128,48 +132,56 @@
     }
 
     /// Sends a further batch. Returns false when the connection to the owner is lost.
-    pub(super) fn send(&mut self, mut prepared: Prepared) -> bool {
+    pub(super) fn send(&mut self, mut outgoing: OutgoingBatch) -> bool {
         self.sequence += 1;
-        prepared.wire.sequence = self.sequence;
-        let next = prepared.running;
+        outgoing.wire.sequence = self.sequence;
+        let next = outgoing.running;
         match &mut self.running {
-            Some(running) => running.go_on(next),
+            Some(running) => running.append_part(next),
             None => self.running = Some(Box::new(next)),
         }
-        self.stream.send(EdgeMessage::Batch(prepared.wire))
+        self.stream.send(EdgeMessage::Batch(outgoing.wire))
     }
 
     /// Counts bytes of answers that the caller has been given, and grants the owner as many more.
-    pub(super) fn take_bytes(&mut self, count: usize) {
+    pub(super) fn credit_bytes(&mut self, count: usize) {
         let count = u32::try_from(count).unwrap_or(u32::MAX);
-        self.taken = self.taken.saturating_add(count);
-        if self.taken >= CREDIT_STEP_BYTES {
-            self.stream.send(EdgeMessage::Credit { bytes: self.taken });
-            self.taken = 0;
+        self.uncredited_bytes = self.uncredited_bytes.saturating_add(count);
+        if self.uncredited_bytes >= CREDIT_GRANT_BYTES {
+            self.stream.send(EdgeMessage::Credit {
+                bytes: self.uncredited_bytes,
+            });
+            self.uncredited_bytes = 0;
         }
     }
 
     /// Brings the statements known to be on the connection, and those of the session, up to date
     /// with what the back end has confirmed.
-    pub(super) fn confirm(&mut self, running: &RunningBatch, session: &mut PreparedStatements) {
-        let mut parses = running.filter.parses;
-        let mut closes = running.filter.closes;
+    pub(super) fn apply_confirmed(
+        &mut self,
+        running: &RunningBatch,
+        session: &mut PreparedStatements,
+    ) {
+        let mut parse_completes = running.filter.parse_completes;
+        let mut close_completes = running.filter.close_completes;
         for change in &running.changes {
             match change {
-                PendingChange::Replayed { name } if parses > 0 => {
-                    parses -= 1;
+                PendingChange::Replayed { name } if parse_completes > 0 => {
+                    parse_completes -= 1;
                     self.prepared.insert(name.clone());
                 }
-                PendingChange::Caller(PreparedChange::Parsed { name, statement }) if parses > 0 => {
-                    parses -= 1;
+                PendingChange::Client(PreparedChange::Parsed { name, statement })
+                    if parse_completes > 0 =>
+                {
+                    parse_completes -= 1;
                     self.prepared.insert(name.clone());
                     // What doesn't fit is unknown when it is next used, which the caller is told.
                     if session.insert(name, statement.clone()).is_err() {
                         session.remove(name);
                     }
                 }
-                PendingChange::Caller(PreparedChange::Closed { name }) if closes > 0 => {
-                    closes -= 1;
+                PendingChange::Client(PreparedChange::Closed { name }) if close_completes > 0 => {
+                    close_completes -= 1;
                     if let Some(name) = name {
                         self.prepared.remove(name);
                         session.remove(name);
@@ -183,12 +195,12 @@
 
 impl RunningBatch {
     /// Takes over the next part of a batch whose earlier parts were sent.
-    fn go_on(&mut self, next: Self) {
+    fn append_part(&mut self, next: Self) {
         let mut class = self.batch.class.clone();
         class.append(next.batch.class.clone());
         self.batch = next.batch;
         self.batch.class = class;
-        self.filter.expect_more(next.filter);
+        self.filter.merge_expected(next.filter);
         self.changes.extend(next.changes);
         self.may_commit |= next.may_commit;
     }
--- a/crates/stairward-proxy/src/edge/authentication.rs
+++ b/crates/stairward-proxy/src/edge/authentication.rs
@@ -15,7 +15,7 @@
 pub(super) const MECHANISM: &str = "SCRAM-SHA-256";
 const SALT_BYTES: usize = 16;
 /// Refused users for whom a made-up salt is remembered.
-const MAXIMUM_STRANGERS: usize = 1_000;
+const MAXIMUM_UNKNOWN_USERS: usize = 1_000;
 
 /// An exchange that failed. Deliberately says no more: callers must not learn why.
 #[derive(Debug, Snafu)]
@@ -50,7 +50,7 @@
         user: &str,
         initial_response: &[u8],
     ) -> Result<(String, ScramServerAuthWaitingForClientFinal), AuthenticationError> {
-        let client_first = client_first(initial_response).context(AuthenticationSnafu)?;
+        let client_first = sasl_initial_data(initial_response).context(AuthenticationSnafu)?;
         ScramServerAuth::new()
             .on_client_first_message(client_first, self.salted_password(user))
             .ok()
@@ -61,16 +61,16 @@
     /// doesn't tell which users exist.
     fn salted_password(&self, user: &str) -> Password {
         let mut salted = self.salted.lock().unwrap_or_else(PoisonError::into_inner);
-        if salted.len() > self.users.len() + MAXIMUM_STRANGERS {
+        if salted.len() > self.users.len() + MAXIMUM_UNKNOWN_USERS {
             salted.clear();
         }
         let entry = salted
             .entry(user.to_owned())
-            .or_insert_with(|| self.salt(user));
+            .or_insert_with(|| self.salt_password(user));
         Password::new(Some(entry.salt.clone()), entry.password.clone())
     }
 
-    fn salt(&self, user: &str) -> SaltedPassword {
+    fn salt_password(&self, user: &str) -> SaltedPassword {
         let salt = rand::random::<[u8; SALT_BYTES]>().to_vec();
         let password = match self.users.get(user) {
             Some(password) => gen_salted_password(password, &salt, SCRAM_ITERATIONS),
@@ -95,7 +95,7 @@
 }
 
 /// The SCRAM data within a `SASLInitialResponse`: mechanism name, zero byte, length, data.
-fn client_first(mut body: &[u8]) -> Option<&[u8]> {
+fn sasl_initial_data(mut body: &[u8]) -> Option<&[u8]> {
     let name_length = body.iter().position(|byte| *byte == 0)?;
     let name = &body[..name_length];
     body = &body[name_length + 1..];
--- a/crates/stairward-proxy/src/edge/batch.rs
+++ b/crates/stairward-proxy/src/edge/batch.rs
@@ -50,9 +50,9 @@
     /// The hints in its comments.
     pub(super) hints: Hints,
     /// Its changes of prepared statements, in order.
-    pub(super) prepared: Vec<PreparedChange>,
+    pub(super) prepared_changes: Vec<PreparedChange>,
     /// Statements that it uses and doesn't itself parse.
-    pub(super) uses: BTreeSet<String>,
+    pub(super) referenced_statements: BTreeSet<String>,
     /// The text of a simple query.
     pub(super) text: String,
     /// Why it is refused.
@@ -67,8 +67,8 @@
             class: StatementClass::empty(),
             executes: false,
             hints: Hints::default(),
-            prepared: Vec::new(),
-            uses: BTreeSet::new(),
+            prepared_changes: Vec::new(),
+            referenced_statements: BTreeSet::new(),
             text: String::new(),
             error: None,
         }
@@ -79,7 +79,7 @@
         let mut batch = Self::new(BatchKind::Simple);
         batch.executes = true;
         text.clone_into(&mut batch.text);
-        batch.run(text, &class);
+        batch.add_statement(text, &class);
         batch.frames.push(frame.bytes);
         batch
     }
@@ -90,7 +90,7 @@
     }
 
     /// Its messages in one piece.
-    pub(super) fn joined(&self) -> Vec<u8> {
+    pub(super) fn message_bytes(&self) -> Vec<u8> {
         self.frames.concat()
     }
 
@@ -104,21 +104,24 @@
 
     /// Whether it leaves state on the connection.
     pub(super) fn alters_session(&self) -> bool {
-        let names_statement = self.prepared.iter().any(|change| match change {
+        let names_statement = self.prepared_changes.iter().any(|change| match change {
             PreparedChange::Parsed { name, .. } => !name.is_empty(),
             PreparedChange::Closed { .. } => false,
         });
         self.class.alters_session || names_statement
     }
 
-    fn run(&mut self, text: &str, class: &StatementClass) {
+    fn add_statement(&mut self, text: &str, class: &StatementClass) {
         self.class.append(class.clone());
         if let Some(feature) = class.refused {
-            self.refuse(EdgeError::explained(ResultCode::FeatureRefused, feature));
+            self.refuse(EdgeError::with_explanation(
+                ResultCode::FeatureRefused,
+                feature,
+            ));
         }
         match hints_in_comments(text) {
             Ok(hints) => self.hints = hints.or(&self.hints),
-            Err(error) => self.refuse(EdgeError::explained(ResultCode::InvalidHint, error)),
+            Err(error) => self.refuse(EdgeError::with_explanation(ResultCode::InvalidHint, error)),
         }
         self.check_hint_changes(class);
     }
@@ -126,7 +129,7 @@
     /// Hints set by `SET` are checked before anything is sent.
     fn check_hint_changes(&mut self, class: &StatementClass) {
         for change in &class.changes {
-            if let Err(error) = super::hint_changes::check(change) {
+            if let Err(error) = super::hint_changes::validate(change) {
                 self.refuse(error);
             }
         }
@@ -144,7 +147,7 @@
     batch: Option<Box<Batch>>,
     bytes: usize,
     /// Statements parsed since the last `Sync` in parts already sent.
-    earlier: Vec<(String, PreparedStatement)>,
+    earlier_parses: Vec<(String, PreparedStatement)>,
 }
 
 impl BatchBuilder {
@@ -177,25 +180,27 @@
                     class: classify(text),
                     text: text.into(),
                 };
-                batch.prepared.push(PreparedChange::Parsed {
+                batch.prepared_changes.push(PreparedChange::Parsed {
                     name: name.to_owned(),
                     statement,
                 });
             }
             FrontendMessage::Bind { statement, .. } => {
-                if let Some(statement) = find(batch, statement, &self.earlier, session) {
-                    batch.run(&statement.text, &statement.class);
+                if let Some(statement) =
+                    resolve_statement(batch, statement, &self.earlier_parses, session)
+                {
+                    batch.add_statement(&statement.text, &statement.class);
                 }
             }
             FrontendMessage::Describe {
                 target: Target::Statement,
                 name,
             } => {
-                find(batch, name, &self.earlier, session);
+                resolve_statement(batch, name, &self.earlier_parses, session);
             }
             FrontendMessage::Close { target, name } => {
                 let name = (target == Target::Statement).then(|| name.to_owned());
-                batch.prepared.push(PreparedChange::Closed { name });
+                batch.prepared_changes.push(PreparedChange::Closed { name });
             }
             FrontendMessage::Execute { .. } => batch.executes = true,
             _ => {}
@@ -213,56 +218,60 @@
         batch.kind = kind;
         batch.frames.push(frame.bytes);
         if kind == BatchKind::Partial {
-            self.remember_parses(&batch);
+            self.record_parses(&batch);
         } else {
-            self.earlier.clear();
+            self.earlier_parses.clear();
         }
         batch
     }
 
-    fn remember_parses(&mut self, batch: &Batch) {
-        for change in &batch.prepared {
+    fn record_parses(&mut self, batch: &Batch) {
+        for change in &batch.prepared_changes {
             if let PreparedChange::Parsed { name, statement } = change {
-                self.earlier.push((name.clone(), statement.clone()));
+                self.earlier_parses.push((name.clone(), statement.clone()));
             }
         }
     }
 }
 
 /// The statement that a name stands for at this point of the batch.
-fn find(
+fn resolve_statement(
     batch: &mut Batch,
     name: &str,
-    earlier: &[(String, PreparedStatement)],
+    earlier_parses: &[(String, PreparedStatement)],
     session: &PreparedStatements,
 ) -> Option<PreparedStatement> {
-    let in_batch = batch.prepared.iter().rev().find_map(|change| match change {
-        PreparedChange::Parsed {
-            name: parsed,
-            statement,
-        } if parsed == name => Some(statement.clone()),
-        _ => None,
-    });
-    if in_batch.is_some() {
-        return in_batch;
+    let parsed_in_batch = batch
+        .prepared_changes
+        .iter()
+        .rev()
+        .find_map(|change| match change {
+            PreparedChange::Parsed {
+                name: parsed,
+                statement,
+            } if parsed == name => Some(statement.clone()),
+            _ => None,
+        });
+    if parsed_in_batch.is_some() {
+        return parsed_in_batch;
     }
-    let in_earlier_part = earlier
+    let parsed_earlier = earlier_parses
         .iter()
         .rev()
         .find(|(parsed, _)| parsed == name)
         .map(|(_, statement)| statement.clone());
-    let known = in_earlier_part.or_else(|| session.get(name).cloned());
-    if known.is_some() {
-        batch.uses.insert(name.to_owned());
+    let resolved = parsed_earlier.or_else(|| session.get(name).cloned());
+    if resolved.is_some() {
+        batch.referenced_statements.insert(name.to_owned());
     } else {
         let name = name.to_owned();
         batch.refuse(EdgeError::UnknownStatement { name });
     }
-    known
+    resolved
 }
 
 /// Whether the batch does nothing but change one session parameter by a simple query.
-pub(super) fn only_change(batch: &Batch) -> Option<&SessionChange> {
+pub(super) fn single_session_change(batch: &Batch) -> Option<&SessionChange> {
     let is_single = batch.kind == BatchKind::Simple && batch.class.statements == 1;
     match batch.class.changes.as_slice() {
         [change] if is_single => Some(change),
--- a/crates/stairward-proxy/src/edge/cancel.rs
+++ b/crates/stairward-proxy/src/edge/cancel.rs
@@ -22,33 +22,33 @@
     pub(super) secret: u32,
 }
 
-struct Entry {
+struct RegisteredSession {
     secret: u32,
-    cancels: watch::Sender<u64>,
+    cancel_requests: watch::Sender<u64>,
 }
 
 #[derive(Default)]
-struct Entries {
-    next: u32,
-    sessions: HashMap<u32, Entry>,
+struct RegistryState {
+    last_session: u32,
+    sessions: HashMap<u32, RegisteredSession>,
 }
 
 /// The sessions of this node that can be cancelled.
 pub(super) struct CancelRegistry {
     node_bits: u32,
-    entries: Mutex<Entries>,
+    state: Mutex<RegistryState>,
 }
 
 /// A session's place in the registry; given back when dropped.
 pub(super) struct Registration {
     pub(super) key: CancelKey,
     /// Changes with each cancel request.
-    pub(super) cancels: watch::Receiver<u64>,
+    pub(super) cancel_requests: watch::Receiver<u64>,
     registry: Arc<CancelRegistry>,
 }
 
 /// Whether a process number may have been given out by this node.
-pub(super) fn is_process_of(process: u32, node: NodeId) -> bool {
+pub(super) fn may_belong_to(process: u32, node: NodeId) -> bool {
     u64::from(process >> SESSION_BITS) == node.0 & NODE_MASK
 }
 
@@ -57,29 +57,29 @@
         let node_bits = u32::try_from(node.0 & NODE_MASK).unwrap_or_default();
         Self {
             node_bits: node_bits << SESSION_BITS,
-            entries: Mutex::default(),
+            state: Mutex::default(),
         }
     }
 
     /// Adds a session. The secret must be random.
     pub(super) fn register(self: &Arc<Self>, secret: u32) -> Registration {
-        let (sender, cancels) = watch::channel(0);
-        let mut entries = self.lock();
+        let (sender, cancel_requests) = watch::channel(0);
+        let mut state = self.lock();
         let process = loop {
-            entries.next = (entries.next + 1) & SESSION_MASK;
-            let process = self.node_bits | entries.next;
-            if !entries.sessions.contains_key(&process) {
+            state.last_session = (state.last_session + 1) & SESSION_MASK;
+            let process = self.node_bits | state.last_session;
+            if !state.sessions.contains_key(&process) {
                 break process;
             }
         };
-        let entry = Entry {
+        let session = RegisteredSession {
             secret,
-            cancels: sender,
+            cancel_requests: sender,
         };
-        entries.sessions.insert(process, entry);
+        state.sessions.insert(process, session);
         Registration {
             key: CancelKey { process, secret },
-            cancels,
+            cancel_requests,
             registry: Arc::clone(self),
         }
     }
@@ -87,19 +87,19 @@
     /// Cancels what the session with this key runs now, if anything. Returns whether there is such
     /// a session.
     pub(super) fn cancel(&self, key: CancelKey) -> bool {
-        let entries = self.lock();
-        let Some(entry) = entries.sessions.get(&key.process) else {
+        let state = self.lock();
+        let Some(session) = state.sessions.get(&key.process) else {
             return false;
         };
-        let matches = entry.secret == key.secret;
+        let matches = session.secret == key.secret;
         if matches {
-            entry.cancels.send_modify(|count| *count += 1);
+            session.cancel_requests.send_modify(|count| *count += 1);
         }
         matches
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, Entries> {
-        self.entries.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> std::sync::MutexGuard<'_, RegistryState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
--- a/crates/stairward-proxy/src/edge/client.rs
+++ b/crates/stairward-proxy/src/edge/client.rs
@@ -138,7 +138,7 @@
 
     /// Reads ahead, up to a bound, until the caller closes the connection. Never returns while it
     /// stays open. Safe to cancel.
-    pub(super) async fn closed(&mut self) {
+    pub(super) async fn wait_closed(&mut self) {
         while self.input.len() < READ_AHEAD_BYTES {
             if self.fill().await.is_err() {
                 return;
@@ -170,10 +170,10 @@
         if self.flush().await.is_err() || self.socket.shutdown().await.is_err() {
             return;
         }
-        let lingering = async {
-            let mut dropped = [0; LINGER_READ_BYTES];
-            while matches!(self.socket.read(&mut dropped).await, Ok(count) if count > 0) {}
+        let drain_input = async {
+            let mut discarded = [0; LINGER_READ_BYTES];
+            while matches!(self.socket.read(&mut discarded).await, Ok(count) if count > 0) {}
         };
-        let _ = tokio::time::timeout(LINGER_TIME, lingering).await;
+        let _ = tokio::time::timeout(LINGER_TIME, drain_input).await;
     }
 }
--- a/crates/stairward-proxy/src/edge/finish.rs
+++ b/crates/stairward-proxy/src/edge/completion.rs
@@ -13,7 +13,7 @@
 impl Session {
     /// Takes the end of the batch under way in, and reports that the session is ready. Returns the
     /// back end's state, if the owner told it.
-    pub(super) fn batch_done(&mut self, message: OwnerMessage) -> Option<Observation> {
+    pub(super) fn complete_batch(&mut self, message: OwnerMessage) -> Option<Observation> {
         let OwnerMessage::BatchDone {
             status,
             committed_writes,
@@ -25,27 +25,27 @@
             return None;
         };
         let observed = observation(hint);
-        let running = self.end_running(status);
+        let running = self.finish_running(status);
         if let Some(observed) = observed {
             self.floor.raise(observed.freshness);
         }
         // The log position of a commit lies past every earlier one, so it covers them all.
         self.floor_is_known |= committed_writes != 0 && observed.is_some();
         if let Some(running) = &running {
-            self.count_answer(running, observed);
+            self.count_completed(running, observed);
         }
         if let Some(code) =
             ResultCode::from_number(code).filter(|code| *code != ResultCode::Answered)
         {
-            reply::notice(&mut self.client.output, code);
+            reply::notice_response(&mut self.client.output, code);
         }
-        self.ready();
+        self.send_ready();
         observed
     }
 
     /// Ends the batch on the active stream, and the stream too unless a transaction stays open.
-    fn end_running(&mut self, status: WireTransactionStatus) -> Option<Box<RunningBatch>> {
-        let before = self.transaction;
+    fn finish_running(&mut self, status: WireTransactionStatus) -> Option<Box<RunningBatch>> {
+        let previous = self.transaction;
         self.transaction = match status {
             WireTransactionStatus::Idle => Transaction::Idle,
             WireTransactionStatus::InTransaction => Transaction::Open,
@@ -53,9 +53,9 @@
         };
         let running = self.active.as_mut()?.running.take()?;
         if let Some(active) = &mut self.active {
-            active.confirm(&running, &mut self.prepared);
+            active.apply_confirmed(&running, &mut self.prepared);
         }
-        self.remember_changes(&running, before);
+        self.apply_session_changes(&running, previous);
         if self.transaction == Transaction::Idle {
             self.active = None;
         }
@@ -63,18 +63,18 @@
     }
 
     /// Remembers changes of settings, and makes or undoes those of a transaction that has ended.
-    fn remember_changes(&mut self, running: &RunningBatch, before: Transaction) {
+    fn apply_session_changes(&mut self, running: &RunningBatch, previous: Transaction) {
         let class = &running.batch.class;
         let is_idle = self.transaction == Transaction::Idle;
-        let rolls_back = class.ends == Some(TransactionEnd::Rollback);
-        let in_transaction = before != Transaction::Idle || !is_idle;
-        let is_undone = running.filter.failed || (is_idle && rolls_back);
-        if !is_undone {
+        let requests_rollback = class.ends == Some(TransactionEnd::Rollback);
+        let was_in_transaction = previous != Transaction::Idle || !is_idle;
+        let is_rolled_back = running.filter.failed || (is_idle && requests_rollback);
+        if !is_rolled_back {
             for change in &class.changes {
                 if hint_changes::is_hint_change(change) {
                     // Checked before the batch was sent.
                     let _ = hint_changes::apply(change, &mut self.hints);
-                } else if self.variables.apply(change, in_transaction).is_err() {
+                } else if self.variables.apply(change, was_in_transaction).is_err() {
                     tracing::debug!(group = %self.group.id, "a session sets too much to be kept");
                 }
             }
@@ -82,8 +82,9 @@
         if !is_idle {
             return;
         }
-        let committed = class.has_commit && !running.filter.failed && before != Transaction::Failed;
-        if before == Transaction::Idle || committed {
+        let committed =
+            class.has_commit && !running.filter.failed && previous != Transaction::Failed;
+        if previous == Transaction::Idle || committed {
             self.variables.commit();
         } else {
             self.variables.roll_back();
@@ -91,10 +92,10 @@
         self.hints.end_transaction();
     }
 
-    fn count_answer(&self, running: &RunningBatch, observed: Option<Observation>) {
+    fn count_completed(&self, running: &RunningBatch, observed: Option<Observation>) {
         let class = &running.batch.class;
-        let only_controls = class.controls_transaction() && class.statements <= 1;
-        if only_controls || !running.batch.executes {
+        let only_transaction_control = class.controls_transaction() && class.statements <= 1;
+        if only_transaction_control || !running.batch.executes {
             return;
         }
         let counters = &self.service.counters;
--- a/crates/stairward-proxy/src/edge/opening.rs
+++ b/crates/stairward-proxy/src/edge/dispatch.rs
@@ -10,12 +10,12 @@
 use stairward_types::{AccessClass, ResultCode, Time};
 use tokio::sync::watch;
 
-use super::active::{ActiveStream, observation, prepare};
+use super::active::{ActiveStream, build_outgoing, observation};
 use super::batch::BatchKind;
 use super::client::ClientError;
+use super::events::{Wakeup, retry_after};
 use super::execute::{ReadFloor, Request};
-use super::session::{Flow, Session, SessionEnd};
-use super::waiting::{Heard, retry_after};
+use super::session::{Session, SessionEnd, SessionResult};
 
 /// How long a connection to an owner may take to be made before its standby is asked.
 const OPEN_TIMEOUT: Duration = Duration::from_millis(500);
@@ -25,15 +25,15 @@
     /// It goes on.
     Continue(Option<Event>),
     /// It was admitted and the rest of its batch is still to come.
-    Underway,
+    AwaitingNextPart,
     /// It has its outcome.
     Finished(Outcome),
 }
 
 impl Session {
     /// Runs a batch that starts a new stream.
-    pub(super) async fn run_on_new(&mut self, request: Request) -> Flow<()> {
-        let floor = self.floor_for(&request).await;
+    pub(super) async fn run_on_new_stream(&mut self, request: Request) -> SessionResult<()> {
+        let floor = self.request_floor(&request).await;
         let mut machine = RequestMachine::new(RequestSpec {
             access: request.access,
             repeatable: request.repeatable,
@@ -44,16 +44,16 @@
             bytes: request.batch.bytes(),
         });
         let kind = request.batch.kind;
-        let output_before = self.client.output.len();
-        let mut opening = Opening {
+        let output_start = self.client.output.len();
+        let mut dispatch = Dispatch {
             request,
             floor,
-            wake: Time::NEVER,
-            output_before,
-            primary: self.group.watch_primary(),
+            wake_at: Time::NEVER,
+            output_start,
+            primary: self.group.subscribe_primary(),
         };
-        self.registration.cancels.mark_unchanged();
-        let outcome = self.drive(&mut machine, &mut opening).await;
+        self.registration.cancel_requests.mark_unchanged();
+        let outcome = self.drive_request(&mut machine, &mut dispatch).await;
         if outcome.is_err() {
             // Gives back a place in the hold queue.
             let now = self.now();
@@ -64,7 +64,7 @@
             None | Some(Outcome::Answered) => {}
             Some(Outcome::Failed(failure)) => {
                 self.active = None;
-                self.truncate_output(&opening);
+                self.discard_output(&dispatch);
                 self.refuse(kind, failure.into());
             }
         }
@@ -72,12 +72,12 @@
     }
 
     /// Forgets answers of a failed attempt that the caller has seen nothing of.
-    fn truncate_output(&mut self, opening: &Opening) {
-        let length = self.client.output.len().min(opening.output_before);
+    fn discard_output(&mut self, dispatch: &Dispatch) {
+        let length = self.client.output.len().min(dispatch.output_start);
         self.client.output.truncate(length);
     }
 
-    async fn floor_for(&mut self, request: &Request) -> ReadFloor {
+    async fn request_floor(&mut self, request: &Request) -> ReadFloor {
         if request.access == AccessClass::Read {
             return self.read_floor(request).await;
         }
@@ -89,19 +89,19 @@
 
     /// Feeds the machine until the request has its outcome; `None` when the rest of its batch is
     /// still to come.
-    async fn drive(
+    async fn drive_request(
         &mut self,
         machine: &mut RequestMachine,
-        opening: &mut Opening,
-    ) -> Flow<Option<Outcome>> {
+        dispatch: &mut Dispatch,
+    ) -> SessionResult<Option<Outcome>> {
         let mut next = Some(Event::Start);
         loop {
             let event = match next.take() {
                 Some(event) => event,
-                None => match self.next_event(opening).await? {
+                None => match self.next_event(dispatch).await? {
                     Progress::Continue(Some(event)) => event,
                     Progress::Continue(None) => continue,
-                    Progress::Underway => return Ok(None),
+                    Progress::AwaitingNextPart => return Ok(None),
                     Progress::Finished(outcome) => return Ok(Some(outcome)),
                 },
             };
@@ -111,27 +111,27 @@
                 .group
                 .with_routing(|routing| machine.handle(now, event, routing, random));
             for effect in effects {
-                match self.carry_out(effect, opening).await {
+                match self.apply_effect(effect, dispatch).await {
                     Progress::Continue(Some(event)) => next = Some(event),
                     Progress::Continue(None) => {}
-                    Progress::Underway => return Ok(None),
+                    Progress::AwaitingNextPart => return Ok(None),
                     Progress::Finished(outcome) => return Ok(Some(outcome)),
                 }
             }
         }
     }
 
-    async fn carry_out(&mut self, effect: Effect, opening: &mut Opening) -> Progress {
+    async fn apply_effect(&mut self, effect: Effect, dispatch: &mut Dispatch) -> Progress {
         match effect {
             Effect::Send(attempt) => {
                 self.active = None;
-                self.truncate_output(opening);
-                return Progress::Continue(self.send_attempt(&attempt, opening).await);
+                self.discard_output(dispatch);
+                return Progress::Continue(self.send_attempt(&attempt, dispatch).await);
             }
-            Effect::WakeAt(moment) => opening.wake = moment,
+            Effect::WakeAt(moment) => dispatch.wake_at = moment,
             Effect::FindPrimary => {
                 self.active = None;
-                self.group.search_primary();
+                self.group.start_primary_search();
             }
             Effect::Cancel => {
                 if let Some(active) = &self.active {
@@ -145,8 +145,8 @@
     }
 
     /// Opens a stream; returns what the machine must hear when that failed.
-    async fn send_attempt(&mut self, attempt: &Attempt, opening: &Opening) -> Option<Event> {
-        let lost = Some(Event::StreamLost {
+    async fn send_attempt(&mut self, attempt: &Attempt, dispatch: &Dispatch) -> Option<Event> {
+        let stream_lost = Some(Event::StreamLost {
             request_sent: false,
         });
         let owners = self.service.cluster.owners(&attempt.backend);
@@ -157,16 +157,16 @@
                 Some(owners.owner)
             }
         });
-        let Some(node) = node else { return lost };
-        let request = &opening.request;
-        let prepared = prepare(
+        let Some(node) = node else { return stream_lost };
+        let request = &dispatch.request;
+        let outgoing = build_outgoing(
             request.batch.clone(),
             |_| false,
             &self.prepared,
             request.may_commit(),
         );
         let setup = self.session_setup(request);
-        let mut batch = prepared.wire;
+        let mut batch = outgoing.wire;
         if !setup.is_empty() {
             batch.alters_session = 1;
         }
@@ -177,7 +177,7 @@
                 AccessClass::Read => WireAccess::Read,
                 AccessClass::Write => WireAccess::Write,
             },
-            floor: opening.floor.freshness.into(),
+            floor: dispatch.floor.freshness.into(),
             expected_term: attempt.expected_term.0,
             deadline_milliseconds: milliseconds(attempt.remaining),
             freshness_wait_milliseconds: milliseconds(attempt.freshness_wait),
@@ -186,15 +186,15 @@
             batch,
         };
         // Giving up on a connection that is still being made sends nothing.
-        let patience = attempt.remaining.min(OPEN_TIMEOUT);
+        let connect_timeout = attempt.remaining.min(OPEN_TIMEOUT);
         let opened = self.service.network.open_stream(node, open);
-        match tokio::time::timeout(patience, opened).await {
+        match tokio::time::timeout(connect_timeout, opened).await {
             Ok(Ok(stream)) => {
-                let active = ActiveStream::opened(stream, request.access, prepared.running);
+                let active = ActiveStream::opened(stream, request.access, outgoing.running);
                 self.active = Some(Box::new(active));
                 None
             }
-            Ok(Err(_)) | Err(_) => lost,
+            Ok(Err(_)) | Err(_) => stream_lost,
         }
     }
 
@@ -213,40 +213,46 @@
         bytes.to_vec()
     }
 
-    async fn next_event(&mut self, opening: &mut Opening) -> Flow<Progress> {
+    async fn next_event(&mut self, dispatch: &mut Dispatch) -> SessionResult<Progress> {
         // A write under way is left to run: the caller may have sent it and gone.
-        let watch_caller = opening.request.access == AccessClass::Read || self.active.is_none();
-        let heard = self
-            .hear(opening.wake, &mut opening.primary, watch_caller)
+        let watch_client = dispatch.request.access == AccessClass::Read || self.active.is_none();
+        let event = self
+            .next_wakeup(dispatch.wake_at, &mut dispatch.primary, watch_client)
             .await?;
-        let message = match heard {
-            Heard::Owner(Some(message)) => message,
-            Heard::Owner(None) => {
+        let message = match event {
+            Wakeup::Owner(Some(message)) => message,
+            Wakeup::Owner(None) => {
                 self.active = None;
                 return Ok(Progress::Continue(Some(Event::StreamLost {
                     request_sent: true,
                 })));
             }
-            Heard::Flush => {
-                let begun = self.flush_answers().await?;
-                opening.output_before = 0;
-                return Ok(Progress::Continue(begun.then_some(Event::AnswerStarted)));
+            Wakeup::FlushDue => {
+                let response_started = self.flush_output().await?;
+                dispatch.output_start = 0;
+                return Ok(Progress::Continue(
+                    response_started.then_some(Event::AnswerStarted),
+                ));
             }
-            Heard::Tick => return Ok(Progress::Continue(Some(Event::Tick))),
-            Heard::PrimaryLearnt => return Ok(Progress::Continue(Some(Event::PrimaryFound))),
-            Heard::Cancelled => return Ok(Progress::Continue(Some(Event::Cancelled))),
-            Heard::CallerGone => return Err(SessionEnd::Client(ClientError::Closed)),
+            Wakeup::Timer => return Ok(Progress::Continue(Some(Event::Tick))),
+            Wakeup::NewPrimary => return Ok(Progress::Continue(Some(Event::PrimaryFound))),
+            Wakeup::CancelRequested => return Ok(Progress::Continue(Some(Event::Cancelled))),
+            Wakeup::ClientGone => return Err(SessionEnd::Client(ClientError::Closed)),
         };
-        self.hear_owner(message, opening).await
+        self.handle_owner_message(message, dispatch).await
     }
 
     /// Takes a message of the owner in. Those that end the stream let go of it, since nothing but its
     /// end would be heard on it from now on.
-    async fn hear_owner(&mut self, message: OwnerMessage, opening: &mut Opening) -> Flow<Progress> {
+    async fn handle_owner_message(
+        &mut self,
+        message: OwnerMessage,
+        dispatch: &mut Dispatch,
+    ) -> SessionResult<Progress> {
         let event = match message {
             OwnerMessage::Admitted(hint) => {
-                if opening.request.batch.kind == BatchKind::Partial {
-                    return Ok(Progress::Underway);
+                if dispatch.request.batch.kind == BatchKind::Partial {
+                    return Ok(Progress::AwaitingNextPart);
                 }
                 Event::Admitted(observation(hint))
             }
@@ -263,11 +269,13 @@
                 }
             }
             OwnerMessage::Answer { messages } => {
-                let begun = self.pass_answer(&messages.bytes).await?;
-                if begun {
-                    opening.output_before = 0;
+                let response_started = self.forward_response(&messages.bytes).await?;
+                if response_started {
+                    dispatch.output_start = 0;
                 }
-                return Ok(Progress::Continue(begun.then_some(Event::AnswerStarted)));
+                return Ok(Progress::Continue(
+                    response_started.then_some(Event::AnswerStarted),
+                ));
             }
             OwnerMessage::OutcomeUnknown { code, hint } => {
                 self.active = None;
@@ -280,19 +288,19 @@
                 self.active = None;
                 Event::TransactionLost
             }
-            done @ OwnerMessage::BatchDone { .. } => Event::Done(self.batch_done(done)),
+            done @ OwnerMessage::BatchDone { .. } => Event::Done(self.complete_batch(done)),
         };
         Ok(Progress::Continue(Some(event)))
     }
 }
 
 /// A request on its way to a stream.
-pub(super) struct Opening {
+pub(super) struct Dispatch {
     request: Request,
     floor: ReadFloor,
-    wake: Time,
+    wake_at: Time,
     /// Length of the caller's output when the request began; what follows is of the attempt.
-    output_before: usize,
+    output_start: usize,
     primary: watch::Receiver<u64>,
 }
 
--- a/crates/stairward-proxy/src/edge/error.rs
+++ b/crates/stairward-proxy/src/edge/error.rs
@@ -7,7 +7,7 @@
 use stairward_types::ResultCode;
 
 /// SQLSTATE `invalid_sql_statement_name`.
-const UNKNOWN_STATEMENT: &str = "26000";
+const INVALID_SQL_STATEMENT_NAME: &str = "26000";
 
 /// An answer that stairward gives in the back end's place.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -34,7 +34,7 @@
         Failure::new(code).into()
     }
 
-    pub(super) fn explained(code: ResultCode, explanation: impl fmt::Display) -> Self {
+    pub(super) fn with_explanation(code: ResultCode, explanation: impl fmt::Display) -> Self {
         Self::Result {
             code,
             retry_after: None,
@@ -53,7 +53,7 @@
     pub(super) fn sqlstate(&self) -> &'static str {
         match self {
             Self::Result { code, .. } => code.sqlstate(),
-            Self::UnknownStatement { .. } => UNKNOWN_STATEMENT,
+            Self::UnknownStatement { .. } => INVALID_SQL_STATEMENT_NAME,
         }
     }
 
--- a/crates/stairward-proxy/src/edge/execute.rs
+++ b/crates/stairward-proxy/src/edge/execute.rs
@@ -6,12 +6,12 @@
 use stairward_session::Hints;
 use stairward_types::{AccessClass, Freshness, ResultCode, Time};
 
-use super::batch::{Batch, BatchKind, only_change};
+use super::batch::{Batch, BatchKind, single_session_change};
 use super::error::EdgeError;
 use super::frontend::{Frame, FrontendMessage, Target};
 use super::hint_changes;
 use super::reply;
-use super::session::{Flow, Session, Transaction};
+use super::session::{Session, SessionResult, Transaction};
 
 /// How long a session's first read waits for a majority before it goes to the primary.
 const MAJORITY_TIMEOUT: Duration = Duration::from_secs(1);
@@ -37,21 +37,21 @@
 
 impl Session {
     /// Runs a batch, answers it, and reports that the session is ready unless more of it follows.
-    pub(super) async fn execute(&mut self, mut batch: Batch) -> Flow<()> {
+    pub(super) async fn execute(&mut self, mut batch: Batch) -> SessionResult<()> {
         let statements = batch.class.statements as u64;
         self.service.counters.statements.add(statements);
         if let Transaction::Lost { reported } = self.transaction {
-            self.answer_lost(&batch, reported);
+            self.handle_lost_transaction(&batch, reported);
             return Ok(());
         }
         if let Some(error) = batch.error.take() {
             self.refuse(batch.kind, error);
             return Ok(());
         }
-        if self.answer_locally(&batch) {
+        if self.handle_locally(&batch) {
             return Ok(());
         }
-        let request = match self.request(batch) {
+        let request = match self.build_request(batch) {
             Ok(request) => request,
             Err((kind, error)) => {
                 self.refuse(kind, error);
@@ -59,31 +59,32 @@
             }
         };
         if self.active.is_some() {
-            self.run_on_active(request).await
+            self.run_on_active_stream(request).await
         } else {
-            self.run_on_new(request).await
+            self.run_on_new_stream(request).await
         }
     }
 
     /// Answers what concerns nobody but the edge. Returns false when a back end is needed.
-    fn answer_locally(&mut self, batch: &Batch) -> bool {
+    fn handle_locally(&mut self, batch: &Batch) -> bool {
         if self.transaction == Transaction::Failed || batch.kind != BatchKind::Simple {
             return false;
         }
         if batch.class.statements == 0 {
-            reply::empty_query(&mut self.client.output);
-            self.ready();
+            reply::empty_query_response(&mut self.client.output);
+            self.send_ready();
             return true;
         }
-        if hint_changes::shows_token(&batch.text) {
+        if hint_changes::is_show_token(&batch.text) {
             let token = self.token().unwrap_or_default();
             let output = &mut self.client.output;
             reply::text_row(output, hint_changes::TOKEN_PARAMETER, &token);
             reply::command_complete(output, "SHOW");
-            self.ready();
+            self.send_ready();
             return true;
         }
-        let Some(change) = only_change(batch).filter(|change| hint_changes::is_hint_change(change))
+        let Some(change) =
+            single_session_change(batch).filter(|change| hint_changes::is_hint_change(change))
         else {
             return false;
         };
@@ -100,29 +101,30 @@
         let is_reset = matches!(change, stairward_session::SessionChange::Reset { .. });
         let tag = if is_reset { "RESET" } else { "SET" };
         reply::command_complete(&mut self.client.output, tag);
-        self.ready();
+        self.send_ready();
         true
     }
 
     /// Joins a batch with the hints and settings in force.
-    fn request(&mut self, batch: Batch) -> Result<Request, (BatchKind, EdgeError)> {
+    fn build_request(&mut self, batch: Batch) -> Result<Request, (BatchKind, EdgeError)> {
         let hints = self.hints.effective(batch.hints.clone());
         let now = self.now();
-        let in_force = self.group.with_settings(|settings| {
+        let limits_and_service = self.group.with_settings(|settings| {
             let timeout = hints.deadline.unwrap_or(settings.request_timeout);
             let staleness = hints
                 .maximum_staleness
                 .unwrap_or(settings.maximum_staleness);
             (timeout, staleness, settings.service.to_string())
         });
-        let Some((timeout, staleness, service)) = in_force else {
-            let error = EdgeError::explained(ResultCode::UnknownDatabase, self.group.id.as_str());
+        let Some((timeout, staleness, service)) = limits_and_service else {
+            let error =
+                EdgeError::with_explanation(ResultCode::UnknownDatabase, self.group.id.as_str());
             return Err((batch.kind, error));
         };
         let read_only = hints.read_only == Some(true);
         let access = batch.access();
         if read_only && access == AccessClass::Write && !batch.class.controls_transaction() {
-            let error = EdgeError::explained(
+            let error = EdgeError::with_explanation(
                 ResultCode::InvalidHint,
                 "stairward.read_only is on and the statement may write",
             );
@@ -160,11 +162,11 @@
         if access == AccessClass::Read {
             return Ok(None);
         }
-        let is_alone = self.transaction == Transaction::Idle
+        let is_single_write = self.transaction == Transaction::Idle
             && !batch.class.controls_transaction()
             && batch.kind != BatchKind::Partial;
-        if !is_alone {
-            return Err(EdgeError::explained(
+        if !is_single_write {
+            return Err(EdgeError::with_explanation(
                 ResultCode::InvalidHint,
                 "stairward.request_key can't be used within an explicit transaction",
             ));
@@ -180,7 +182,7 @@
         let must_check_token = self
             .floor
             .get()
-            .is_some_and(|floor| self.is_term_unheard_of(floor));
+            .is_some_and(|floor| self.is_term_unknown(floor));
         if !self.floor_is_known || must_check_token {
             let confirmed = self.group.confirmed_freshness(timeout).await;
             match confirmed {
@@ -198,19 +200,19 @@
             }
         }
         ReadFloor {
-            freshness: self.with_staleness(request),
+            freshness: self.floor_with_staleness(request),
             primary_only: false,
         }
     }
 
-    fn is_term_unheard_of(&self, floor: Freshness) -> bool {
+    fn is_term_unknown(&self, floor: Freshness) -> bool {
         self.group.with_routing(|routing| {
-            floor.term > routing.view.newest().term.max(known_term(routing))
+            floor.term > routing.view.newest().term.max(primary_term(routing))
         })
     }
 
     /// The session's floor, raised to what was seen anywhere as long ago as the answer may be old.
-    fn with_staleness(&self, request: &Request) -> Option<Freshness> {
+    fn floor_with_staleness(&self, request: &Request) -> Option<Freshness> {
         let floor = self.floor.get();
         if request.staleness.is_zero() {
             return floor;
@@ -226,12 +228,12 @@
     }
 
     /// Answers while the session's transaction is lost: its end is confirmed, all else is refused.
-    fn answer_lost(&mut self, batch: &Batch, reported: bool) {
+    fn handle_lost_transaction(&mut self, batch: &Batch, reported: bool) {
         let ends = batch.class.ends.is_some() && batch.class.leaves_open.is_none();
         let commits = batch.class.has_commit;
         if ends && (reported || !commits) {
             self.transaction = Transaction::Idle;
-            self.answer_rolled_back(batch);
+            self.emulate_rollback(batch);
             return;
         }
         let code = if reported {
@@ -246,29 +248,29 @@
     }
 
     /// Plays the back end for the end of a transaction that no longer exists.
-    fn answer_rolled_back(&mut self, batch: &Batch) {
+    fn emulate_rollback(&mut self, batch: &Batch) {
         for bytes in &batch.frames {
             let frame = Frame {
                 bytes: bytes.clone(),
             };
             if let Ok(message) = frame.message() {
-                answer_message(message, &mut self.client.output);
+                emulate_response(message, &mut self.client.output);
             }
         }
         if batch.kind != BatchKind::Partial {
-            self.ready();
+            self.send_ready();
         }
     }
 }
 
-fn known_term(routing: &stairward_routing::GroupRouting) -> stairward_types::Term {
+fn primary_term(routing: &stairward_routing::GroupRouting) -> stairward_types::Term {
     routing
         .view
         .primary()
         .map_or_else(Default::default, |primary| primary.term)
 }
 
-fn answer_message(message: FrontendMessage<'_>, output: &mut bytes::BytesMut) {
+fn emulate_response(message: FrontendMessage<'_>, output: &mut bytes::BytesMut) {
     match message {
         FrontendMessage::Query { .. } | FrontendMessage::Execute { .. } => {
             reply::command_complete(output, "ROLLBACK");
@@ -278,7 +280,7 @@
         FrontendMessage::Close { .. } => reply::close_complete(output),
         FrontendMessage::Describe { target, .. } => {
             if target == Target::Statement {
-                reply::no_parameters(output);
+                reply::empty_parameter_description(output);
             }
             reply::no_data(output);
         }
--- a/crates/stairward-proxy/src/edge/group.rs
+++ b/crates/stairward-proxy/src/edge/group.rs
@@ -13,12 +13,12 @@
 use stairward_types::{Freshness, GroupId, Revision};
 use tokio::sync::watch;
 
-use super::majority::{MajorityRounds, MemberAnswer};
+use super::majority::{MajorityRounds, MemberReply};
 use crate::cluster::{Cluster, Identity, KnownPrimary};
 use crate::peer::PeerNetwork;
 
 /// Pause between two searches for a primary while requests wait for one.
-const SEARCH_PAUSE: Duration = Duration::from_millis(25);
+const SEARCH_INTERVAL: Duration = Duration::from_millis(25);
 /// How long one search waits for the members' answers.
 const SEARCH_TIMEOUT: Duration = Duration::from_millis(400);
 /// Requests released to a new primary per second.
@@ -31,7 +31,7 @@
     network: PeerNetwork,
     state: Mutex<State>,
     /// Counts the times a primary was learnt or found alive.
-    primary_learnt: watch::Sender<u64>,
+    primary_updates: watch::Sender<u64>,
     searching: AtomicBool,
     rounds: MajorityRounds,
 }
@@ -49,7 +49,7 @@
             cluster,
             network,
             state: Mutex::default(),
-            primary_learnt: watch::Sender::new(0),
+            primary_updates: watch::Sender::new(0),
             searching: AtomicBool::new(false),
             rounds: MajorityRounds::default(),
         }
@@ -99,50 +99,50 @@
     }
 
     /// Follows the times a primary is learnt.
-    pub(super) fn watch_primary(&self) -> watch::Receiver<u64> {
-        self.primary_learnt.subscribe()
+    pub(super) fn subscribe_primary(&self) -> watch::Receiver<u64> {
+        self.primary_updates.subscribe()
     }
 
     /// Wakes the requests that wait for a primary.
-    pub(super) fn wake_held(&self) {
-        self.primary_learnt.send_modify(|count| *count += 1);
+    pub(super) fn notify_waiting(&self) {
+        self.primary_updates.send_modify(|count| *count += 1);
     }
 
     /// Looks for a primary as long as requests wait for one. At most one search runs.
-    pub(super) fn search_primary(self: &Arc<Self>) {
+    pub(super) fn start_primary_search(self: &Arc<Self>) {
         if self.searching.swap(true, Ordering::SeqCst) {
             return;
         }
         let group = Arc::clone(self);
         tokio::spawn(async move {
             while group.with_routing(|routing| !routing.hold.is_empty()) {
-                if group.search_once().await {
-                    group.wake_held();
+                if group.search_round().await {
+                    group.notify_waiting();
                 }
-                tokio::time::sleep(SEARCH_PAUSE).await;
+                tokio::time::sleep(SEARCH_INTERVAL).await;
             }
             group.searching.store(false, Ordering::SeqCst);
             // A request may have begun to wait between the last look and now.
             if group.with_routing(|routing| !routing.hold.is_empty()) {
-                group.search_primary();
+                group.start_primary_search();
             }
         });
     }
 
     /// Asks every member once, and stops as soon as the answers show a primary.
-    async fn search_once(&self) -> bool {
+    async fn search_round(&self) -> bool {
         let Some(settings) = self.settings() else {
             return false;
         };
-        let mut questions: FuturesUnordered<_> = settings
+        let mut queries: FuturesUnordered<_> = settings
             .backends
             .keys()
-            .map(|backend| self.ask_member(backend, SEARCH_TIMEOUT))
+            .map(|backend| self.query_member(backend, SEARCH_TIMEOUT))
             .collect();
-        let mut answers = Vec::new();
-        while let Some(answer) = questions.next().await {
-            answers.extend(answer);
-            if self.take_primary(&answers, settings.backends.len()) {
+        let mut replies = Vec::new();
+        while let Some(reply) = queries.next().await {
+            replies.extend(reply);
+            if self.adopt_primary(&replies, settings.backends.len()) {
                 return true;
             }
         }
@@ -151,11 +151,11 @@
 
     /// Takes over the primary that the answers show, if they do. A newer one counts at once; the one
     /// already known only if a majority knows of no later term, since it may be cut off.
-    fn take_primary(&self, answers: &[MemberAnswer], members: usize) -> bool {
-        let newest = answers.iter().map(|answer| answer.freshness.term).max();
-        let primary = answers
+    fn adopt_primary(&self, replies: &[MemberReply], members: usize) -> bool {
+        let newest = replies.iter().map(|reply| reply.freshness.term).max();
+        let primary = replies
             .iter()
-            .find(|answer| answer.is_primary && Some(answer.freshness.term) == newest);
+            .find(|reply| reply.is_primary && Some(reply.freshness.term) == newest);
         let Some(primary) = primary else {
             return false;
         };
@@ -164,40 +164,40 @@
             backend: primary.backend.clone(),
         };
         let is_newer = self.cluster.learn_primary(&self.id, known.clone());
-        let is_found = is_newer || answers.len() * 2 > members;
-        if is_found {
+        let is_confirmed = is_newer || replies.len() * 2 > members;
+        if is_confirmed {
             self.with_routing(|routing| {
                 routing.view.confirm_primary(known.term, known.backend);
             });
         }
-        is_found
+        is_confirmed
     }
 
     /// Asks a back end's owner, or else its standby, for its state, now.
-    async fn ask_member(
+    async fn query_member(
         &self,
         backend: &stairward_types::BackendId,
         timeout: Duration,
-    ) -> Option<MemberAnswer> {
+    ) -> Option<MemberReply> {
         let owners = self.cluster.owners(backend)?;
         for node in [Some(owners.owner), owners.standby].into_iter().flatten() {
             let request = CallRequest::AskBackend {
                 backend: backend.as_str().into(),
             };
-            let reply = self.network.call(node, request, timeout).await;
-            if let Some(answer) = MemberAnswer::read(backend, reply) {
-                self.observe(&answer);
-                return Some(answer);
+            let call_result = self.network.call(node, request, timeout).await;
+            if let Some(reply) = MemberReply::read(backend, call_result) {
+                self.record_observation(&reply);
+                return Some(reply);
             }
         }
         None
     }
 
-    fn observe(&self, answer: &MemberAnswer) {
+    fn record_observation(&self, reply: &MemberReply) {
         let now = self.cluster.clock.now();
         self.with_routing(|routing| {
-            let observation = answer.observation(&routing.view);
-            routing.view.observe(now, &answer.backend, observation);
+            let observation = reply.observation(&routing.view);
+            routing.view.observe(now, &reply.backend, observation);
         });
     }
 
@@ -211,7 +211,7 @@
                 settings
                     .backends
                     .keys()
-                    .map(|backend| self.ask_member(backend, timeout))
+                    .map(|backend| self.query_member(backend, timeout))
                     .collect()
             })
             .await
--- a/crates/stairward-proxy/src/edge/hint_changes.rs
+++ b/crates/stairward-proxy/src/edge/hint_changes.rs
@@ -21,7 +21,7 @@
 ///
 /// # Errors
 /// A numbered error for an unknown hint or a bad value.
-pub(super) fn check(change: &SessionChange) -> Result<(), EdgeError> {
+pub(super) fn validate(change: &SessionChange) -> Result<(), EdgeError> {
     if !is_hint_change(change) {
         return Ok(());
     }
@@ -44,7 +44,7 @@
         }
         _ => Ok(()),
     };
-    applied.map_err(|error| EdgeError::explained(ResultCode::InvalidHint, error))
+    applied.map_err(|error| EdgeError::with_explanation(ResultCode::InvalidHint, error))
 }
 
 /// The value of a quoted SQL literal, or the text itself.
@@ -56,7 +56,7 @@
 }
 
 /// Whether a simple query asks for the session's token.
-pub(super) fn shows_token(text: &str) -> bool {
+pub(super) fn is_show_token(text: &str) -> bool {
     let text = text.trim().trim_end_matches(';').trim_end();
     let mut words = text.split_whitespace();
     let is_show = words
--- a/crates/stairward-proxy/src/edge/majority.rs
+++ b/crates/stairward-proxy/src/edge/majority.rs
@@ -14,7 +14,7 @@
 
 /// What a member said when asked.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) struct MemberAnswer {
+pub(super) struct MemberReply {
     pub(super) backend: BackendId,
     /// Its term and applied position: what reads on it see.
     pub(super) freshness: Freshness,
@@ -23,9 +23,12 @@
     pub(super) is_primary: bool,
 }
 
-impl MemberAnswer {
-    pub(super) fn read(backend: &BackendId, reply: Result<CallReply, PeerError>) -> Option<Self> {
-        match reply {
+impl MemberReply {
+    pub(super) fn read(
+        backend: &BackendId,
+        call_result: Result<CallReply, PeerError>,
+    ) -> Option<Self> {
+        match call_result {
             Ok(CallReply::Backend {
                 freshness,
                 is_primary,
@@ -72,7 +75,7 @@
 /// only then does it cover all that was acknowledged before.
 #[derive(Default)]
 pub(super) struct MajorityRounds {
-    begun: AtomicU64,
+    started: AtomicU64,
     last: Mutex<LastRound>,
 }
 
@@ -86,35 +89,35 @@
     pub(super) async fn run<F>(
         &self,
         members: usize,
-        questions: impl FnOnce() -> FuturesUnordered<F>,
+        queries: impl FnOnce() -> FuturesUnordered<F>,
     ) -> Option<Freshness>
     where
-        F: Future<Output = Option<MemberAnswer>>,
+        F: Future<Output = Option<MemberReply>>,
     {
-        let begun_before = self.begun.load(Ordering::SeqCst);
+        let started_before = self.started.load(Ordering::SeqCst);
         let mut last = self.last.lock().await;
-        if last.number > begun_before {
+        if last.number > started_before {
             return last.result;
         }
-        last.number = self.begun.fetch_add(1, Ordering::SeqCst) + 1;
-        last.result = join_of_majority(members, questions()).await;
+        last.number = self.started.fetch_add(1, Ordering::SeqCst) + 1;
+        last.result = combine_majority(members, queries()).await;
         last.result
     }
 }
 
-async fn join_of_majority<F>(members: usize, mut answers: FuturesUnordered<F>) -> Option<Freshness>
+async fn combine_majority<F>(members: usize, mut replies: FuturesUnordered<F>) -> Option<Freshness>
 where
-    F: Future<Output = Option<MemberAnswer>>,
+    F: Future<Output = Option<MemberReply>>,
 {
-    let needed = members / 2 + 1;
+    let quorum = members / 2 + 1;
     let mut count = 0;
-    let mut joined = Freshness::default();
-    while let Some(answer) = answers.next().await {
-        let Some(answer) = answer else { continue };
-        joined = joined.join(answer.received);
+    let mut combined = Freshness::default();
+    while let Some(reply) = replies.next().await {
+        let Some(reply) = reply else { continue };
+        combined = combined.join(reply.received);
         count += 1;
-        if count >= needed {
-            return Some(joined);
+        if count >= quorum {
+            return Some(combined);
         }
     }
     None
--- a/crates/stairward-proxy/src/edge/mod.rs
+++ b/crates/stairward-proxy/src/edge/mod.rs
@@ -6,22 +6,23 @@
 //! that the session holds ([`pinned`]).
 
 mod active;
-mod answer;
 mod authentication;
 mod batch;
 mod cancel;
 mod client;
+mod completion;
+mod dispatch;
 mod error;
+mod events;
 mod execute;
-mod finish;
 mod frontend;
 mod group;
 mod hint_changes;
 mod majority;
-mod opening;
 mod parameters;
 mod pinned;
 mod reply;
+mod response_filter;
 mod service;
 mod session;
 mod settings;
@@ -29,7 +30,6 @@
 mod statistics;
 #[cfg(test)]
 mod tests;
-mod waiting;
 
 pub use service::EdgeService;
 pub use settings::{EdgeSettings, Users};
--- a/crates/stairward-proxy/src/edge/parameters.rs
+++ b/crates/stairward-proxy/src/edge/parameters.rs
@@ -29,39 +29,39 @@
 ///
 /// # Errors
 /// A numbered error for a missing user, a bad hint, or what isn't offered.
-pub(super) fn read_parameters(
+pub(super) fn parse_startup_parameters(
     parameters: BTreeMap<String, String>,
 ) -> Result<StartupParameters, EdgeError> {
-    let mut read = StartupParameters::default();
+    let mut parsed = StartupParameters::default();
     let mut options = Vec::new();
     for (name, value) in parameters {
         match name.as_str() {
-            "user" => read.user = value,
-            "database" => read.database = value,
+            "user" => parsed.user = value,
+            "database" => parsed.database = value,
             "options" => options = split_options(&value)?,
             "replication" if is_off(&value) => {}
             "replication" => {
-                return Err(EdgeError::explained(
+                return Err(EdgeError::with_explanation(
                     ResultCode::FeatureRefused,
                     "replication connections",
                 ));
             }
-            _ => read.set(&name, &value)?,
+            _ => parsed.set(&name, &value)?,
         }
     }
     for (name, value) in options {
-        read.set(&name, &value)?;
+        parsed.set(&name, &value)?;
     }
-    if read.user.is_empty() {
-        return Err(EdgeError::explained(
+    if parsed.user.is_empty() {
+        return Err(EdgeError::with_explanation(
             ResultCode::ProtocolViolation,
             "no user name was given",
         ));
     }
-    if read.database.is_empty() {
-        read.database.clone_from(&read.user);
+    if parsed.database.is_empty() {
+        parsed.database.clone_from(&parsed.user);
     }
-    Ok(read)
+    Ok(parsed)
 }
 
 fn is_off(value: &str) -> bool {
@@ -75,7 +75,7 @@
             return self
                 .hints
                 .set(&name, value)
-                .map_err(|error| EdgeError::explained(ResultCode::InvalidHint, error));
+                .map_err(|error| EdgeError::with_explanation(ResultCode::InvalidHint, error));
         }
         if name == "application_name" {
             value.clone_into(&mut self.application_name);
@@ -84,7 +84,7 @@
         if name == "client_encoding" {
             return check_encoding(value);
         }
-        if !is_default(&name, value) {
+        if !is_backend_default(&name, value) {
             self.settings.insert(name, quote_literal(value));
         }
         Ok(())
@@ -93,14 +93,14 @@
 
 /// Only UTF-8 is spoken, since texts are passed on unchanged.
 fn check_encoding(value: &str) -> Result<(), EdgeError> {
-    let plain: String = value
+    let normalized: String = value
         .chars()
         .filter(char::is_ascii_alphanumeric)
         .map(|character| character.to_ascii_lowercase())
         .collect();
-    match plain.as_str() {
+    match normalized.as_str() {
         "utf8" | "unicode" => Ok(()),
-        _ => Err(EdgeError::explained(
+        _ => Err(EdgeError::with_explanation(
             ResultCode::FeatureRefused,
             format!("client encoding {value}; use UTF8"),
         )),
@@ -109,7 +109,7 @@
 
 /// Whether a setting that drivers send at every start is what back ends have anyway, so that it
 /// needn't be made on each connection.
-fn is_default(name: &str, value: &str) -> bool {
+fn is_backend_default(name: &str, value: &str) -> bool {
     match name {
         "datestyle" => value.to_ascii_uppercase().starts_with("ISO"),
         "intervalstyle" => value.eq_ignore_ascii_case("postgres"),
@@ -124,7 +124,7 @@
 /// Splits `-c name=value` and `--name=value`, with `\` before spaces that belong to a value.
 fn split_options(text: &str) -> Result<Vec<(String, String)>, EdgeError> {
     let malformed =
-        || EdgeError::explained(ResultCode::ProtocolViolation, "the options are malformed");
+        || EdgeError::with_explanation(ResultCode::ProtocolViolation, "the options are malformed");
     let mut settings = Vec::new();
     let mut words = split_words(text).into_iter();
     while let Some(word) = words.next() {
@@ -165,7 +165,7 @@
 }
 
 /// Reports the parameters that drivers wait for.
-pub(super) fn report(output: &mut BytesMut, parameters: &StartupParameters) {
+pub(super) fn send_parameter_status(output: &mut BytesMut, parameters: &StartupParameters) {
     let reported = [
         ("server_version", SERVER_VERSION),
         ("server_encoding", "UTF8"),
@@ -182,6 +182,6 @@
         ("in_hot_standby", "off"),
     ];
     for (name, value) in reported {
-        reply::parameter(output, name, value);
+        reply::parameter_status(output, name, value);
     }
 }
--- a/crates/stairward-proxy/src/edge/pinned.rs
+++ b/crates/stairward-proxy/src/edge/pinned.rs
@@ -6,28 +6,28 @@
 use stairward_protocol::stream::{EdgeMessage, OwnerMessage};
 use stairward_types::{AccessClass, ResultCode, Time};
 
-use super::active::{ActiveStream, prepare};
+use super::active::{ActiveStream, build_outgoing};
 use super::batch::BatchKind;
 use super::client::ClientError;
 use super::error::EdgeError;
+use super::events::{Wakeup, retry_after};
 use super::execute::Request;
-use super::session::{Flow, Session, SessionEnd, Transaction};
-use super::waiting::{Heard, retry_after};
+use super::session::{Session, SessionEnd, SessionResult, Transaction};
 
 /// How long after a cancellation at the deadline the outcome is waited for.
 const DEADLINE_GRACE: Duration = Duration::from_millis(500);
 /// Advised to callers whose transaction was lost: the next primary is usually found by then.
-const LOST_TRANSACTION_PAUSE: Duration = Duration::from_millis(50);
+const LOST_TRANSACTION_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// The end of a batch's deadline, in steps.
-enum Patience {
+enum DeadlineState {
     Running,
     /// The statement was cancelled; its outcome is waited for.
     Cancelled,
 }
 
 /// How the parts of a batch that were sent already ended.
-enum PartEnd {
+enum PartOutcome {
     Answered,
     /// The back end answered with an error.
     Failed,
@@ -36,9 +36,9 @@
 
 impl Session {
     /// Runs a batch on the active stream.
-    pub(super) async fn run_on_active(&mut self, request: Request) -> Flow<()> {
-        if self.must_move_to_primary(&request) {
-            return self.move_to_primary(request).await;
+    pub(super) async fn run_on_active_stream(&mut self, request: Request) -> SessionResult<()> {
+        if self.must_switch_to_primary(&request) {
+            return self.switch_to_primary(request).await;
         }
         let kind = request.batch.kind;
         let deadline = request.deadline;
@@ -49,58 +49,60 @@
             .as_ref()
             .is_some_and(|active| active.access == AccessClass::Write);
         let may_commit = may_write && request.batch.class.may_commit(in_transaction);
-        if self.send_on_active(request, may_commit) {
+        if self.send_to_active_stream(request, may_commit) {
             if kind == BatchKind::Partial {
                 return Ok(());
             }
-            return self.await_done(kind, deadline).await;
+            return self.await_batch_end(kind, deadline).await;
         }
-        let lost = self.lost_without_word();
-        self.refuse_lost(kind, lost);
+        let lost = self.owner_lost_error();
+        self.report_lost_batch(kind, lost);
         Ok(())
     }
 
-    fn send_on_active(&mut self, request: Request, may_commit: bool) -> bool {
+    fn send_to_active_stream(&mut self, request: Request, may_commit: bool) -> bool {
         let Some(active) = &mut self.active else {
             return false;
         };
-        let prepared = prepare(
+        let outgoing = build_outgoing(
             request.batch,
             |name| active.has_prepared(name),
             &self.prepared,
             may_commit,
         );
-        active.send(prepared)
+        active.send(outgoing)
     }
 
     /// Whether the stream was opened for reading, outside a transaction, and the next part of the
     /// batch writes. Parts already sent have run nothing then, only prepared and described.
-    fn must_move_to_primary(&self, request: &Request) -> bool {
-        let reads_only = self
+    fn must_switch_to_primary(&self, request: &Request) -> bool {
+        let is_read_stream = self
             .active
             .as_ref()
             .is_some_and(|active| active.access == AccessClass::Read);
-        reads_only && self.transaction == Transaction::Idle && request.access == AccessClass::Write
+        is_read_stream
+            && self.transaction == Transaction::Idle
+            && request.access == AccessClass::Write
     }
 
     /// Ends the reading stream, keeping what was prepared on it, and opens one at the primary.
-    async fn move_to_primary(&mut self, request: Request) -> Flow<()> {
+    async fn switch_to_primary(&mut self, request: Request) -> SessionResult<()> {
         let kind = request.batch.kind;
         let deadline = request.deadline;
         if let Some(active) = &mut self.active
-            && !active.send_sync()
+            && !active.send_closing_sync()
         {
-            let lost = self.lost_without_word();
-            self.refuse_lost(kind, lost);
+            let lost = self.owner_lost_error();
+            self.report_lost_batch(kind, lost);
             return Ok(());
         }
-        match self.drain_part(deadline).await? {
-            PartEnd::Answered => self.run_on_new(request).await,
-            PartEnd::Failed => {
-                self.skip_after_error(kind);
+        match self.finish_earlier_parts(deadline).await? {
+            PartOutcome::Answered => self.run_on_new_stream(request).await,
+            PartOutcome::Failed => {
+                self.finish_after_error(kind);
                 Ok(())
             }
-            PartEnd::Lost => {
+            PartOutcome::Lost => {
                 self.refuse(kind, EdgeError::new(ResultCode::BackendUnavailable));
                 Ok(())
             }
@@ -108,87 +110,89 @@
     }
 
     /// Waits for the end of parts already sent, passing their answers on.
-    async fn drain_part(&mut self, deadline: Time) -> Flow<PartEnd> {
-        let mut primary = self.group.watch_primary();
+    async fn finish_earlier_parts(&mut self, deadline: Time) -> SessionResult<PartOutcome> {
+        let mut primary = self.group.subscribe_primary();
         loop {
-            match self.hear(deadline, &mut primary, true).await? {
-                Heard::Owner(Some(OwnerMessage::Answer { messages })) => {
-                    self.pass_answer(&messages.bytes).await?;
+            match self.next_wakeup(deadline, &mut primary, true).await? {
+                Wakeup::Owner(Some(OwnerMessage::Answer { messages })) => {
+                    self.forward_response(&messages.bytes).await?;
                 }
-                Heard::Owner(Some(OwnerMessage::BatchDone { .. })) => {
-                    return Ok(self.confirm_part());
+                Wakeup::Owner(Some(OwnerMessage::BatchDone { .. })) => {
+                    return Ok(self.confirm_earlier_parts());
                 }
-                Heard::Owner(Some(OwnerMessage::Admitted(_)))
-                | Heard::Cancelled
-                | Heard::PrimaryLearnt => {}
-                Heard::Flush => {
-                    self.flush_answers().await?;
+                Wakeup::Owner(Some(OwnerMessage::Admitted(_)))
+                | Wakeup::CancelRequested
+                | Wakeup::NewPrimary => {}
+                Wakeup::FlushDue => {
+                    self.flush_output().await?;
                 }
-                Heard::CallerGone => return Err(SessionEnd::Client(ClientError::Closed)),
-                Heard::Owner(_) | Heard::Tick => {
-                    return Ok(PartEnd::Lost);
+                Wakeup::ClientGone => return Err(SessionEnd::Client(ClientError::Closed)),
+                Wakeup::Owner(_) | Wakeup::Timer => {
+                    return Ok(PartOutcome::Lost);
                 }
             }
         }
     }
 
-    fn confirm_part(&mut self) -> PartEnd {
+    fn confirm_earlier_parts(&mut self) -> PartOutcome {
         let Some(mut active) = self.active.take() else {
-            return PartEnd::Lost;
+            return PartOutcome::Lost;
         };
         let Some(running) = active.running.take() else {
-            return PartEnd::Lost;
+            return PartOutcome::Lost;
         };
-        active.confirm(&running, &mut self.prepared);
+        active.apply_confirmed(&running, &mut self.prepared);
         if running.filter.failed {
-            PartEnd::Failed
+            PartOutcome::Failed
         } else {
-            PartEnd::Answered
+            PartOutcome::Answered
         }
     }
 
     /// Skips what follows a part that failed, up to the caller's `Sync`, as a database does.
-    fn skip_after_error(&mut self, kind: BatchKind) {
+    fn finish_after_error(&mut self, kind: BatchKind) {
         if kind == BatchKind::Partial {
-            self.skipping = true;
+            self.skip_until_sync = true;
         } else {
-            self.ready();
+            self.send_ready();
         }
     }
 
     /// Passes the answer of the batch on until it has ended.
-    async fn await_done(&mut self, kind: BatchKind, deadline: Time) -> Flow<()> {
-        self.registration.cancels.mark_unchanged();
-        let mut primary = self.group.watch_primary();
-        let mut wake = deadline;
-        let mut patience = Patience::Running;
+    async fn await_batch_end(&mut self, kind: BatchKind, deadline: Time) -> SessionResult<()> {
+        self.registration.cancel_requests.mark_unchanged();
+        let mut primary = self.group.subscribe_primary();
+        let mut wake_at = deadline;
+        let mut deadline_state = DeadlineState::Running;
         while self.active.is_some() {
-            match self.hear(wake, &mut primary, false).await? {
-                Heard::Owner(message) => self.hear_on_active(message, kind).await?,
-                Heard::Flush => {
-                    self.flush_answers().await?;
+            match self.next_wakeup(wake_at, &mut primary, false).await? {
+                Wakeup::Owner(message) => {
+                    self.handle_owner_message_on_active(message, kind).await?
                 }
-                Heard::Cancelled => self.cancel_active(),
-                Heard::Tick if matches!(patience, Patience::Running) => {
-                    patience = Patience::Cancelled;
-                    wake = deadline + DEADLINE_GRACE;
+                Wakeup::FlushDue => {
+                    self.flush_output().await?;
+                }
+                Wakeup::CancelRequested => self.cancel_active(),
+                Wakeup::Timer if matches!(deadline_state, DeadlineState::Running) => {
+                    deadline_state = DeadlineState::Cancelled;
+                    wake_at = deadline + DEADLINE_GRACE;
                     self.cancel_active();
                 }
-                Heard::Tick => {
-                    let lost = self.loss(ResultCode::DeadlineAfterSend);
-                    self.refuse_lost(kind, lost);
+                Wakeup::Timer => {
+                    let lost = self.lost_batch_error(ResultCode::DeadlineAfterSend);
+                    self.report_lost_batch(kind, lost);
                 }
-                Heard::PrimaryLearnt => {}
-                Heard::CallerGone => return Err(SessionEnd::Client(ClientError::Closed)),
+                Wakeup::NewPrimary => {}
+                Wakeup::ClientGone => return Err(SessionEnd::Client(ClientError::Closed)),
             }
-            if self.is_batch_over() {
+            if self.is_batch_finished() {
                 return Ok(());
             }
         }
         Ok(())
     }
 
-    fn is_batch_over(&self) -> bool {
+    fn is_batch_finished(&self) -> bool {
         self.active
             .as_ref()
             .is_none_or(|active| active.running.is_none())
@@ -202,19 +206,24 @@
 
     /// Hears the owner while no whole batch runs: answers to a part of one, or the loss of the
     /// transaction, which the caller is told when it next asks for something.
-    pub(super) async fn hear_between_batches(&mut self, message: Option<OwnerMessage>) -> Flow<()> {
-        let has_part = self
+    pub(super) async fn handle_owner_message_between_batches(
+        &mut self,
+        message: Option<OwnerMessage>,
+    ) -> SessionResult<()> {
+        let has_running_part = self
             .active
             .as_ref()
             .is_some_and(|active| active.running.is_some());
-        if has_part {
-            return self.hear_on_active(message, BatchKind::Partial).await;
+        if has_running_part {
+            return self
+                .handle_owner_message_on_active(message, BatchKind::Partial)
+                .await;
         }
-        let is_end = !matches!(
+        let ends_stream = !matches!(
             message,
             Some(OwnerMessage::Answer { .. } | OwnerMessage::Admitted(_))
         );
-        if is_end {
+        if ends_stream {
             self.active = None;
             self.transaction = Transaction::Lost { reported: false };
             self.variables.roll_back();
@@ -223,14 +232,18 @@
         Ok(())
     }
 
-    async fn hear_on_active(&mut self, message: Option<OwnerMessage>, kind: BatchKind) -> Flow<()> {
+    async fn handle_owner_message_on_active(
+        &mut self,
+        message: Option<OwnerMessage>,
+        kind: BatchKind,
+    ) -> SessionResult<()> {
         let error = match message {
             Some(OwnerMessage::Answer { messages }) => {
-                self.pass_answer(&messages.bytes).await?;
+                self.forward_response(&messages.bytes).await?;
                 return Ok(());
             }
             Some(done @ OwnerMessage::BatchDone { .. }) => {
-                self.batch_done(done);
+                self.complete_batch(done);
                 return Ok(());
             }
             Some(OwnerMessage::Admitted(_)) => return Ok(()),
@@ -245,35 +258,35 @@
             },
             Some(OwnerMessage::OutcomeUnknown { code, .. }) => {
                 let code = ResultCode::from_number(code);
-                self.loss(code.unwrap_or(ResultCode::BackendLostAfterSend))
+                self.lost_batch_error(code.unwrap_or(ResultCode::BackendLostAfterSend))
             }
             Some(OwnerMessage::TransactionLost { .. }) => transaction_lost(),
-            None => self.lost_without_word(),
+            None => self.owner_lost_error(),
         };
-        self.refuse_lost(kind, error);
+        self.report_lost_batch(kind, error);
         Ok(())
     }
 
-    fn lost_without_word(&self) -> EdgeError {
-        self.loss(ResultCode::OwnerLostAfterSend)
+    fn owner_lost_error(&self) -> EdgeError {
+        self.lost_batch_error(ResultCode::OwnerLostAfterSend)
     }
 
     /// How a lost batch ended: unknown if it may have committed, else as a lost transaction.
-    fn loss(&self, unknown: ResultCode) -> EdgeError {
+    fn lost_batch_error(&self, unknown_outcome: ResultCode) -> EdgeError {
         let may_have_committed = self
             .active
             .as_ref()
             .and_then(|active| active.running.as_ref())
             .is_some_and(|running| running.may_commit);
         if may_have_committed {
-            EdgeError::new(unknown)
+            EdgeError::new(unknown_outcome)
         } else {
             transaction_lost()
         }
     }
 
     /// Reports a loss. When the batch asked for the end of its transaction, that has come.
-    fn refuse_lost(&mut self, kind: BatchKind, error: EdgeError) {
+    fn report_lost_batch(&mut self, kind: BatchKind, error: EdgeError) {
         let ends = self
             .active
             .as_ref()
@@ -293,25 +306,25 @@
 fn transaction_lost() -> EdgeError {
     EdgeError::Result {
         code: ResultCode::TransactionLost,
-        retry_after: Some(LOST_TRANSACTION_PAUSE),
+        retry_after: Some(LOST_TRANSACTION_RETRY_DELAY),
         explanation: String::new(),
     }
 }
 
 impl ActiveStream {
     /// Ends the parts already sent with a `Sync` of the edge's own.
-    fn send_sync(&mut self) -> bool {
+    fn send_closing_sync(&mut self) -> bool {
         let Some(running) = &self.running else {
             return false;
         };
         let mut batch = running.batch.clone();
         batch.kind = BatchKind::Extended;
         batch.frames = vec![bytes::Bytes::from_static(SYNC)];
-        batch.prepared.clear();
-        batch.uses.clear();
-        let nothing = stairward_session::PreparedStatements::default();
-        let prepared = prepare(batch, |_| true, &nothing, false);
-        self.send(prepared)
+        batch.prepared_changes.clear();
+        batch.referenced_statements.clear();
+        let no_statements = stairward_session::PreparedStatements::default();
+        let outgoing = build_outgoing(batch, |_| true, &no_statements, false);
+        self.send(outgoing)
     }
 }
 
--- a/crates/stairward-proxy/src/edge/reply.rs
+++ b/crates/stairward-proxy/src/edge/reply.rs
@@ -29,7 +29,7 @@
 /// Type size of values of any length.
 const VARIABLE_SIZE: i16 = -1;
 
-fn put(output: &mut BytesMut, message: &PgWireBackendMessage) {
+fn encode(output: &mut BytesMut, message: &PgWireBackendMessage) {
     let start = output.len();
     // Encoding fails only for messages far larger than any made here.
     if message.encode(output).is_err() {
@@ -37,7 +37,7 @@
     }
 }
 
-fn fields(severity: &str, error: &EdgeError) -> Vec<(u8, String)> {
+fn error_fields(severity: &str, error: &EdgeError) -> Vec<(u8, String)> {
     let mut fields = vec![
         (b'S', severity.to_owned()),
         (b'V', severity.to_owned()),
@@ -51,44 +51,44 @@
     fields
 }
 
-pub(super) fn error(output: &mut BytesMut, severity: Severity, error: &EdgeError) {
+pub(super) fn error_response(output: &mut BytesMut, severity: Severity, error: &EdgeError) {
     let severity = match severity {
         Severity::Error => "ERROR",
         Severity::Fatal => "FATAL",
     };
-    let response = ErrorResponse::new(fields(severity, error));
-    put(output, &PgWireBackendMessage::ErrorResponse(response));
+    let response = ErrorResponse::new(error_fields(severity, error));
+    encode(output, &PgWireBackendMessage::ErrorResponse(response));
 }
 
 /// Tells of a result code of the class *answered* other than plain success.
-pub(super) fn notice(output: &mut BytesMut, code: ResultCode) {
-    let response = NoticeResponse::new(fields("NOTICE", &EdgeError::new(code)));
-    put(output, &PgWireBackendMessage::NoticeResponse(response));
+pub(super) fn notice_response(output: &mut BytesMut, code: ResultCode) {
+    let response = NoticeResponse::new(error_fields("NOTICE", &EdgeError::new(code)));
+    encode(output, &PgWireBackendMessage::NoticeResponse(response));
 }
 
-pub(super) fn ready(output: &mut BytesMut, status: TransactionStatus) {
+pub(super) fn ready_for_query(output: &mut BytesMut, status: TransactionStatus) {
     let message = ReadyForQuery::new(status);
-    put(output, &PgWireBackendMessage::ReadyForQuery(message));
+    encode(output, &PgWireBackendMessage::ReadyForQuery(message));
 }
 
-pub(super) fn parameter(output: &mut BytesMut, name: &str, value: &str) {
+pub(super) fn parameter_status(output: &mut BytesMut, name: &str, value: &str) {
     let message = ParameterStatus::new(name.to_owned(), value.to_owned());
-    put(output, &PgWireBackendMessage::ParameterStatus(message));
+    encode(output, &PgWireBackendMessage::ParameterStatus(message));
 }
 
 pub(super) fn authentication(output: &mut BytesMut, message: Authentication) {
-    put(output, &PgWireBackendMessage::Authentication(message));
+    encode(output, &PgWireBackendMessage::Authentication(message));
 }
 
-pub(super) fn key_data(output: &mut BytesMut, process: i32, secret: i32) {
+pub(super) fn backend_key_data(output: &mut BytesMut, process: i32, secret: i32) {
     let message = BackendKeyData::new(process, SecretKey::I32(secret));
-    put(output, &PgWireBackendMessage::BackendKeyData(message));
+    encode(output, &PgWireBackendMessage::BackendKeyData(message));
 }
 
 /// Offers protocol 3.0 and names the protocol options that aren't known.
-pub(super) fn negotiate(output: &mut BytesMut, unknown_options: Vec<String>) {
+pub(super) fn negotiate_protocol_version(output: &mut BytesMut, unknown_options: Vec<String>) {
     let message = NegotiateProtocolVersion::new(0, unknown_options);
-    put(
+    encode(
         output,
         &PgWireBackendMessage::NegotiateProtocolVersion(message),
     );
@@ -96,30 +96,30 @@
 
 pub(super) fn command_complete(output: &mut BytesMut, tag: &str) {
     let message = CommandComplete::new(tag.to_owned());
-    put(output, &PgWireBackendMessage::CommandComplete(message));
+    encode(output, &PgWireBackendMessage::CommandComplete(message));
 }
 
-pub(super) fn empty_query(output: &mut BytesMut) {
+pub(super) fn empty_query_response(output: &mut BytesMut) {
     let message = EmptyQueryResponse::new();
-    put(output, &PgWireBackendMessage::EmptyQueryResponse(message));
+    encode(output, &PgWireBackendMessage::EmptyQueryResponse(message));
 }
 
 pub(super) fn parse_complete(output: &mut BytesMut) {
-    put(
+    encode(
         output,
         &PgWireBackendMessage::ParseComplete(ParseComplete::new()),
     );
 }
 
 pub(super) fn bind_complete(output: &mut BytesMut) {
-    put(
+    encode(
         output,
         &PgWireBackendMessage::BindComplete(BindComplete::new()),
     );
 }
 
 pub(super) fn close_complete(output: &mut BytesMut) {
-    put(
+    encode(
         output,
         &PgWireBackendMessage::CloseComplete(CloseComplete::new()),
     );
@@ -127,25 +127,25 @@
 
 pub(super) fn no_data(output: &mut BytesMut) {
     let message = pgwire::messages::data::NoData::new();
-    put(output, &PgWireBackendMessage::NoData(message));
+    encode(output, &PgWireBackendMessage::NoData(message));
 }
 
 /// One row with one text column, as `SHOW` gives it.
 pub(super) fn text_row(output: &mut BytesMut, column: &str, value: &str) {
     let field = FieldDescription::new(column.to_owned(), 0, 0, TEXT_TYPE, VARIABLE_SIZE, -1, 0);
     let description = RowDescription::new(vec![field]);
-    put(output, &PgWireBackendMessage::RowDescription(description));
+    encode(output, &PgWireBackendMessage::RowDescription(description));
     let mut data = BytesMut::new();
     data.extend((value.len() as u32).to_be_bytes());
     data.extend(value.as_bytes());
-    put(
+    encode(
         output,
         &PgWireBackendMessage::DataRow(DataRow::new(data, 1)),
     );
 }
 
 /// Describes a statement without parameters.
-pub(super) fn no_parameters(output: &mut BytesMut) {
+pub(super) fn empty_parameter_description(output: &mut BytesMut) {
     let message = pgwire::messages::data::ParameterDescription::new(Vec::new());
-    put(output, &PgWireBackendMessage::ParameterDescription(message));
+    encode(output, &PgWireBackendMessage::ParameterDescription(message));
 }
--- a/crates/stairward-proxy/src/edge/service.rs
+++ b/crates/stairward-proxy/src/edge/service.rs
@@ -16,7 +16,7 @@
 
 use super::authentication::Passwords;
 use super::batch::BatchBuilder;
-use super::cancel::{CancelKey, CancelRegistry, is_process_of};
+use super::cancel::{CancelKey, CancelRegistry, may_belong_to};
 use super::client::Client;
 use super::error::EdgeError;
 use super::group::Group;
@@ -24,19 +24,19 @@
 use super::reply::{self, Severity};
 use super::session::{Session, Transaction};
 use super::settings::{EdgeSettings, Users};
-use super::startup::{self, Opening, StartupError};
+use super::startup::{self, Incoming, StartupError};
 use super::statistics::{Counters, EdgeStatistics};
 use crate::cluster::Cluster;
 use crate::peer::PeerNetwork;
 
 /// Texts per generation of the class cache; see [`ClassCache`].
-const CLASS_CACHE_TEXTS: usize = 2_000;
+const CLASS_CACHE_STATEMENTS: usize = 2_000;
 /// How long another proxy may take to pass a cancel request on.
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(1);
 /// How often a drain looks whether all sessions have ended.
-const DRAIN_POLL: Duration = Duration::from_millis(10);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// Pause after the listener failed, for example for want of descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// The side of a node that speaks PostgreSQL to callers.
 pub struct EdgeService {
@@ -46,11 +46,11 @@
     settings: EdgeSettings,
     passwords: RwLock<Option<Arc<Passwords>>>,
     tls: RwLock<Option<Arc<rustls::ServerConfig>>>,
-    classes: Mutex<ClassCache>,
+    statement_classes: Mutex<ClassCache>,
     groups: Mutex<BTreeMap<GroupId, Arc<Group>>>,
-    cancels: Arc<CancelRegistry>,
+    cancel_registry: Arc<CancelRegistry>,
     draining: watch::Sender<bool>,
-    clients: Arc<Semaphore>,
+    client_permits: Arc<Semaphore>,
 }
 
 impl EdgeService {
@@ -59,23 +59,23 @@
     pub fn new(cluster: Cluster, network: PeerNetwork, settings: EdgeSettings) -> Arc<Self> {
         let passwords = settings.users.clone().map(Passwords::new).map(Arc::new);
         Arc::new(Self {
-            cancels: Arc::new(CancelRegistry::new(cluster.identity.node)),
+            cancel_registry: Arc::new(CancelRegistry::new(cluster.identity.node)),
             cluster,
             network,
             counters: Counters::default(),
             passwords: RwLock::new(passwords),
             tls: RwLock::new(settings.tls.clone()),
-            classes: Mutex::new(ClassCache::new(CLASS_CACHE_TEXTS)),
+            statement_classes: Mutex::new(ClassCache::new(CLASS_CACHE_STATEMENTS)),
             groups: Mutex::default(),
             draining: watch::Sender::new(false),
-            clients: Arc::new(Semaphore::new(settings.maximum_clients)),
+            client_permits: Arc::new(Semaphore::new(settings.maximum_clients)),
             settings,
         })
     }
 
     /// Serves callers that connect to the listener, until the edge is drained.
     pub async fn serve(self: Arc<Self>, listener: TcpListener) {
-        let follower = tokio::spawn(Arc::clone(&self).follow_primaries());
+        let primary_watcher = tokio::spawn(Arc::clone(&self).notify_on_new_primaries());
         let mut draining = self.draining.subscribe();
         loop {
             let accepted = tokio::select! {
@@ -84,7 +84,7 @@
             };
             match accepted {
                 Ok((socket, _)) => {
-                    tokio::spawn(Arc::clone(&self).accept(socket));
+                    tokio::spawn(Arc::clone(&self).handle_connection(socket));
                 }
                 Err(error) => {
                     tracing::error!(
@@ -92,22 +92,22 @@
                         %error,
                         "a caller could not be accepted"
                     );
-                    tokio::time::sleep(ACCEPT_PAUSE).await;
+                    tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
         // Callers that are on their way are told to connect elsewhere.
-        let mut turned_away = listener;
-        self.turn_away(&mut turned_away).await;
-        follower.abort();
+        let mut draining_listener = listener;
+        self.reject_while_draining(&mut draining_listener).await;
+        primary_watcher.abort();
     }
 
     /// Tells new callers that this proxy stops, until the last session has ended.
-    async fn turn_away(self: &Arc<Self>, listener: &mut TcpListener) {
+    async fn reject_while_draining(self: &Arc<Self>, listener: &mut TcpListener) {
         while self.statistics().sessions > 0 {
-            let accepted = tokio::time::timeout(DRAIN_POLL, listener.accept()).await;
+            let accepted = tokio::time::timeout(DRAIN_POLL_INTERVAL, listener.accept()).await;
             if let Ok(Ok((socket, _))) = accepted {
-                tokio::spawn(Arc::clone(self).accept(socket));
+                tokio::spawn(Arc::clone(self).handle_connection(socket));
             }
         }
     }
@@ -121,7 +121,7 @@
             if started.elapsed() >= deadline {
                 return false;
             }
-            tokio::time::sleep(DRAIN_POLL).await;
+            tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
         }
         true
     }
@@ -129,7 +129,7 @@
     /// Reads the counters.
     #[must_use]
     pub fn statistics(&self) -> EdgeStatistics {
-        self.counters.read()
+        self.counters.snapshot()
     }
 
     /// Replaces the users for sessions that start from now on.
@@ -146,7 +146,7 @@
     /// Cancels what a session of this node runs, for another proxy that was asked to. Returns false
     /// when this node has no such session.
     pub fn cancel_statement(&self, process: u32, secret: u32) -> bool {
-        self.cancels.cancel(CancelKey { process, secret })
+        self.cancel_registry.cancel(CancelKey { process, secret })
     }
 
     /// Answers a [`CallRequest::CancelStatement`] of another proxy; `None` for any other call.
@@ -167,7 +167,7 @@
     }
 
     pub(super) fn classify(&self, text: &str) -> Arc<StatementClass> {
-        self.classes
+        self.statement_classes
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .classify(text)
@@ -183,30 +183,30 @@
     }
 
     /// Wakes the requests that wait for a primary whenever one is learnt.
-    async fn follow_primaries(self: Arc<Self>) {
+    async fn notify_on_new_primaries(self: Arc<Self>) {
         let mut primaries = self.cluster.watch_primaries();
-        let mut terms = BTreeMap::new();
+        let mut known_terms = BTreeMap::new();
         while primaries.changed().await.is_ok() {
             let known = Arc::clone(&primaries.borrow_and_update());
             for (group, primary) in known.iter() {
-                if terms.insert(group.clone(), primary.term) != Some(primary.term) {
-                    self.group(group).wake_held();
+                if known_terms.insert(group.clone(), primary.term) != Some(primary.term) {
+                    self.group(group).notify_waiting();
                 }
             }
         }
     }
 
-    async fn accept(self: Arc<Self>, socket: TcpStream) {
+    async fn handle_connection(self: Arc<Self>, socket: TcpStream) {
         let _ = socket.set_nodelay(true);
-        let permit = Arc::clone(&self.clients).try_acquire_owned().ok();
+        let permit = Arc::clone(&self.client_permits).try_acquire_owned().ok();
         let mut client = Some(Client::new(Either::Left(socket)));
         let timeout = self.settings.startup_timeout;
         // Boxed, so that a session doesn't keep the room that its start took.
-        let starting = Box::pin(self.start(&mut client, permit.is_some()));
+        let starting = Box::pin(self.start_session(&mut client, permit.is_some()));
         let started = tokio::time::timeout(timeout, starting);
         let error = match started.await {
             Ok(Ok(Some(session))) => {
-                return Box::pin(Arc::clone(&self).run(client, session, permit)).await;
+                return Box::pin(Arc::clone(&self).run_session(client, session, permit)).await;
             }
             Ok(Ok(None)) | Err(_) => return,
             Ok(Err(StartupError::Refused { error })) => error,
@@ -226,26 +226,26 @@
         );
         self.counters.refused.add(1);
         if let Some(mut client) = client {
-            reply::error(&mut client.output, Severity::Fatal, &error);
+            reply::error_response(&mut client.output, Severity::Fatal, &error);
             let _ = tokio::time::timeout(timeout, Box::pin(client.close())).await;
         }
     }
 
     /// Brings a connection to a session; `None` for a cancel request.
-    async fn start(
+    async fn start_session(
         &self,
         client: &mut Option<Client>,
-        has_room: bool,
-    ) -> Result<Option<Started>, StartupError> {
+        has_permit: bool,
+    ) -> Result<Option<StartedClient>, StartupError> {
         let tls = read(&self.tls);
-        let parameters = match startup::open(client, tls).await? {
-            Opening::Session(parameters) => parameters,
-            Opening::Cancel(key) => {
-                self.pass_cancel_on(key).await;
+        let parameters = match startup::read_initial_request(client, tls).await? {
+            Incoming::Session(parameters) => parameters,
+            Incoming::Cancel(key) => {
+                self.forward_cancel(key).await;
                 return Ok(None);
             }
         };
-        if !has_room {
+        if !has_permit {
             return Err(EdgeError::new(ResultCode::TooManyClients).into());
         }
         if *self.draining.borrow() {
@@ -258,15 +258,15 @@
         startup::authenticate(connection, &parameters.user, passwords.as_deref()).await?;
         let settings = self.cluster.settings();
         let group = startup::requested_group(&settings, &parameters.database)?;
-        let floor = self.floor_of_token(&parameters, &group)?;
-        Ok(Some(Started {
+        let floor = self.token_floor(&parameters, &group)?;
+        Ok(Some(StartedClient {
             parameters,
             group: self.group(&group),
             floor,
         }))
     }
 
-    fn floor_of_token(
+    fn token_floor(
         &self,
         parameters: &StartupParameters,
         group: &GroupId,
@@ -277,26 +277,26 @@
         let token = self
             .token_key()
             .verify(text, group)
-            .map_err(|error| EdgeError::explained(ResultCode::InvalidToken, error))?;
+            .map_err(|error| EdgeError::with_explanation(ResultCode::InvalidToken, error))?;
         Ok(Some(SessionFloor::starting_at(token.floor)))
     }
 
-    async fn run(
+    async fn run_session(
         self: Arc<Self>,
         client: Option<Client>,
-        started: Started,
+        started: StartedClient,
         permit: Option<OwnedSemaphorePermit>,
     ) {
         let Some(mut client) = client else { return };
-        let registration = self.cancels.register(rand::random());
-        parameters::report(&mut client.output, &started.parameters);
+        let registration = self.cancel_registry.register(rand::random());
+        parameters::send_parameter_status(&mut client.output, &started.parameters);
         let key = registration.key;
-        reply::key_data(
+        reply::backend_key_data(
             &mut client.output,
             key.process.cast_signed(),
             key.secret.cast_signed(),
         );
-        let _count = SessionCount::new(&self);
+        let _count_guard = SessionCountGuard::new(&self);
         let mut session = Box::new(Session {
             draining: self.draining.subscribe(),
             service: Arc::clone(&self),
@@ -312,27 +312,27 @@
             transaction: Transaction::Idle,
             active: None,
             builder: BatchBuilder::default(),
-            skipping: false,
+            skip_until_sync: false,
             served_while_draining: false,
         });
-        session.ready();
+        session.send_ready();
         session.run().await;
         drop(permit);
     }
 
     /// Cancels here, or passes the request on to the proxies whose number the key bears.
-    async fn pass_cancel_on(&self, key: CancelKey) {
-        if self.cancels.cancel(key) {
+    async fn forward_cancel(&self, key: CancelKey) {
+        if self.cancel_registry.cancel(key) {
             return;
         }
-        let own = self.cluster.identity.node;
+        let own_node = self.cluster.identity.node;
         let members = self.cluster.members();
-        let others = members
+        let candidate_nodes = members
             .members
             .iter()
             .map(|member| member.node)
-            .filter(|node| *node != own && is_process_of(key.process, *node));
-        for node in others {
+            .filter(|node| *node != own_node && may_belong_to(key.process, *node));
+        for node in candidate_nodes {
             let request = CallRequest::CancelStatement {
                 process: key.process,
                 secret: key.secret,
@@ -343,23 +343,23 @@
 }
 
 /// Counts a session for as long as it lives.
-struct SessionCount(Arc<EdgeService>);
+struct SessionCountGuard(Arc<EdgeService>);
 
-impl SessionCount {
+impl SessionCountGuard {
     fn new(service: &Arc<EdgeService>) -> Self {
         service.counters.session_opened();
         Self(Arc::clone(service))
     }
 }
 
-impl Drop for SessionCount {
+impl Drop for SessionCountGuard {
     fn drop(&mut self) {
         self.0.counters.session_closed();
     }
 }
 
 /// A caller that has started up.
-struct Started {
+struct StartedClient {
     parameters: StartupParameters,
     group: Arc<Group>,
     /// The floor of the token that it presented.
--- a/crates/stairward-proxy/src/edge/session.rs
+++ b/crates/stairward-proxy/src/edge/session.rs
@@ -24,11 +24,11 @@
 
 /// How long an idle session is listened to after a planned stop began, before it is told to go: what
 /// its caller had sent by then has arrived.
-const DRAIN_QUIET: Duration = Duration::from_millis(250);
+const DRAIN_IDLE_TIME: Duration = Duration::from_millis(250);
 /// How long answers are gathered before they are written although more may come.
-pub(super) const GATHER_TIME: Duration = Duration::from_millis(5);
+pub(super) const OUTPUT_DELAY: Duration = Duration::from_millis(5);
 /// Largest message accepted while the group's settings can't be read, in bytes.
-const FALLBACK_MESSAGE_BYTES: usize = 1024 * 1024;
+const DEFAULT_MESSAGE_LIMIT_BYTES: usize = 1024 * 1024;
 
 /// Why a session ended.
 pub(super) enum SessionEnd {
@@ -39,19 +39,19 @@
     /// The connection can't go on.
     Client(ClientError),
     /// The caller broke the protocol.
-    Violated(FrontendError),
+    ProtocolViolated(FrontendError),
 }
 
 impl From<ClientError> for SessionEnd {
     fn from(error: ClientError) -> Self {
         match error {
-            ClientError::Protocol { source } => Self::Violated(source),
+            ClientError::Protocol { source } => Self::ProtocolViolated(source),
             other => Self::Client(other),
         }
     }
 }
 
-pub(super) type Flow<T> = Result<T, SessionEnd>;
+pub(super) type SessionResult<T> = Result<T, SessionEnd>;
 
 /// The session's transaction as the caller sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -101,70 +101,72 @@
     /// answer then, when it is least likely to have sent anything new.
     pub(super) served_while_draining: bool,
     /// Set after an error in a batch whose `Sync` hasn't come yet.
-    pub(super) skipping: bool,
+    pub(super) skip_until_sync: bool,
 }
 
 /// What a session waits for between batches.
-enum Step {
+enum SessionInput {
     Frame(Frame),
     /// From the owner: answers to a part of a batch, or the loss of a transaction.
     Owner(Option<OwnerMessage>),
     Drain,
     /// The planned stop has begun; what the session does next depends on it.
-    DrainBegan,
+    DrainStarted,
 }
 
 impl Session {
     /// Serves the caller to the end of its session.
     pub(super) async fn run(mut self: Box<Self>) {
         let end = loop {
-            if let Err(end) = self.step().await {
+            if let Err(end) = self.process_next().await {
                 break end;
             }
         };
-        Box::pin(self.finish(end)).await;
+        Box::pin(self.close(end)).await;
     }
 
-    async fn step(&mut self) -> Flow<()> {
-        match self.next_step().await? {
+    async fn process_next(&mut self) -> SessionResult<()> {
+        match self.next_input().await? {
             // Boxed, so that a session that waits doesn't hold room for a batch under way.
-            Step::Frame(frame) => Box::pin(self.take_frame(frame)).await,
-            Step::Owner(message) => Box::pin(self.hear_between_batches(message)).await,
-            Step::Drain => Err(SessionEnd::Drained),
-            Step::DrainBegan => Ok(()),
+            SessionInput::Frame(frame) => Box::pin(self.handle_frame(frame)).await,
+            SessionInput::Owner(message) => {
+                Box::pin(self.handle_owner_message_between_batches(message)).await
+            }
+            SessionInput::Drain => Err(SessionEnd::Drained),
+            SessionInput::DrainStarted => Ok(()),
         }
     }
 
-    async fn next_step(&mut self) -> Flow<Step> {
+    async fn next_input(&mut self) -> SessionResult<SessionInput> {
         let limit = self.message_limit();
         if self.client.output.len() < OUTPUT_BYTES
             && let Some(frame) = self.client.buffered_frame(limit)?
         {
-            return Ok(Step::Frame(frame));
+            return Ok(SessionInput::Frame(frame));
         }
         self.client.flush().await?;
         let draining = *self.draining.borrow();
-        let at_boundary = self.is_at_boundary();
-        if draining && at_boundary && self.served_while_draining {
-            return Ok(Step::Drain);
+        let between_batches = self.is_between_batches();
+        if draining && between_batches && self.served_while_draining {
+            return Ok(SessionInput::Drain);
         }
         let frame = tokio::select! {
             biased;
             frame = self.client.frame(limit) => frame?,
-            message = receive(&mut self.active) => return Ok(Step::Owner(message)),
+            message = receive(&mut self.active) => return Ok(SessionInput::Owner(message)),
             _ = self.draining.wait_for(|draining| *draining), if !draining => {
-                return Ok(Step::DrainBegan);
+                return Ok(SessionInput::DrainStarted);
             }
-            () = tokio::time::sleep(DRAIN_QUIET), if draining && at_boundary => {
-                return Ok(Step::Drain);
+            () = tokio::time::sleep(DRAIN_IDLE_TIME), if draining && between_batches => {
+                return Ok(SessionInput::Drain);
             }
         };
         self.served_while_draining = draining;
-        Ok(Step::Frame(frame))
+        Ok(SessionInput::Frame(frame))
     }
 
     /// Whether nothing of the caller's is under way.
-    fn is_at_boundary(&self) -> bool {
+    fn is_between_batches(&self) -> bool {
         let has_transaction = matches!(self.transaction, Transaction::Open | Transaction::Failed);
         !has_transaction && self.active.is_none() && self.builder.is_empty()
     }
@@ -172,31 +174,33 @@
     fn message_limit(&self) -> usize {
         self.group
             .with_settings(|settings| settings.maximum_message_bytes)
-            .unwrap_or(FALLBACK_MESSAGE_BYTES)
+            .unwrap_or(DEFAULT_MESSAGE_LIMIT_BYTES)
     }
 
-    async fn take_frame(&mut self, frame: Frame) -> Flow<()> {
+    async fn handle_frame(&mut self, frame: Frame) -> SessionResult<()> {
         let parsed = match frame.message() {
             Ok(message) => message,
-            Err(FrontendError::NotUtf8 { tag }) => return self.refuse_encoding(tag).await,
-            Err(error) => return Err(SessionEnd::Violated(error)),
+            Err(FrontendError::NotUtf8 { tag }) => return self.reject_encoding(tag).await,
+            Err(error) => return Err(SessionEnd::ProtocolViolated(error)),
         };
         match parsed {
             FrontendMessage::Terminate => Err(SessionEnd::Terminated),
             FrontendMessage::Query { text } => {
-                self.skipping = false;
+                self.skip_until_sync = false;
                 let class = self.service.classify(text);
                 let batch = Batch::simple(frame.clone(), text, class);
                 self.execute(batch).await
             }
             FrontendMessage::Sync => self.sync(frame).await,
-            FrontendMessage::Flush if !self.skipping && !self.builder.is_empty() => {
+            FrontendMessage::Flush if !self.skip_until_sync && !self.builder.is_empty() => {
                 let batch = self.builder.finish(frame, BatchKind::Partial);
                 self.execute(batch).await
             }
             FrontendMessage::FunctionCall => {
-                let error =
-                    EdgeError::explained(ResultCode::FeatureRefused, "function call messages");
+                let error = EdgeError::with_explanation(
+                    ResultCode::FeatureRefused,
+                    "function call messages",
+                );
                 self.refuse(BatchKind::Simple, error);
                 Ok(())
             }
@@ -204,19 +208,21 @@
             FrontendMessage::CopyData | FrontendMessage::CopyDone | FrontendMessage::CopyFail => {
                 Ok(())
             }
-            FrontendMessage::Password => Err(SessionEnd::Violated(FrontendError::Malformed {
-                tag: frame.tag(),
-            })),
+            FrontendMessage::Password => {
+                Err(SessionEnd::ProtocolViolated(FrontendError::Malformed {
+                    tag: frame.tag(),
+                }))
+            }
             message => {
-                self.gather(&frame, message);
+                self.buffer_message(&frame, message);
                 Ok(())
             }
         }
     }
 
-    fn gather(&mut self, frame: &Frame, message: FrontendMessage<'_>) {
+    fn buffer_message(&mut self, frame: &Frame, message: FrontendMessage<'_>) {
         let is_flush = matches!(message, FrontendMessage::Flush);
-        if self.skipping || is_flush {
+        if self.skip_until_sync || is_flush {
             return;
         }
         let service = &self.service;
@@ -225,26 +231,26 @@
         });
     }
 
-    async fn sync(&mut self, frame: Frame) -> Flow<()> {
+    async fn sync(&mut self, frame: Frame) -> SessionResult<()> {
         let is_empty = self.builder.is_empty();
         let batch = self.builder.finish(frame, BatchKind::Extended);
-        let has_part_running = self
+        let has_running_part = self
             .active
             .as_ref()
             .is_some_and(|active| active.running.is_some());
-        if self.skipping || (is_empty && !has_part_running) {
-            self.skipping = false;
-            self.ready();
+        if self.skip_until_sync || (is_empty && !has_running_part) {
+            self.skip_until_sync = false;
+            self.send_ready();
             return Ok(());
         }
         self.execute(batch).await
     }
 
-    async fn refuse_encoding(&mut self, tag: u8) -> Flow<()> {
+    async fn reject_encoding(&mut self, tag: u8) -> SessionResult<()> {
         let error = EdgeError::new(ResultCode::InvalidEncoding);
         if tag == b'Q' {
             self.refuse(BatchKind::Simple, error);
-        } else if !self.skipping {
+        } else if !self.skip_until_sync {
             self.refuse(BatchKind::Partial, error);
         }
         Ok(())
@@ -253,7 +259,7 @@
     /// Answers a batch with an error in the back end's place. An open transaction is given up, as a
     /// database would have it fail.
     pub(super) fn refuse(&mut self, kind: BatchKind, error: EdgeError) {
-        self.count_refusal(&error);
+        self.record_failure(&error);
         if self.transaction != Transaction::Idle {
             self.transaction = Transaction::Lost { reported: true };
             self.variables.roll_back();
@@ -261,16 +267,16 @@
         }
         // Its owner rolls back what was open on it.
         self.active = None;
-        reply::error(&mut self.client.output, Severity::Error, &error);
+        reply::error_response(&mut self.client.output, Severity::Error, &error);
         if kind == BatchKind::Partial {
-            self.skipping = true;
+            self.skip_until_sync = true;
             self.builder = BatchBuilder::default();
         } else {
-            self.ready();
+            self.send_ready();
         }
     }
 
-    fn count_refusal(&self, error: &EdgeError) {
+    fn record_failure(&self, error: &EdgeError) {
         let Some(code) = error.code() else { return };
         let counters = &self.service.counters;
         match code.class() {
@@ -296,17 +302,17 @@
     }
 
     /// Reports a changed token, then that the session is ready for the next batch.
-    pub(super) fn ready(&mut self) {
-        self.report_token();
-        reply::ready(&mut self.client.output, self.transaction.status());
+    pub(super) fn send_ready(&mut self) {
+        self.send_token_if_changed();
+        reply::ready_for_query(&mut self.client.output, self.transaction.status());
     }
 
-    fn report_token(&mut self) {
+    fn send_token_if_changed(&mut self) {
         if self.floor.get() == self.reported_floor {
             return;
         }
         if let Some(token) = self.token() {
-            reply::parameter(&mut self.client.output, TOKEN_PARAMETER, &token);
+            reply::parameter_status(&mut self.client.output, TOKEN_PARAMETER, &token);
             self.reported_floor = self.floor.get();
         }
     }
@@ -325,7 +331,7 @@
         self.service.cluster.clock.now()
     }
 
-    async fn finish(mut self: Box<Self>, end: SessionEnd) {
+    async fn close(mut self: Box<Self>, end: SessionEnd) {
         // Lets the owner roll back before the caller hears that the session has ended.
         self.active = None;
         let error = match end {
@@ -340,9 +346,9 @@
                 return;
             }
             SessionEnd::Drained => EdgeError::new(ResultCode::ProxyStopping),
-            SessionEnd::Violated(error) => violation(&error),
+            SessionEnd::ProtocolViolated(error) => protocol_violation(&error),
         };
-        reply::error(&mut self.client.output, Severity::Fatal, &error);
+        reply::error_response(&mut self.client.output, Severity::Fatal, &error);
         self.client.close().await;
     }
 }
@@ -355,7 +361,7 @@
     }
 }
 
-fn violation(error: &FrontendError) -> EdgeError {
+fn protocol_violation(error: &FrontendError) -> EdgeError {
     tracing::warn!(
         event = LogEvent::ProtocolViolated.number(),
         %error,
@@ -366,5 +372,5 @@
         FrontendError::NotUtf8 { .. } => ResultCode::InvalidEncoding,
         _ => ResultCode::ProtocolViolation,
     };
-    EdgeError::explained(code, error)
+    EdgeError::with_explanation(code, error)
 }
--- a/crates/stairward-proxy/src/edge/startup.rs
+++ b/crates/stairward-proxy/src/edge/startup.rs
@@ -15,7 +15,7 @@
 use super::cancel::CancelKey;
 use super::client::{Client, ClientError, ClientSocket};
 use super::error::EdgeError;
-use super::parameters::{StartupParameters, read_parameters};
+use super::parameters::{StartupParameters, parse_startup_parameters};
 use super::reply;
 
 const CANCEL_CODE: u32 = 80_877_102;
@@ -48,7 +48,7 @@
 }
 
 /// What a new connection turned out to be.
-pub(super) enum Opening {
+pub(super) enum Incoming {
     /// A caller that wants a session.
     Session(StartupParameters),
     /// A cancel request. The connection is to be closed without an answer.
@@ -57,21 +57,21 @@
 
 /// Negotiates encryption and reads the start-up packet. The client is put back even on failure, so
 /// that the caller can be told.
-pub(super) async fn open(
+pub(super) async fn read_initial_request(
     client: &mut Option<Client>,
     tls: Option<Arc<rustls::ServerConfig>>,
-) -> Result<Opening, StartupError> {
+) -> Result<Incoming, StartupError> {
     for _ in 0..=MAXIMUM_NEGOTIATIONS {
         let connection = client.as_mut().context(ClosedSnafu)?;
         let packet = connection.startup_packet().await?;
         match (&packet[4..8]).get_u32() {
             TLS_CODE => negotiate_tls(client, tls.clone()).await?,
-            GSS_CODE => refuse_encryption(connection).await?,
-            CANCEL_CODE => return Ok(Opening::Cancel(cancel_key(&packet)?)),
-            _ => return Ok(Opening::Session(parameters(connection, packet)?)),
+            GSS_CODE => decline_encryption(connection).await?,
+            CANCEL_CODE => return Ok(Incoming::Cancel(parse_cancel_request(&packet)?)),
+            _ => return Ok(Incoming::Session(parse_startup(connection, packet)?)),
         }
     }
-    Err(violation("encryption was negotiated too often").into())
+    Err(protocol_violation("encryption was negotiated too often").into())
 }
 
 #[derive(Debug, Snafu)]
@@ -86,11 +86,11 @@
     }
 }
 
-fn violation(explanation: &str) -> EdgeError {
-    EdgeError::explained(ResultCode::ProtocolViolation, explanation)
+fn protocol_violation(explanation: &str) -> EdgeError {
+    EdgeError::with_explanation(ResultCode::ProtocolViolation, explanation)
 }
 
-async fn refuse_encryption(client: &mut Client) -> Result<(), ClientError> {
+async fn decline_encryption(client: &mut Client) -> Result<(), ClientError> {
     client.output.extend_from_slice(b"N");
     client.flush().await
 }
@@ -101,7 +101,7 @@
 ) -> Result<(), StartupError> {
     let mut client = slot.take().context(ClosedSnafu)?;
     let Some(tls) = tls else {
-        refuse_encryption(&mut client).await?;
+        decline_encryption(&mut client).await?;
         *slot = Some(client);
         return Ok(());
     };
@@ -111,7 +111,7 @@
         Either::Left(socket) => socket,
         encrypted @ Either::Right(_) => {
             *slot = Some(Client::new(encrypted));
-            return Err(violation("the connection is encrypted already").into());
+            return Err(protocol_violation("the connection is encrypted already").into());
         }
     };
     let encrypted = TlsAcceptor::from(tls)
@@ -123,10 +123,10 @@
     Ok(())
 }
 
-fn cancel_key(packet: &[u8]) -> Result<CancelKey, EdgeError> {
+fn parse_cancel_request(packet: &[u8]) -> Result<CancelKey, EdgeError> {
     // Length, code, process number and a secret of four bytes, the form given out.
     let Ok(body) = <[u8; 8]>::try_from(&packet[8..]) else {
-        return Err(violation("the cancel request is malformed"));
+        return Err(protocol_violation("the cancel request is malformed"));
     };
     Ok(CancelKey {
         process: (&body[..4]).get_u32(),
@@ -134,30 +134,40 @@
     })
 }
 
-fn parameters(client: &mut Client, mut packet: BytesMut) -> Result<StartupParameters, EdgeError> {
+fn parse_startup(
+    client: &mut Client,
+    mut packet: BytesMut,
+) -> Result<StartupParameters, EdgeError> {
     let major = (&packet[4..6]).get_u16();
     let minor = (&packet[6..8]).get_u16();
     if major != PROTOCOL_MAJOR {
-        return Err(violation("only version 3 of the protocol is spoken"));
+        return Err(protocol_violation(
+            "only version 3 of the protocol is spoken",
+        ));
     }
     if std::str::from_utf8(&packet[8..]).is_err() {
         return Err(EdgeError::new(ResultCode::InvalidEncoding));
     }
     if packet.last() != Some(&0) {
-        return Err(violation("the start-up packet does not end in a zero byte"));
+        return Err(protocol_violation(
+            "the start-up packet does not end in a zero byte",
+        ));
     }
     let startup = Startup::decode(&mut packet, &DecodeContext::default())
         .ok()
         .flatten()
-        .ok_or_else(|| violation("the start-up packet is malformed"))?;
+        .ok_or_else(|| protocol_violation("the start-up packet is malformed"))?;
     let (protocol_options, parameters): (BTreeMap<_, _>, BTreeMap<_, _>) = startup
         .parameters
         .into_iter()
         .partition(|(name, _)| name.starts_with("_pq_."));
     if minor > 0 || !protocol_options.is_empty() {
-        reply::negotiate(&mut client.output, protocol_options.into_keys().collect());
+        reply::negotiate_protocol_version(
+            &mut client.output,
+            protocol_options.into_keys().collect(),
+        );
     }
-    read_parameters(parameters)
+    parse_startup_parameters(parameters)
 }
 
 /// Has the caller prove its password, or trusts it when there are none.
@@ -167,26 +177,29 @@
     passwords: Option<&Passwords>,
 ) -> Result<(), StartupError> {
     if let Some(passwords) = passwords {
-        exchange(client, user, passwords).await?;
+        sasl_exchange(client, user, passwords).await?;
     }
     reply::authentication(&mut client.output, Authentication::Ok);
     Ok(())
 }
 
-async fn exchange(
+async fn sasl_exchange(
     client: &mut Client,
     user: &str,
     passwords: &Passwords,
 ) -> Result<(), StartupError> {
-    let refused = |_| EdgeError::new(ResultCode::AuthenticationFailed);
+    let authentication_failed = |_| EdgeError::new(ResultCode::AuthenticationFailed);
     let mechanisms = vec![authentication::MECHANISM.to_owned()];
     reply::authentication(&mut client.output, Authentication::SASL(mechanisms));
     let initial = password_message(client).await?;
-    let (server_first, exchange) = passwords.begin(user, initial.body()).map_err(refused)?;
+    let (server_first, exchange) = passwords
+        .begin(user, initial.body())
+        .map_err(authentication_failed)?;
     let message = Authentication::SASLContinue(server_first.into());
     reply::authentication(&mut client.output, message);
     let response = password_message(client).await?;
-    let server_final = authentication::finish(&exchange, response.body()).map_err(refused)?;
+    let server_final =
+        authentication::finish(&exchange, response.body()).map_err(authentication_failed)?;
     let message = Authentication::SASLFinal(server_final.into());
     reply::authentication(&mut client.output, message);
     Ok(())
@@ -196,7 +209,7 @@
     client.flush().await?;
     let frame = client.frame(MAXIMUM_PASSWORD_BYTES).await?;
     if frame.tag() != b'p' {
-        return Err(violation("a password message was expected").into());
+        return Err(protocol_violation("a password message was expected").into());
     }
     Ok(frame)
 }
@@ -212,5 +225,5 @@
     GroupId::new(database)
         .ok()
         .filter(|group| settings.groups.contains_key(group))
-        .ok_or_else(|| EdgeError::explained(ResultCode::UnknownDatabase, database))
+        .ok_or_else(|| EdgeError::with_explanation(ResultCode::UnknownDatabase, database))
 }
--- a/crates/stairward-proxy/src/edge/statistics.rs
+++ b/crates/stairward-proxy/src/edge/statistics.rs
@@ -71,7 +71,7 @@
 }
 
 impl Counters {
-    pub(super) fn read(&self) -> EdgeStatistics {
+    pub(super) fn snapshot(&self) -> EdgeStatistics {
         EdgeStatistics {
             statements: self.statements.get(),
             reads: self.reads.get(),
--- a/crates/stairward-proxy/src/edge/tests.rs
+++ b/crates/stairward-proxy/src/edge/tests.rs
@@ -2,9 +2,9 @@
 
 use bytes::BytesMut;
 
-use super::answer::AnswerFilter;
 use super::frontend::{Frame, take_frame};
-use super::parameters::read_parameters;
+use super::parameters::parse_startup_parameters;
+use super::response_filter::ResponseFilter;
 
 const LIMIT: usize = 1_000;
 
@@ -14,7 +14,7 @@
 }
 
 /// Takes every frame that is there; stops at the first error.
-fn take_all(input: &mut BytesMut, frames: &mut Vec<Frame>) -> bool {
+fn take_all_frames(input: &mut BytesMut, frames: &mut Vec<Frame>) -> bool {
     loop {
         match take_frame(input, LIMIT) {
             Ok(Some(frame)) => frames.push(frame),
@@ -36,22 +36,22 @@
                     _ => message(b"QPBDCEHSX"[usize::from(*tag) % 9], body),
                 })
                 .collect();
-            let mut whole = Vec::new();
-            take_all(&mut BytesMut::from(bytes.as_slice()), &mut whole);
-            let mut pieces = Vec::new();
+            let mut unsplit = Vec::new();
+            take_all_frames(&mut BytesMut::from(bytes.as_slice()), &mut unsplit);
+            let mut split = Vec::new();
             let mut input = BytesMut::new();
-            for piece in bytes.chunks(usize::from(*step).max(1)) {
-                input.extend_from_slice(piece);
-                if !take_all(&mut input, &mut pieces) {
+            for chunk in bytes.chunks(usize::from(*step).max(1)) {
+                input.extend_from_slice(chunk);
+                if !take_all_frames(&mut input, &mut split) {
                     break;
                 }
                 assert!(
-                    input.len() <= LIMIT + 5 + piece.len(),
+                    input.len() <= LIMIT + 5 + chunk.len(),
                     "the buffer is bounded"
                 );
             }
-            assert_eq!(pieces, whole);
-            for frame in &whole {
+            assert_eq!(split, unsplit);
+            for frame in &unsplit {
                 let _ = frame.message();
             }
         });
@@ -62,25 +62,25 @@
     stairward_testing::check!()
         .with_type::<Vec<(u8, bool)>>()
         .for_each(|messages| {
-            let mut filter = AnswerFilter::default();
+            let mut filter = ResponseFilter::default();
             let mut answer = Vec::new();
             let mut expected = Vec::new();
-            for (tag, is_own) in messages {
+            for (tag, is_injected) in messages {
                 let tag = b"123CDTEZ"[usize::from(*tag) % 8];
-                let bytes = message(tag, &[*is_own as u8; 3]);
+                let bytes = message(tag, &[*is_injected as u8; 3]);
                 if tag == b'1' {
-                    filter.expect_parse(*is_own);
+                    filter.expect_parse(*is_injected);
                 }
-                if tag != b'1' || !is_own {
+                if tag != b'1' || !is_injected {
                     expected.extend_from_slice(&bytes);
                 }
                 answer.extend(bytes);
             }
             let mut output = BytesMut::new();
-            filter.pass(&answer, &mut output);
+            filter.forward(&answer, &mut output);
             assert_eq!(output, expected);
-            let parses = messages.iter().filter(|(tag, _)| tag % 8 == 0).count();
-            assert_eq!(filter.parses, parses);
+            let parse_completes = messages.iter().filter(|(tag, _)| tag % 8 == 0).count();
+            assert_eq!(filter.parse_completes, parse_completes);
         });
 }
 
@@ -94,7 +94,7 @@
                 ("options".to_owned(), options.clone()),
                 (name.clone(), value.clone()),
             ];
-            let _ = read_parameters(parameters.into());
+            let _ = parse_startup_parameters(parameters.into());
         });
 }
 
@@ -107,7 +107,7 @@
         ("extra_float_digits".to_owned(), "3".to_owned()),
         ("client_encoding".to_owned(), "utf-8".to_owned()),
     ];
-    let read = read_parameters(parameters.into()).unwrap();
+    let read = parse_startup_parameters(parameters.into()).unwrap();
     assert_eq!(read.database, "reader");
     assert_eq!(read.hints.deadline.unwrap().as_millis(), 250);
     let settings: Vec<_> = read.settings.into_iter().collect();
