--- a/crates/stairward-proxy/src/edge/active.rs
+++ b/crates/stairward-proxy/src/edge/active.rs
@@ -1,4 +1,4 @@
-//! A stream to an owner that a session holds, and the batch that runs on it.
+//! The stream to an owner that a session holds, and the batch running on it.
 
 use std::collections::BTreeSet;
 
@@ -13,48 +13,51 @@
 use super::response_filter::ResponseFilter;
 use crate::peer::EdgeStream;
 
-/// Bytes of answers written to the caller before the owner is granted as many more.
+/// Response bytes forwarded to the client before the owner is granted the same amount of
+/// flow-control credit.
 const CREDIT_GRANT_BYTES: u32 = INITIAL_WINDOW_BYTES / 4;
 
-/// A change of the statements prepared on the connection, once the back end confirms it.
+/// A change to the statements prepared on the backend connection, applied once the backend confirms
+/// it.
 pub(super) enum PendingChange {
-    /// The caller's own `Parse` or `Close`.
+    /// A `Parse` or `Close` sent by the client.
     Client(PreparedChange),
-    /// A `Parse` that the edge added, of a statement that the session has.
+    /// A `Parse` added by the edge for a statement that the session prepared on another connection.
     Replayed { name: String },
 }
 
-/// A batch under way: one that ends in `Sync`, or the parts of one that hasn't come to it yet.
+/// A batch in progress: either complete up to its `Sync`, or the parts sent so far.
 pub(super) struct RunningBatch {
-    /// The batch, or its latest part.
+    /// The batch, or the part of it sent last.
     pub(super) batch: Batch,
     pub(super) filter: ResponseFilter,
     pub(super) changes: Vec<PendingChange>,
-    /// Whether running it may have committed writes.
+    /// Whether the batch may commit writes.
     pub(super) may_commit: bool,
-    /// Whether its answer has begun to come.
+    /// Whether any of the response has arrived.
     pub(super) response_started: bool,
 }
 
-/// A stream and what is known of the connection at its other end.
+/// A stream to an owner and the known state of the backend connection behind it.
 pub(super) struct ActiveStream {
     pub(super) stream: EdgeStream,
     pub(super) access: AccessClass,
     pub(super) running: Option<Box<RunningBatch>>,
     sequence: u32,
-    /// Statements prepared on the connection.
+    /// Names of the statements prepared on the backend connection.
     prepared: BTreeSet<String>,
-    /// Bytes of answers taken since the last grant.
+    /// Response bytes forwarded since credit was last granted.
     uncredited_bytes: u32,
 }
 
-/// A batch made ready for an owner.
+/// A batch encoded for the owner, and the state needed to process its response.
 pub(super) struct OutgoingBatch {
     pub(super) wire: WireBatch,
     pub(super) running: RunningBatch,
 }
 
-/// Adds to a batch the `Parse` messages of statements that the connection lacks.
+/// Encodes a batch for the owner, preceded by `Parse` messages for the statements that the backend
+/// connection lacks.
 pub(super) fn build_outgoing(
     batch: Batch,
     is_on_connection: impl Fn(&str) -> bool,
@@ -103,7 +106,7 @@
 }
 
 impl ActiveStream {
-    /// A stream whose first batch has been sent.
+    /// Wraps a stream whose first batch has been sent.
     pub(super) fn opened(stream: EdgeStream, access: AccessClass, running: RunningBatch) -> Self {
         Self {
             stream,
@@ -115,7 +118,7 @@
         }
     }
 
-    /// Whether the connection has, or will have, a prepared statement of this name.
+    /// Whether the statement is prepared on the connection, or will be by the batch in progress.
     pub(super) fn has_prepared(&self, name: &str) -> bool {
         let is_pending = |change: &PendingChange| match change {
             PendingChange::Replayed { name: pending }
@@ -131,7 +134,7 @@
                 .is_some_and(|running| running.changes.iter().any(is_pending))
     }
 
-    /// Sends a further batch. Returns false when the connection to the owner is lost.
+    /// Sends another batch. Returns false if the connection to the owner is lost.
     pub(super) fn send(&mut self, mut outgoing: OutgoingBatch) -> bool {
         self.sequence += 1;
         outgoing.wire.sequence = self.sequence;
@@ -143,7 +146,8 @@
         self.stream.send(EdgeMessage::Batch(outgoing.wire))
     }
 
-    /// Counts bytes of answers that the caller has been given, and grants the owner as many more.
+    /// Counts response bytes forwarded to the client, and grants the owner credit for them in steps
+    /// of [`CREDIT_GRANT_BYTES`].
     pub(super) fn credit_bytes(&mut self, count: usize) {
         let count = u32::try_from(count).unwrap_or(u32::MAX);
         self.uncredited_bytes = self.uncredited_bytes.saturating_add(count);
@@ -155,8 +159,8 @@
         }
     }
 
-    /// Brings the statements known to be on the connection, and those of the session, up to date
-    /// with what the back end has confirmed.
+    /// Updates the statements of the connection and of the session with the changes that the
+    /// backend confirmed.
     pub(super) fn apply_confirmed(
         &mut self,
         running: &RunningBatch,
@@ -175,7 +179,8 @@
                 {
                     parse_completes -= 1;
                     self.prepared.insert(name.clone());
-                    // What doesn't fit is unknown when it is next used, which the caller is told.
+                    // A statement beyond the session's limit is dropped. Its next use is refused as
+                    // unknown.
                     if session.insert(name, statement.clone()).is_err() {
                         session.remove(name);
                     }
@@ -194,7 +199,7 @@
 }
 
 impl RunningBatch {
-    /// Takes over the next part of a batch whose earlier parts were sent.
+    /// Adds the next part of a batch whose earlier parts have been sent.
     fn append_part(&mut self, next: Self) {
         let mut class = self.batch.class.clone();
         class.append(next.batch.class.clone());
@@ -206,7 +211,7 @@
     }
 }
 
-/// A back end's state as reported along with a message; `None` when the owner doesn't know it.
+/// Converts the backend state attached to an owner message; `None` if the owner doesn't know it.
 pub(super) fn observation(hint: BackendHint) -> Option<Observation> {
     let freshness = stairward_types::Freshness::from(hint.freshness);
     if freshness == stairward_types::Freshness::default() {
--- a/crates/stairward-proxy/src/edge/batch.rs
+++ b/crates/stairward-proxy/src/edge/batch.rs
@@ -1,4 +1,4 @@
-//! Gathers a caller's messages into batches for a back end.
+//! Collects a client's protocol messages into batches that are sent to a backend together.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -12,50 +12,50 @@
 use super::error::EdgeError;
 use super::frontend::{Frame, FrontendMessage, Target};
 
-/// Most bytes of one batch; what is sent to an owner must fit a frame between nodes.
+/// Maximum size of a batch. It must fit into one frame of the protocol between nodes.
 const MAXIMUM_BATCH_BYTES: usize = 12 * 1024 * 1024;
 
-/// By which protocol a batch came, and whether more of it follows.
+/// The protocol by which a batch was sent, and whether the batch is complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum BatchKind {
     /// One `Query` message.
     Simple,
-    /// Extended messages up to `Sync`.
+    /// Extended-protocol messages up to `Sync`.
     Extended,
-    /// Extended messages up to `Flush`; the batch goes on.
+    /// Extended-protocol messages up to `Flush`; more messages of the same batch follow.
     Partial,
 }
 
-/// A change of the session's prepared statements, in effect once the back end has confirmed it.
+/// A change to the session's prepared statements, applied once the backend confirms it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum PreparedChange {
     Parsed {
         name: String,
         statement: PreparedStatement,
     },
-    /// `Close` of a statement; `None` for that of a portal.
+    /// `Close` of a prepared statement, or of a portal if `name` is `None`.
     Closed { name: Option<String> },
 }
 
-/// Messages to be run together.
+/// Messages that are sent to a backend together.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct Batch {
     pub(super) kind: BatchKind,
-    /// The messages as they came.
+    /// The messages as received, headers included.
     pub(super) frames: Vec<Bytes>,
-    /// What the statements that run in it need.
+    /// The combined class of the statements that run in the batch.
     pub(super) class: StatementClass,
-    /// Whether it runs anything, rather than only preparing and describing.
+    /// Whether the batch executes statements, rather than only preparing or describing them.
     pub(super) executes: bool,
-    /// The hints in its comments.
+    /// Hints given in SQL comments.
     pub(super) hints: Hints,
-    /// Its changes of prepared statements, in order.
+    /// Changes to prepared statements, in order.
     pub(super) prepared_changes: Vec<PreparedChange>,
-    /// Statements that it uses and doesn't itself parse.
+    /// Prepared statements that the batch uses without parsing them itself.
     pub(super) referenced_statements: BTreeSet<String>,
-    /// The text of a simple query.
+    /// The SQL text of a simple query; empty in the extended protocol.
     pub(super) text: String,
-    /// Why it is refused.
+    /// The error with which the batch is refused, if it must not run.
     pub(super) error: Option<EdgeError>,
 }
 
@@ -74,7 +74,7 @@
         }
     }
 
-    /// A batch of one `Query` message.
+    /// Creates a batch from one `Query` message.
     pub(super) fn simple(frame: Frame, text: &str, class: Arc<StatementClass>) -> Self {
         let mut batch = Self::new(BatchKind::Simple);
         batch.executes = true;
@@ -84,17 +84,18 @@
         batch
     }
 
-    /// Its size in bytes.
+    /// Total size of the messages in bytes.
     pub(super) fn bytes(&self) -> usize {
         self.frames.iter().map(Bytes::len).sum()
     }
 
-    /// Its messages in one piece.
+    /// All messages concatenated.
     pub(super) fn message_bytes(&self) -> Vec<u8> {
         self.frames.concat()
     }
 
-    /// What the back end must allow: reads go anywhere, unless more may follow that writes.
+    /// The access that the backend must allow. A partial batch that executes statements needs write
+    /// access, because the rest of it may write.
     pub(super) fn access(&self) -> AccessClass {
         if self.kind == BatchKind::Partial && self.executes {
             return AccessClass::Write;
@@ -102,7 +103,7 @@
         self.class.access
     }
 
-    /// Whether it leaves state on the connection.
+    /// Whether the batch leaves session state on the backend connection.
     pub(super) fn alters_session(&self) -> bool {
         let names_statement = self.prepared_changes.iter().any(|change| match change {
             PreparedChange::Parsed { name, .. } => !name.is_empty(),
@@ -126,7 +127,7 @@
         self.check_hint_changes(class);
     }
 
-    /// Hints set by `SET` are checked before anything is sent.
+    /// Validates hints changed by `SET`, so that a bad one is refused before anything is sent.
     fn check_hint_changes(&mut self, class: &StatementClass) {
         for change in &class.changes {
             if let Err(error) = super::hint_changes::validate(change) {
@@ -135,28 +136,28 @@
         }
     }
 
-    /// Refuses the batch; the first reason stands.
+    /// Marks the batch as refused. If called again, the first error is kept.
     pub(super) fn refuse(&mut self, error: EdgeError) {
         self.error.get_or_insert(error);
     }
 }
 
-/// Gathers the messages of the extended protocol until they are to be sent.
+/// Collects extended-protocol messages until `Sync` or `Flush`.
 #[derive(Default)]
 pub(super) struct BatchBuilder {
     batch: Option<Box<Batch>>,
     bytes: usize,
-    /// Statements parsed since the last `Sync` in parts already sent.
+    /// Statements parsed since the last `Sync` in parts that have been sent.
     earlier_parses: Vec<(String, PreparedStatement)>,
 }
 
 impl BatchBuilder {
-    /// Whether nothing has been gathered.
+    /// Whether no message has been collected.
     pub(super) fn is_empty(&self) -> bool {
         self.batch.is_none()
     }
 
-    /// Adds a message. `classify` gives the class of a text.
+    /// Adds a message. `classify` returns the class of a SQL text.
     pub(super) fn add(
         &mut self,
         frame: &Frame,
@@ -208,7 +209,7 @@
         batch.frames.push(frame.bytes.clone());
     }
 
-    /// Ends the batch at a `Sync` or `Flush`.
+    /// Completes the batch at a `Sync` or `Flush`.
     pub(super) fn finish(&mut self, frame: Frame, kind: BatchKind) -> Batch {
         self.bytes = 0;
         let mut batch = match self.batch.take() {
@@ -234,7 +235,8 @@
     }
 }
 
-/// The statement that a name stands for at this point of the batch.
+/// Finds the statement that a name refers to at this point of the batch. Refuses the batch if there
+/// is none.
 fn resolve_statement(
     batch: &mut Batch,
     name: &str,
@@ -270,7 +272,7 @@
     resolved
 }
 
-/// Whether the batch does nothing but change one session parameter by a simple query.
+/// The session parameter change made by a simple query, if the query does nothing else.
 pub(super) fn single_session_change(batch: &Batch) -> Option<&SessionChange> {
     let is_single = batch.kind == BatchKind::Simple && batch.class.statements == 1;
     match batch.class.changes.as_slice() {
--- a/crates/stairward-proxy/src/edge/completion.rs
+++ b/crates/stairward-proxy/src/edge/completion.rs
@@ -1,4 +1,4 @@
-//! What a session remembers once a batch has ended.
+//! Updates a session's state when a batch has completed.
 
 use stairward_protocol::stream::{OwnerMessage, WireTransactionStatus};
 use stairward_routing::Observation;
@@ -11,8 +11,8 @@
 use super::session::{Session, Transaction};
 
 impl Session {
-    /// Takes the end of the batch under way in, and reports that the session is ready. Returns the
-    /// back end's state, if the owner told it.
+    /// Completes the running batch and sends `ReadyForQuery`. Returns the backend's state if the
+    /// owner reported it.
     pub(super) fn complete_batch(&mut self, message: OwnerMessage) -> Option<Observation> {
         let OwnerMessage::BatchDone {
             status,
@@ -29,7 +29,8 @@
         if let Some(observed) = observed {
             self.floor.raise(observed.freshness);
         }
-        // The log position of a commit lies past every earlier one, so it covers them all.
+        // The log position of a commit is later than that of every earlier write, so it covers them
+        // all.
         self.floor_is_known |= committed_writes != 0 && observed.is_some();
         if let Some(running) = &running {
             self.count_completed(running, observed);
@@ -43,7 +44,8 @@
         observed
     }
 
-    /// Ends the batch on the active stream, and the stream too unless a transaction stays open.
+    /// Completes the batch on the active stream, and closes the stream unless a transaction remains
+    /// open.
     fn finish_running(&mut self, status: WireTransactionStatus) -> Option<Box<RunningBatch>> {
         let previous = self.transaction;
         self.transaction = match status {
@@ -62,7 +64,8 @@
         Some(running)
     }
 
-    /// Remembers changes of settings, and makes or undoes those of a transaction that has ended.
+    /// Applies changes of session parameters. When a transaction has ended, commits or rolls back
+    /// the changes made in it.
     fn apply_session_changes(&mut self, running: &RunningBatch, previous: Transaction) {
         let class = &running.batch.class;
         let is_idle = self.transaction == Transaction::Idle;
@@ -72,10 +75,10 @@
         if !is_rolled_back {
             for change in &class.changes {
                 if hint_changes::is_hint_change(change) {
-                    // Checked before the batch was sent.
+                    // Can't fail: the batch was validated before it was sent.
                     let _ = hint_changes::apply(change, &mut self.hints);
                 } else if self.variables.apply(change, was_in_transaction).is_err() {
-                    tracing::debug!(group = %self.group.id, "a session sets too much to be kept");
+                    tracing::debug!(group = %self.group.id, "session parameter not kept: session settings too large");
                 }
             }
         }
--- a/crates/stairward-proxy/src/edge/dispatch.rs
+++ b/crates/stairward-proxy/src/edge/dispatch.rs
@@ -1,4 +1,4 @@
-//! Running a batch on a new stream, as the routing machine decides.
+//! Runs a batch on a new stream, driven by the routing state machine.
 
 use std::time::Duration;
 
@@ -17,21 +17,22 @@
 use super::execute::{ReadFloor, Request};
 use super::session::{Session, SessionEnd, SessionResult};
 
-/// How long a connection to an owner may take to be made before its standby is asked.
+/// Time to establish a connection to an owner before the attempt counts as failed and its standby
+/// can be tried.
 const OPEN_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What a step of a request came to.
+/// The result of one step of a request.
 enum Progress {
-    /// It goes on.
+    /// The request continues, with this event for the state machine, if any.
     Continue(Option<Event>),
-    /// It was admitted and the rest of its batch is still to come.
+    /// The request was admitted, and the rest of its batch hasn't been received yet.
     AwaitingNextPart,
-    /// It has its outcome.
+    /// The request has completed.
     Finished(Outcome),
 }
 
 impl Session {
-    /// Runs a batch that starts a new stream.
+    /// Runs a batch on a new stream.
     pub(super) async fn run_on_new_stream(&mut self, request: Request) -> SessionResult<()> {
         let floor = self.request_floor(&request).await;
         let mut machine = RequestMachine::new(RequestSpec {
@@ -55,7 +56,7 @@
         self.registration.cancel_requests.mark_unchanged();
         let outcome = self.drive_request(&mut machine, &mut dispatch).await;
         if outcome.is_err() {
-            // Gives back a place in the hold queue.
+            // Releases the request's place in the hold queue.
             let now = self.now();
             self.group
                 .with_routing(|routing| machine.handle(now, Event::Cancelled, routing, 0));
@@ -71,7 +72,7 @@
         Ok(())
     }
 
-    /// Forgets answers of a failed attempt that the caller has seen nothing of.
+    /// Discards the buffered response of a failed attempt, none of which was written to the client.
     fn discard_output(&mut self, dispatch: &Dispatch) {
         let length = self.client.output.len().min(dispatch.output_start);
         self.client.output.truncate(length);
@@ -87,8 +88,8 @@
         }
     }
 
-    /// Feeds the machine until the request has its outcome; `None` when the rest of its batch is
-    /// still to come.
+    /// Drives the state machine until the request completes. Returns `None` if the request was
+    /// admitted and the rest of its batch is still to come.
     async fn drive_request(
         &mut self,
         machine: &mut RequestMachine,
@@ -144,7 +145,8 @@
         Progress::Continue(None)
     }
 
-    /// Opens a stream; returns what the machine must hear when that failed.
+    /// Opens a stream to the backend's owner. Returns the event for the state machine if that
+    /// fails.
     async fn send_attempt(&mut self, attempt: &Attempt, dispatch: &Dispatch) -> Option<Event> {
         let stream_lost = Some(Event::StreamLost {
             request_sent: false,
@@ -185,7 +187,7 @@
             session_setup: setup.into(),
             batch,
         };
-        // Giving up on a connection that is still being made sends nothing.
+        // If connecting times out, nothing has been sent, so the attempt is safe to repeat.
         let connect_timeout = attempt.remaining.min(OPEN_TIMEOUT);
         let opened = self.service.network.open_stream(node, open);
         match tokio::time::timeout(connect_timeout, opened).await {
@@ -198,7 +200,7 @@
         }
     }
 
-    /// The messages that set the session up on a connection; empty when there is nothing to set.
+    /// The messages that set up session state on a backend connection; empty if there is none.
     fn session_setup(&self, request: &Request) -> Vec<u8> {
         let mut sql = self.variables.setup_sql();
         if request.read_only {
@@ -208,18 +210,19 @@
             return Vec::new();
         }
         let mut bytes = BytesMut::new();
-        // Encoding fails only for messages of a gigabyte.
+        // Encoding fails only for messages of about a gigabyte.
         let _ = Query::new(sql).encode(&mut bytes);
         bytes.to_vec()
     }
 
     async fn next_event(&mut self, dispatch: &mut Dispatch) -> SessionResult<Progress> {
-        // A write under way is left to run: the caller may have sent it and gone.
+        // A running write isn't abandoned when the client disconnects: the client may have sent it
+        // and closed the connection on purpose.
         let watch_client = dispatch.request.access == AccessClass::Read || self.active.is_none();
-        let event = self
+        let wakeup = self
             .next_wakeup(dispatch.wake_at, &mut dispatch.primary, watch_client)
             .await?;
-        let message = match event {
+        let message = match wakeup {
             Wakeup::Owner(Some(message)) => message,
             Wakeup::Owner(None) => {
                 self.active = None;
@@ -242,8 +245,8 @@
         self.handle_owner_message(message, dispatch).await
     }
 
-    /// Takes a message of the owner in. Those that end the stream let go of it, since nothing but its
-    /// end would be heard on it from now on.
+    /// Processes a message from the owner. A message that ends the stream also drops it, since
+    /// nothing but the end of the stream would follow.
     async fn handle_owner_message(
         &mut self,
         message: OwnerMessage,
@@ -294,18 +297,19 @@
     }
 }
 
-/// A request on its way to a stream.
+/// A request being dispatched to a stream.
 pub(super) struct Dispatch {
     request: Request,
     floor: ReadFloor,
     wake_at: Time,
-    /// Length of the caller's output when the request began; what follows is of the attempt.
+    /// Length of the client's output buffer when the request began. Anything after it belongs to
+    /// the current attempt and can be discarded on a retry.
     output_start: usize,
     primary: watch::Receiver<u64>,
 }
 
 impl Request {
-    /// Whether running it may commit writes.
+    /// Whether the request may commit writes.
     pub(super) fn may_commit(&self) -> bool {
         self.access == AccessClass::Write && self.batch.class.may_commit(false)
     }
--- a/crates/stairward-proxy/src/edge/events.rs
+++ b/crates/stairward-proxy/src/edge/events.rs
@@ -1,4 +1,4 @@
-//! What a session listens to while a batch runs, and passing answers on.
+//! The events that a session waits for while a batch runs, and forwarding of responses.
 
 use std::time::Duration;
 
@@ -9,29 +9,30 @@
 use super::client::OUTPUT_BYTES;
 use super::session::{OUTPUT_DELAY, Session, SessionResult};
 
-/// What a session heard while a batch runs.
+/// An event that wakes a session while a batch runs.
 pub(super) enum Wakeup {
-    /// A message of the owner; `None` when the connection to it is lost.
+    /// A message from the owner; `None` if the connection to it is lost.
     Owner(Option<OwnerMessage>),
-    /// Gathered answers are due to be written.
+    /// Buffered output is due to be written.
     FlushDue,
-    /// The awaited moment has come.
+    /// The requested wake-up time has been reached.
     Timer,
-    /// A primary was learnt or found alive.
+    /// A new primary was found, or the known one was confirmed.
     NewPrimary,
-    /// The caller cancels its statement.
+    /// The client cancelled its statement.
     CancelRequested,
-    /// The caller closed its connection.
+    /// The client closed its connection.
     ClientGone,
 }
 
-/// How long a refusal advises to wait; `None` when it doesn't say.
+/// The retry delay of a refusal; `None` if the owner gave none.
 pub(super) fn retry_after(milliseconds: u32) -> Option<Duration> {
     (milliseconds > 0).then(|| Duration::from_millis(milliseconds.into()))
 }
 
 impl Session {
-    /// Waits for the next thing that concerns the batch under way.
+    /// Waits for the next event of the running batch. `watch_client` also watches for the client
+    /// closing its connection.
     pub(super) async fn next_wakeup(
         &mut self,
         wake_at: Time,
@@ -39,10 +40,10 @@
         watch_client: bool,
     ) -> SessionResult<Wakeup> {
         let now = self.service.cluster.clock.now();
-        let has_answers = !self.client.output.is_empty();
+        let has_output = !self.client.output.is_empty();
         let client = &mut self.client;
         let active = &mut self.active;
-        let event = tokio::select! {
+        let wakeup = tokio::select! {
             biased;
             message = async {
                 match active {
@@ -63,13 +64,14 @@
                 Wakeup::NewPrimary
             }
             () = tokio::time::sleep(wake_at.since(now)), if wake_at != Time::NEVER => Wakeup::Timer,
-            () = tokio::time::sleep(OUTPUT_DELAY), if has_answers => Wakeup::FlushDue,
+            () = tokio::time::sleep(OUTPUT_DELAY), if has_output => Wakeup::FlushDue,
             () = client.wait_closed(), if watch_client => Wakeup::ClientGone,
         };
-        Ok(event)
+        Ok(wakeup)
     }
 
-    /// Passes answers on. Returns whether any of the batch were written to the caller.
+    /// Forwards part of a response to the client. Returns whether any response bytes of the running
+    /// batch were written to the socket.
     pub(super) async fn forward_response(&mut self, messages: &[u8]) -> SessionResult<bool> {
         let Some(active) = &mut self.active else {
             return Ok(false);
@@ -88,8 +90,8 @@
         Ok(response_started)
     }
 
-    /// Writes gathered answers to the caller, those of earlier batches included. Returns whether
-    /// some were of the batch under way.
+    /// Writes buffered output to the client, including the responses of earlier batches. Returns
+    /// whether any of it belongs to the running batch.
     pub(super) async fn flush_output(&mut self) -> SessionResult<bool> {
         self.client.flush().await?;
         let running = self
--- a/crates/stairward-proxy/src/edge/execute.rs
+++ b/crates/stairward-proxy/src/edge/execute.rs
@@ -1,5 +1,5 @@
-//! Deciding how a batch runs: answered by the edge, on the stream of an open transaction, or on a
-//! new stream.
+//! Decides how a batch runs: handled by the edge itself, on the stream of an open transaction, or
+//! on a new stream.
 
 use std::time::Duration;
 
@@ -13,10 +13,10 @@
 use super::reply;
 use super::session::{Session, SessionResult, Transaction};
 
-/// How long a session's first read waits for a majority before it goes to the primary.
+/// How long a session's first read waits for a majority before it falls back to the primary.
 const MAJORITY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How a batch is to be run.
+/// A batch together with the limits and hints that apply to it.
 pub(super) struct Request {
     pub(super) batch: Batch,
     pub(super) access: AccessClass,
@@ -28,15 +28,16 @@
     pub(super) service: String,
 }
 
-/// The floor that a read must be answered at.
+/// The minimum freshness of the backend that answers a read.
 pub(super) struct ReadFloor {
     pub(super) freshness: Option<Freshness>,
-    /// Whether only the primary may answer, since the floor couldn't be learnt.
+    /// Whether only the primary may answer, because the minimum freshness couldn't be determined.
     pub(super) primary_only: bool,
 }
 
 impl Session {
-    /// Runs a batch, answers it, and reports that the session is ready unless more of it follows.
+    /// Runs a batch and sends its response, followed by `ReadyForQuery` unless the batch is
+    /// partial.
     pub(super) async fn execute(&mut self, mut batch: Batch) -> SessionResult<()> {
         let statements = batch.class.statements as u64;
         self.service.counters.statements.add(statements);
@@ -65,7 +66,7 @@
         }
     }
 
-    /// Answers what concerns nobody but the edge. Returns false when a back end is needed.
+    /// Handles a batch that needs no backend. Returns false if one is needed.
     fn handle_locally(&mut self, batch: &Batch) -> bool {
         if self.transaction == Transaction::Failed || batch.kind != BatchKind::Simple {
             return false;
@@ -92,7 +93,7 @@
             change,
             stairward_session::SessionChange::Set { local: true, .. }
         );
-        // Outside a transaction SET LOCAL has no effect, as in PostgreSQL.
+        // As in PostgreSQL, SET LOCAL has no effect outside a transaction.
         let has_effect = !is_local || self.transaction == Transaction::Open;
         if has_effect && let Err(error) = hint_changes::apply(change, &mut self.hints) {
             self.refuse(batch.kind, error);
@@ -105,7 +106,7 @@
         true
     }
 
-    /// Joins a batch with the hints and settings in force.
+    /// Combines a batch with the current hints and group settings.
     fn build_request(&mut self, batch: Batch) -> Result<Request, (BatchKind, EdgeError)> {
         let hints = self.hints.effective(batch.hints.clone());
         let now = self.now();
@@ -126,7 +127,7 @@
         if read_only && access == AccessClass::Write && !batch.class.controls_transaction() {
             let error = EdgeError::with_explanation(
                 ResultCode::InvalidHint,
-                "stairward.read_only is on and the statement may write",
+                "the statement may write, but stairward.read_only is on",
             );
             return Err((batch.kind, error));
         }
@@ -148,8 +149,9 @@
         })
     }
 
-    /// The key under which the batch runs once. A key serves one write by itself: within a
-    /// transaction of the caller's own the ledger row could not stand for the whole.
+    /// The idempotency key of the batch, if it has one. A key covers a single write outside a
+    /// transaction: within a client's transaction, the ledger row couldn't represent the whole
+    /// transaction.
     fn request_key(
         &mut self,
         batch: &Batch,
@@ -176,7 +178,7 @@
     }
 
     /// The floor for a read on a new stream. The first read of a session without a token asks a
-    /// majority of the group.
+    /// majority of the group's members for it.
     pub(super) async fn read_floor(&mut self, request: &Request) -> ReadFloor {
         let timeout = request.deadline.since(self.now()).min(MAJORITY_TIMEOUT);
         let must_check_token = self
@@ -211,7 +213,8 @@
         })
     }
 
-    /// The session's floor, raised to what was seen anywhere as long ago as the answer may be old.
+    /// The session's floor, raised to the freshness that the group had reached at the maximum
+    /// staleness ago.
     fn floor_with_staleness(&self, request: &Request) -> Option<Freshness> {
         let floor = self.floor.get();
         if request.staleness.is_zero() {
@@ -227,7 +230,8 @@
         }
     }
 
-    /// Answers while the session's transaction is lost: its end is confirmed, all else is refused.
+    /// Responds to a batch while the session's transaction is lost: its end is acknowledged and
+    /// everything else is refused.
     fn handle_lost_transaction(&mut self, batch: &Batch, reported: bool) {
         let ends = batch.class.ends.is_some() && batch.class.leaves_open.is_none();
         let commits = batch.class.has_commit;
@@ -247,7 +251,7 @@
         }
     }
 
-    /// Plays the back end for the end of a transaction that no longer exists.
+    /// Responds to the end of a lost transaction as the backend would to a rollback.
     fn emulate_rollback(&mut self, batch: &Batch) {
         for bytes in &batch.frames {
             let frame = Frame {
--- a/crates/stairward-proxy/src/edge/group.rs
+++ b/crates/stairward-proxy/src/edge/group.rs
@@ -1,5 +1,5 @@
-//! What all sessions of one database group share at an edge: routing hints, the search for a
-//! primary, and the position confirmed by a majority.
+//! State of one database group shared by all sessions of an edge: routing state, the search for a
+//! primary, and the freshness confirmed by a majority.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -17,20 +17,20 @@
 use crate::cluster::{Cluster, Identity, KnownPrimary};
 use crate::peer::PeerNetwork;
 
-/// Pause between two searches for a primary while requests wait for one.
+/// Interval between two searches for a primary while requests wait for one.
 const SEARCH_INTERVAL: Duration = Duration::from_millis(25);
-/// How long one search waits for the members' answers.
+/// How long one search waits for replies from the members.
 const SEARCH_TIMEOUT: Duration = Duration::from_millis(400);
-/// Requests released to a new primary per second.
+/// Rate at which held requests are released to a new primary.
 const RELEASES_PER_SECOND: u32 = 2_000;
 
-/// One database group as this edge sees it.
+/// A database group as seen by this edge.
 pub(super) struct Group {
     pub(super) id: GroupId,
     cluster: Cluster,
     network: PeerNetwork,
     state: Mutex<State>,
-    /// Counts the times a primary was learnt or found alive.
+    /// Incremented whenever a new primary is found or the known one is confirmed.
     primary_updates: watch::Sender<u64>,
     searching: AtomicBool,
     rounds: MajorityRounds,
@@ -55,17 +55,17 @@
         }
     }
 
-    /// The settings in force; `None` once the group has been removed from them.
+    /// The current settings; `None` if the group has been removed.
     fn settings(&self) -> Option<GroupSettings> {
         self.with_settings(GroupSettings::clone)
     }
 
-    /// Reads the settings in force; `None` once the group has been removed from them.
+    /// Reads the current settings; `None` if the group has been removed.
     pub(super) fn with_settings<R>(&self, read: impl FnOnce(&GroupSettings) -> R) -> Option<R> {
         self.cluster.settings().groups.get(&self.id).map(read)
     }
 
-    /// Runs a decision on the group's routing state, brought up to date first.
+    /// Runs `decide` on the group's routing state after updating it.
     pub(super) fn with_routing<R>(&self, decide: impl FnOnce(&mut GroupRouting) -> R) -> R {
         let mut state = self.lock();
         self.refresh(&mut state);
@@ -76,7 +76,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes over changed settings and newly learnt primaries.
+    /// Applies changed settings and newly found primaries.
     fn refresh(&self, state: &mut State) {
         let settings = self.cluster.settings();
         if state.revision != Some(settings.revision)
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Follows the times a primary is learnt.
+    /// Subscribes to notifications that a primary was found or confirmed.
     pub(super) fn subscribe_primary(&self) -> watch::Receiver<u64> {
         self.primary_updates.subscribe()
     }
@@ -108,7 +108,7 @@
         self.primary_updates.send_modify(|count| *count += 1);
     }
 
-    /// Looks for a primary as long as requests wait for one. At most one search runs.
+    /// Searches for a primary while requests wait for one. At most one search runs at a time.
     pub(super) fn start_primary_search(self: &Arc<Self>) {
         if self.searching.swap(true, Ordering::SeqCst) {
             return;
@@ -122,14 +122,14 @@
                 tokio::time::sleep(SEARCH_INTERVAL).await;
             }
             group.searching.store(false, Ordering::SeqCst);
-            // A request may have begun to wait between the last look and now.
+            // A request may have been queued between the last check and the store.
             if group.with_routing(|routing| !routing.hold.is_empty()) {
                 group.start_primary_search();
             }
         });
     }
 
-    /// Asks every member once, and stops as soon as the answers show a primary.
+    /// Queries every member once, and stops as soon as the replies identify a primary.
     async fn search_round(&self) -> bool {
         let Some(settings) = self.settings() else {
             return false;
@@ -149,8 +149,9 @@
         false
     }
 
-    /// Takes over the primary that the answers show, if they do. A newer one counts at once; the one
-    /// already known only if a majority knows of no later term, since it may be cut off.
+    /// Adopts the primary that the replies identify, if any. A primary of a newer term is adopted
+    /// at once. The known primary is confirmed only if a majority reports no later term, because it
+    /// may be partitioned from the others.
     fn adopt_primary(&self, replies: &[MemberReply], members: usize) -> bool {
         let newest = replies.iter().map(|reply| reply.freshness.term).max();
         let primary = replies
@@ -173,7 +174,8 @@
         is_confirmed
     }
 
-    /// Asks a back end's owner, or else its standby, for its state, now.
+    /// Queries the current state of a backend at its owner, or at the standby if the owner doesn't
+    /// reply.
     async fn query_member(
         &self,
         backend: &stairward_types::BackendId,
@@ -201,8 +203,8 @@
         });
     }
 
-    /// The least freshness that covers every write acknowledged before this call; `None` when no
-    /// majority answers in time.
+    /// The minimum freshness that covers every write acknowledged before this call; `None` if no
+    /// majority replies in time.
     pub(super) async fn confirmed_freshness(&self, timeout: Duration) -> Option<Freshness> {
         let settings = self.settings()?;
         let members = settings.backends.len();
--- a/crates/stairward-proxy/src/edge/hint_changes.rs
+++ b/crates/stairward-proxy/src/edge/hint_changes.rs
@@ -1,4 +1,4 @@
-//! `SET`, `RESET` and `SHOW` of `stairward.*` parameters, which the edge keeps itself.
+//! `SET`, `RESET` and `SHOW` of `stairward.*` parameters, which are handled by the edge.
 
 use stairward_session::{Hints, SessionChange, SessionHints};
 use stairward_types::ResultCode;
@@ -6,10 +6,10 @@
 use super::error::EdgeError;
 
 const PREFIX: &str = "stairward.";
-/// The parameter that reports a session's token.
+/// The parameter that contains the session token.
 pub(super) const TOKEN_PARAMETER: &str = "stairward.session_token";
 
-/// Whether a change is about a hint.
+/// Whether the change concerns a hint.
 pub(super) fn is_hint_change(change: &SessionChange) -> bool {
     match change {
         SessionChange::Set { name, .. } | SessionChange::Reset { name } => name.starts_with(PREFIX),
@@ -17,10 +17,10 @@
     }
 }
 
-/// Checks a change of a hint without making it.
+/// Validates a change to a hint without applying it.
 ///
 /// # Errors
-/// A numbered error for an unknown hint or a bad value.
+/// [`ResultCode::InvalidHint`] if the hint is unknown or its value is invalid.
 pub(super) fn validate(change: &SessionChange) -> Result<(), EdgeError> {
     if !is_hint_change(change) {
         return Ok(());
@@ -28,10 +28,10 @@
     apply(change, &mut SessionHints::new(Hints::default()))
 }
 
-/// Makes a change of a hint; other changes are passed over.
+/// Applies a change to a hint; other changes are ignored.
 ///
 /// # Errors
-/// As for [`check`].
+/// As for [`validate`].
 pub(super) fn apply(change: &SessionChange, hints: &mut SessionHints) -> Result<(), EdgeError> {
     let applied = match change {
         SessionChange::Set { name, value, local } if name.starts_with(PREFIX) => {
@@ -47,7 +47,7 @@
     applied.map_err(|error| EdgeError::with_explanation(ResultCode::InvalidHint, error))
 }
 
-/// The value of a quoted SQL literal, or the text itself.
+/// The value of a quoted SQL literal, or the text itself if it isn't quoted.
 fn unquote(value: &str) -> String {
     value
         .strip_prefix('\'')
@@ -55,7 +55,7 @@
         .map_or_else(|| value.to_owned(), |inner| inner.replace("''", "'"))
 }
 
-/// Whether a simple query asks for the session's token.
+/// Whether a simple query is `SHOW` of the session token.
 pub(super) fn is_show_token(text: &str) -> bool {
     let text = text.trim().trim_end_matches(';').trim_end();
     let mut words = text.split_whitespace();
--- a/crates/stairward-proxy/src/edge/majority.rs
+++ b/crates/stairward-proxy/src/edge/majority.rs
@@ -1,4 +1,4 @@
-//! Asking a majority of a group's members how far the group has come.
+//! Determines how far a group's log has been received by a majority of its members.
 
 use std::future::Future;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -12,13 +12,13 @@
 
 use crate::peer::PeerError;
 
-/// What a member said when asked.
+/// A member's reply to a state query.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct MemberReply {
     pub(super) backend: BackendId,
-    /// Its term and applied position: what reads on it see.
+    /// Term and applied position: the state visible to reads on this member.
     pub(super) freshness: Freshness,
-    /// Its term and received position: what counts for a majority.
+    /// Term and received position: the state that counts towards a majority.
     pub(super) received: Freshness,
     pub(super) is_primary: bool,
 }
@@ -43,7 +43,8 @@
         }
     }
 
-    /// The answer as a routing hint. It doesn't tell the load, so the last one known stays.
+    /// Converts the reply to a routing observation. The reply doesn't contain the member's load, so
+    /// the last known value is kept.
     pub(super) fn observation(&self, view: &GroupView) -> Observation {
         let last = view
             .backends()
@@ -64,15 +65,15 @@
 
 #[derive(Default)]
 struct LastRound {
-    /// Its number; rounds are counted from 1.
+    /// The number of the round, starting at 1.
     number: u64,
     result: Option<Freshness>,
 }
 
-/// Rounds of questions to a group's members, one at a time.
+/// Rounds of queries to a group's members, one at a time.
 ///
-/// Any number of sessions that wait are served by one round, as long as it began after they asked:
-/// only then does it cover all that was acknowledged before.
+/// All waiting sessions share one round, provided that it started after they asked: only then does
+/// it cover every write acknowledged before.
 #[derive(Default)]
 pub(super) struct MajorityRounds {
     started: AtomicU64,
@@ -80,12 +81,13 @@
 }
 
 impl MajorityRounds {
-    /// The join of the answers of a majority, asked after this call; `None` without a majority.
+    /// The latest freshness among the replies of a majority that was queried after this call;
+    /// `None` without a majority.
     ///
-    /// The join is right whichever majority answers: a write acknowledged at a position has been
-    /// received there by a majority, so one of those that answer has received it, or follows a later
-    /// term whose log includes it. Applied positions would not do: a write is acknowledged before
-    /// the replicas apply it.
+    /// Any majority gives a correct result: a write acknowledged at a position has been received by
+    /// a majority, so at least one of the members that reply has received it, or follows a later
+    /// term whose log includes it. Applied positions would not be sufficient, because a write is
+    /// acknowledged before the replicas apply it.
     pub(super) async fn run<F>(
         &self,
         members: usize,
--- a/crates/stairward-proxy/src/edge/mod.rs
+++ b/crates/stairward-proxy/src/edge/mod.rs
@@ -1,9 +1,10 @@
-//! The edge: speaks PostgreSQL protocol 3.0 to callers and has owners run what they ask.
+//! The edge: accepts PostgreSQL protocol 3.0 connections from clients and sends their requests to
+//! the nodes that own the backend connection pools.
 //!
-//! One task serves a session. It gathers messages into batches ([`batch`]), decides where each runs
-//! ([`execute`]), and passes the answer on. A batch outside a transaction takes a new stream, whose
-//! back end the routing machine chooses ([`opening`]); one within a transaction goes to the stream
-//! that the session holds ([`pinned`]).
+//! One task serves each session. It collects protocol messages into batches ([`batch`]), decides
+//! how each batch runs ([`execute`]) and forwards the response. A batch outside a transaction opens
+//! a new stream to the owner of the backend chosen by the routing state machine ([`dispatch`]). A
+//! batch within a transaction uses the stream that the session already holds ([`pinned`]).
 
 mod active;
 mod authentication;
--- a/crates/stairward-proxy/src/edge/pinned.rs
+++ b/crates/stairward-proxy/src/edge/pinned.rs
@@ -1,5 +1,5 @@
-//! Running batches on a stream that a session holds already: in a transaction, or after the first
-//! part of a batch that was sent with `Flush`.
+//! Runs batches on a stream that a session already holds: within a transaction, or after the first
+//! part of a batch was sent with `Flush`.
 
 use std::time::Duration;
 
@@ -14,22 +14,22 @@
 use super::execute::Request;
 use super::session::{Session, SessionEnd, SessionResult, Transaction};
 
-/// How long after a cancellation at the deadline the outcome is waited for.
+/// How long to wait for the outcome after the statement was cancelled at its deadline.
 const DEADLINE_GRACE: Duration = Duration::from_millis(500);
-/// Advised to callers whose transaction was lost: the next primary is usually found by then.
+/// Retry delay advised after a lost transaction; a new primary has usually been found by then.
 const LOST_TRANSACTION_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// The end of a batch's deadline, in steps.
+/// What has been done about the deadline of the running batch.
 enum DeadlineState {
     Running,
-    /// The statement was cancelled; its outcome is waited for.
+    /// The deadline has passed and the statement was cancelled; waiting for its outcome.
     Cancelled,
 }
 
-/// How the parts of a batch that were sent already ended.
+/// How the parts of a batch that were already sent ended.
 enum PartOutcome {
     Answered,
-    /// The back end answered with an error.
+    /// The backend reported an error.
     Failed,
     Lost,
 }
@@ -43,7 +43,7 @@
         let kind = request.batch.kind;
         let deadline = request.deadline;
         let in_transaction = self.transaction != Transaction::Idle;
-        // What counts is the stream: a COMMIT by itself neither reads nor writes.
+        // Decided by the stream's access: a COMMIT by itself neither reads nor writes.
         let may_write = self
             .active
             .as_ref()
@@ -73,8 +73,9 @@
         active.send(outgoing)
     }
 
-    /// Whether the stream was opened for reading, outside a transaction, and the next part of the
-    /// batch writes. Parts already sent have run nothing then, only prepared and described.
+    /// Whether the next part of the batch writes but the stream was opened for reading, outside a
+    /// transaction. The parts already sent have only prepared and described statements, so nothing
+    /// has run.
     fn must_switch_to_primary(&self, request: &Request) -> bool {
         let is_read_stream = self
             .active
@@ -85,7 +86,8 @@
             && request.access == AccessClass::Write
     }
 
-    /// Ends the reading stream, keeping what was prepared on it, and opens one at the primary.
+    /// Completes the read stream, keeping the statements prepared on it, and runs the request on a
+    /// new stream to the primary.
     async fn switch_to_primary(&mut self, request: Request) -> SessionResult<()> {
         let kind = request.batch.kind;
         let deadline = request.deadline;
@@ -109,7 +111,7 @@
         }
     }
 
-    /// Waits for the end of parts already sent, passing their answers on.
+    /// Waits for the parts already sent to complete, forwarding their responses.
     async fn finish_earlier_parts(&mut self, deadline: Time) -> SessionResult<PartOutcome> {
         let mut primary = self.group.subscribe_primary();
         loop {
@@ -149,7 +151,8 @@
         }
     }
 
-    /// Skips what follows a part that failed, up to the caller's `Sync`, as a database does.
+    /// After a failed part, skips the rest of the batch up to the client's `Sync`, as PostgreSQL
+    /// does.
     fn finish_after_error(&mut self, kind: BatchKind) {
         if kind == BatchKind::Partial {
             self.skip_until_sync = true;
@@ -158,7 +161,7 @@
         }
     }
 
-    /// Passes the answer of the batch on until it has ended.
+    /// Forwards the response of the batch until the batch has completed.
     async fn await_batch_end(&mut self, kind: BatchKind, deadline: Time) -> SessionResult<()> {
         self.registration.cancel_requests.mark_unchanged();
         let mut primary = self.group.subscribe_primary();
@@ -204,8 +207,8 @@
         }
     }
 
-    /// Hears the owner while no whole batch runs: answers to a part of one, or the loss of the
-    /// transaction, which the caller is told when it next asks for something.
+    /// Processes an owner message while no complete batch is running: the response to a part of
+    /// one, or the loss of the transaction, which is reported with the client's next request.
     pub(super) async fn handle_owner_message_between_batches(
         &mut self,
         message: Option<OwnerMessage>,
@@ -271,7 +274,8 @@
         self.lost_batch_error(ResultCode::OwnerLostAfterSend)
     }
 
-    /// How a lost batch ended: unknown if it may have committed, else as a lost transaction.
+    /// The error for a lost batch: outcome unknown if it may have committed, otherwise a lost
+    /// transaction.
     fn lost_batch_error(&self, unknown_outcome: ResultCode) -> EdgeError {
         let may_have_committed = self
             .active
@@ -285,7 +289,7 @@
         }
     }
 
-    /// Reports a loss. When the batch asked for the end of its transaction, that has come.
+    /// Reports a lost batch. If the batch was to end its transaction, the transaction has ended.
     fn report_lost_batch(&mut self, kind: BatchKind, error: EdgeError) {
         let ends = self
             .active
@@ -312,7 +316,7 @@
 }
 
 impl ActiveStream {
-    /// Ends the parts already sent with a `Sync` of the edge's own.
+    /// Completes the parts already sent with a `Sync` added by the edge.
     fn send_closing_sync(&mut self) -> bool {
         let Some(running) = &self.running else {
             return false;
@@ -328,5 +332,5 @@
     }
 }
 
-/// A whole `Sync` message.
+/// A complete `Sync` message.
 const SYNC: &[u8] = &[b'S', 0, 0, 0, 4];
--- a/crates/stairward-proxy/src/edge/response_filter.rs
+++ b/crates/stairward-proxy/src/edge/response_filter.rs
@@ -1,41 +1,41 @@
-//! What the edge looks at in a back end's answer while passing it on.
+//! Inspects a backend's response while forwarding it.
 
 use std::collections::VecDeque;
 
 use bytes::{Buf, BytesMut};
 
-/// The type byte and the length field.
+/// Type byte and length field.
 const HEADER_BYTES: usize = 5;
 const PARSE_COMPLETE: u8 = b'1';
 const CLOSE_COMPLETE: u8 = b'3';
 const ERROR_RESPONSE: u8 = b'E';
 
-/// Passes the answer of one batch on, counts what tells how far it came, and keeps back the
-/// `ParseComplete`s of statements that the edge itself had added to the batch.
+/// Forwards the response of one batch, counts the messages that show how far the batch got, and
+/// drops the `ParseComplete` of each statement that the edge added to the batch.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub(super) struct ResponseFilter {
-    /// For each `ParseComplete` to come, in order, whether it is kept back.
+    /// For each expected `ParseComplete`, in order, whether it is dropped.
     expected_parses: VecDeque<bool>,
-    /// `ParseComplete`s seen, those kept back included.
+    /// Number of `ParseComplete` messages seen, dropped ones included.
     pub(super) parse_completes: usize,
-    /// `CloseComplete`s seen.
+    /// Number of `CloseComplete` messages seen.
     pub(super) close_completes: usize,
     /// Whether an `ErrorResponse` was seen.
     pub(super) failed: bool,
 }
 
 impl ResponseFilter {
-    /// Announces a `Parse` sent to the back end, and whether the edge itself added it.
+    /// Records that a `Parse` was sent to the backend, and whether it was added by the edge.
     pub(super) fn expect_parse(&mut self, is_injected: bool) {
         self.expected_parses.push_back(is_injected);
     }
 
-    /// Takes over what a further part of the batch announced.
+    /// Adds the messages expected for another part of the batch.
     pub(super) fn merge_expected(&mut self, next: Self) {
         self.expected_parses.extend(next.expected_parses);
     }
 
-    /// Appends whole messages to `output`, save for those kept back.
+    /// Appends complete messages to `output`, except the ones to drop.
     pub(super) fn forward(&mut self, messages: &[u8], output: &mut BytesMut) {
         let mut rest = messages;
         let mut pending = messages;
@@ -53,7 +53,7 @@
         output.extend_from_slice(pending);
     }
 
-    /// Counts a message and says whether it is kept back.
+    /// Counts a message and returns whether to drop it.
     fn should_drop(&mut self, tag: u8) -> bool {
         match tag {
             PARSE_COMPLETE => {
