--- a/crates/stairward-proxy/src/edge/authentication.rs
+++ b/crates/stairward-proxy/src/edge/authentication.rs
@@ -1,4 +1,4 @@
-//! SCRAM-SHA-256 (RFC 7677), by pgwire's server side.
+//! SCRAM-SHA-256 authentication (RFC 7677), based on pgwire's server implementation.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, PoisonError};
@@ -14,10 +14,12 @@
 
 pub(super) const MECHANISM: &str = "SCRAM-SHA-256";
 const SALT_BYTES: usize = 16;
-/// Refused users for whom a made-up salt is remembered.
+/// Bound on the cached salts of unknown user names, so that attempts with random names can't
+/// exhaust memory.
 const MAXIMUM_UNKNOWN_USERS: usize = 1_000;
 
-/// An exchange that failed. Deliberately says no more: callers must not learn why.
+/// A failed authentication exchange. It carries no reason, since clients must not learn why they
+/// were refused.
 #[derive(Debug, Snafu)]
 #[snafu(display("authentication failed"))]
 pub(super) struct AuthenticationError;
@@ -27,7 +29,7 @@
     password: Vec<u8>,
 }
 
-/// The users that may connect, with their salted passwords once they were needed.
+/// The users that may connect, with their salted passwords. Passwords are salted on first use.
 pub(super) struct Passwords {
     users: Users,
     salted: Mutex<HashMap<String, SaltedPassword>>,
@@ -41,10 +43,11 @@
         }
     }
 
-    /// Answers the caller's first message; returns what to send and what checks the second one.
+    /// Processes the client's first message. Returns the server's response and the state that
+    /// verifies the second message.
     ///
     /// # Errors
-    /// [`AuthenticationError`] when the message is malformed.
+    /// [`AuthenticationError`] if the message is malformed.
     pub(super) fn begin(
         &self,
         user: &str,
@@ -57,8 +60,8 @@
             .context(AuthenticationSnafu)
     }
 
-    /// The salted password of a user. One who is unknown gets a made-up one, so that the exchange
-    /// doesn't tell which users exist.
+    /// The salted password of a user. Unknown users get a random one, so that the exchange doesn't
+    /// reveal which users exist.
     fn salted_password(&self, user: &str) -> Password {
         let mut salted = self.salted.lock().unwrap_or_else(PoisonError::into_inner);
         if salted.len() > self.users.len() + MAXIMUM_UNKNOWN_USERS {
@@ -80,10 +83,11 @@
     }
 }
 
-/// Checks the caller's second message; returns what proves the server to the caller.
+/// Verifies the client's final message. Returns the server's final message, which proves its
+/// identity to the client.
 ///
 /// # Errors
-/// [`AuthenticationError`] when the proof is wrong.
+/// [`AuthenticationError`] if the client's proof is wrong.
 pub(super) fn finish(
     exchange: &ScramServerAuthWaitingForClientFinal,
     response: &[u8],
@@ -94,7 +98,7 @@
         .context(AuthenticationSnafu)
 }
 
-/// The SCRAM data within a `SASLInitialResponse`: mechanism name, zero byte, length, data.
+/// Extracts the SCRAM data from a `SASLInitialResponse`: mechanism name, zero byte, length, data.
 fn sasl_initial_data(mut body: &[u8]) -> Option<&[u8]> {
     let name_length = body.iter().position(|byte| *byte == 0)?;
     let name = &body[..name_length];
--- a/crates/stairward-proxy/src/edge/cancel.rs
+++ b/crates/stairward-proxy/src/edge/cancel.rs
@@ -1,7 +1,7 @@
-//! Cancel requests: finding the session that a key belongs to.
+//! Cancel requests: finds the session that a cancel key belongs to.
 //!
-//! The process number in a session's key data holds the low bits of its node's number, so that any
-//! proxy can pass a cancel request on to the right one.
+//! The process number in a session's key data contains the low bits of its node's number, so that
+//! any proxy can forward a cancel request to the right node.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -9,13 +9,13 @@
 use stairward_types::NodeId;
 use tokio::sync::watch;
 
-/// Bits of the process number that tell sessions of one node apart.
+/// Bits of the process number that identify the session within its node.
 const SESSION_BITS: u32 = 19;
 const SESSION_MASK: u32 = (1 << SESSION_BITS) - 1;
-/// Bits of the process number that tell nodes apart; the sign bit stays free.
+/// Bits of the node number included in the process number; the sign bit stays clear.
 const NODE_MASK: u64 = 0xFFF;
 
-/// What a caller needs to cancel a statement.
+/// The key that a client must present to cancel a statement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct CancelKey {
     pub(super) process: u32,
@@ -39,15 +39,16 @@
     state: Mutex<RegistryState>,
 }
 
-/// A session's place in the registry; given back when dropped.
+/// A session's entry in the registry; removed on drop.
 pub(super) struct Registration {
     pub(super) key: CancelKey,
-    /// Changes with each cancel request.
+    /// Changes with each cancel request for the session.
     pub(super) cancel_requests: watch::Receiver<u64>,
     registry: Arc<CancelRegistry>,
 }
 
-/// Whether a process number may have been given out by this node.
+/// Whether a process number may have been assigned by this node. Nodes whose numbers share their
+/// low bits can't be told apart.
 pub(super) fn may_belong_to(process: u32, node: NodeId) -> bool {
     u64::from(process >> SESSION_BITS) == node.0 & NODE_MASK
 }
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Adds a session. The secret must be random.
+    /// Registers a session. `secret` must be random, since it authenticates cancel requests.
     pub(super) fn register(self: &Arc<Self>, secret: u32) -> Registration {
         let (sender, cancel_requests) = watch::channel(0);
         let mut state = self.lock();
@@ -84,8 +85,8 @@
         }
     }
 
-    /// Cancels what the session with this key runs now, if anything. Returns whether there is such
-    /// a session.
+    /// Cancels the statement that the session with this key is running, if any. Returns whether
+    /// such a session exists.
     pub(super) fn cancel(&self, key: CancelKey) -> bool {
         let state = self.lock();
         let Some(session) = state.sessions.get(&key.process) else {
--- a/crates/stairward-proxy/src/edge/client.rs
+++ b/crates/stairward-proxy/src/edge/client.rs
@@ -1,4 +1,4 @@
-//! The caller's connection: a plain or TLS socket with its buffers.
+//! A client connection: a plain or TLS socket with its buffers.
 
 use std::io;
 use std::time::Duration;
@@ -12,49 +12,50 @@
 
 use super::frontend::{Frame, FrontendError, take_frame};
 
-/// A plain or TLS socket. The TLS state is boxed, so that plain sessions stay small.
+/// A plain or TLS socket. The TLS state is boxed to keep plain sessions small.
 pub(super) type ClientSocket = Either<TcpStream, Box<TlsStream<TcpStream>>>;
 
-/// Answers gathered before they are written, in bytes.
+/// Buffered response bytes at which the output is written to the socket.
 pub(super) const OUTPUT_BYTES: usize = 32 * 1024;
-/// Room for the first bytes of a message: what an idle session holds, and enough for most queries.
+/// Buffer space reserved for the start of a message. An idle session holds this much, and it is
+/// enough for most queries.
 const FIRST_READ_BYTES: usize = 512;
-/// Room for more of a message.
+/// Buffer space reserved for the rest of a longer message.
 const FURTHER_READ_BYTES: usize = 8 * 1024;
-/// What may be read ahead while a batch runs, in bytes.
+/// Maximum number of bytes read ahead while a batch runs.
 const READ_AHEAD_BYTES: usize = 64 * 1024;
-/// How long a caller may take no bytes at all before it is cut off.
+/// Time after which a client that reads nothing is disconnected.
 const STALLED_READER_TIMEOUT: Duration = Duration::from_secs(60);
-/// How long a closed connection is read on.
+/// How long input is still read after the connection has been shut down for writing.
 const LINGER_TIME: Duration = Duration::from_secs(1);
-/// Bytes dropped at once while a closed connection is read on.
+/// Size of the buffer for input that is discarded during the linger time.
 const LINGER_READ_BYTES: usize = 1_024;
-/// Longest start-up packet; PostgreSQL's own limit.
+/// Maximum length of a startup packet; the same limit as PostgreSQL's.
 const MAXIMUM_STARTUP_BYTES: usize = 10_000;
-/// Length and code.
+/// Length field and protocol code.
 const MINIMUM_STARTUP_BYTES: usize = 8;
 
-/// Why a caller's connection can't go on.
+/// Why a client connection can't continue.
 #[derive(Debug, Snafu)]
 pub(super) enum ClientError {
     /// The socket failed.
-    #[snafu(display("the caller's socket failed"))]
+    #[snafu(display("client socket error"))]
     Socket { source: io::Error },
-    /// The caller closed the connection.
-    #[snafu(display("the caller closed the connection"))]
+    /// The client closed the connection.
+    #[snafu(display("the client closed the connection"))]
     Closed,
-    /// The caller took no bytes for too long.
-    #[snafu(display("the caller does not read its answers"))]
+    /// The client read nothing for [`STALLED_READER_TIMEOUT`].
+    #[snafu(display("the client does not read its responses"))]
     Stalled,
-    /// The caller broke the protocol.
-    #[snafu(display("the caller broke the protocol: {source}"))]
+    /// The client violated the protocol.
+    #[snafu(display("protocol violation by the client: {source}"))]
     Protocol { source: FrontendError },
-    /// A start-up packet has an impossible length.
-    #[snafu(display("a start-up packet claims {length} bytes"))]
+    /// The length of a startup packet is out of range.
+    #[snafu(display("invalid startup packet length: {length}"))]
     StartupLength { length: usize },
 }
 
-/// A caller's connection. Its buffers hold nothing while the session is idle.
+/// A client connection. Its buffers are empty while the session is idle.
 pub(super) struct Client {
     socket: ClientSocket,
     input: BytesMut,
@@ -70,8 +71,8 @@
         }
     }
 
-    /// Gives the bare socket back for a TLS handshake. Bytes that the caller sent ahead of the
-    /// handshake could be taken for encrypted ones, so they are refused (CVE-2021-23214).
+    /// Returns the bare socket for a TLS handshake. Bytes that were sent before the handshake would
+    /// be treated as if they had been encrypted, so they are refused (CVE-2021-23214).
     pub(super) fn into_socket(self) -> Result<ClientSocket, ClientError> {
         ensure!(
             self.input.is_empty(),
@@ -82,7 +83,7 @@
         Ok(self.socket)
     }
 
-    /// The next start-up packet: its body, without the length. Safe to cancel.
+    /// Reads the next startup packet, length field included. Cancel-safe.
     pub(super) async fn startup_packet(&mut self) -> Result<BytesMut, ClientError> {
         self.fill_to(4).await?;
         let length = (&self.input[..4]).get_u32() as usize;
@@ -101,21 +102,21 @@
         Ok(())
     }
 
-    /// The next message. Safe to cancel.
+    /// Reads the next message. Cancel-safe.
     pub(super) async fn frame(&mut self, limit: usize) -> Result<Frame, ClientError> {
         loop {
             if let Some(frame) = take_frame(&mut self.input, limit).context(ProtocolSnafu)? {
                 return Ok(frame);
             }
             if self.input.is_empty() {
-                // Lets go of the space, so that an idle session holds none.
+                // Releases the buffer, so that an idle session holds no memory for it.
                 self.input = BytesMut::new();
             }
             self.fill().await?;
         }
     }
 
-    /// The next message, if all of it has been read already.
+    /// Returns the next message if it has been read completely.
     pub(super) fn buffered_frame(&mut self, limit: usize) -> Result<Option<Frame>, ClientError> {
         take_frame(&mut self.input, limit).context(ProtocolSnafu)
     }
@@ -136,8 +137,8 @@
         Ok(())
     }
 
-    /// Reads ahead, up to a bound, until the caller closes the connection. Never returns while it
-    /// stays open. Safe to cancel.
+    /// Waits until the client closes the connection, buffering up to [`READ_AHEAD_BYTES`] of input
+    /// meanwhile. Cancel-safe.
     pub(super) async fn wait_closed(&mut self) {
         while self.input.len() < READ_AHEAD_BYTES {
             if self.fill().await.is_err() {
@@ -147,7 +148,7 @@
         std::future::pending::<()>().await;
     }
 
-    /// Writes out what has gathered.
+    /// Writes all buffered output to the socket.
     pub(super) async fn flush(&mut self) -> Result<(), ClientError> {
         while !self.output.is_empty() {
             let written =
@@ -163,9 +164,9 @@
         self.socket.flush().await.context(SocketSnafu)
     }
 
-    /// Writes out what has gathered and ends the connection. What the caller still sends is read and
-    /// dropped for a while: closing a socket with unread bytes would reset the connection, and the
-    /// caller might lose the last answer.
+    /// Writes all buffered output and closes the connection. Remaining input is read and discarded
+    /// for [`LINGER_TIME`]: closing a socket with unread input resets the connection, and the
+    /// client could lose the last response.
     pub(super) async fn close(mut self) {
         if self.flush().await.is_err() || self.socket.shutdown().await.is_err() {
             return;
--- a/crates/stairward-proxy/src/edge/error.rs
+++ b/crates/stairward-proxy/src/edge/error.rs
@@ -1,4 +1,4 @@
-//! Errors as callers see them.
+//! Errors reported to clients.
 
 use std::fmt;
 use std::time::Duration;
@@ -9,22 +9,22 @@
 /// SQLSTATE `invalid_sql_statement_name`.
 const INVALID_SQL_STATEMENT_NAME: &str = "26000";
 
-/// An answer that stairward gives in the back end's place.
+/// An error response that the proxy sends instead of a backend.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum EdgeError {
-    /// A numbered result.
+    /// An error with a result code.
     Result {
         /// The result code.
         code: ResultCode,
-        /// When to come back, if that helps.
+        /// When to retry, if a retry can succeed.
         retry_after: Option<Duration>,
-        /// What is wrong in particular; empty when the code says all.
+        /// Further details; empty if the code says enough.
         explanation: String,
     },
-    /// A `Bind` or `Describe` names a prepared statement that the session doesn't have; said in
-    /// PostgreSQL's own words, since drivers look for them.
+    /// A `Bind` or `Describe` refers to a prepared statement that the session doesn't have.
+    /// Reported with PostgreSQL's SQLSTATE and message, because drivers look for them.
     UnknownStatement {
-        /// The name.
+        /// The statement's name.
         name: String,
     },
 }
@@ -42,7 +42,7 @@
         }
     }
 
-    /// The result code, if it is a numbered one.
+    /// The result code, if the error has one.
     pub(super) fn code(&self) -> Option<ResultCode> {
         match self {
             Self::Result { code, .. } => Some(*code),
@@ -71,7 +71,7 @@
         }
     }
 
-    /// The outcome class, and when to come back in a form that programs can read.
+    /// The outcome class and the retry delay, in a form that programs can parse.
     pub(super) fn detail(&self) -> String {
         match self {
             Self::Result {
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Advice for people; `None` when there is none.
+    /// Advice for the user; `None` if there is none.
     pub(super) fn hint(&self) -> Option<String> {
         match self {
             Self::Result {
--- a/crates/stairward-proxy/src/edge/frontend.rs
+++ b/crates/stairward-proxy/src/edge/frontend.rs
@@ -1,62 +1,62 @@
-//! Messages from callers: framing, and the few fields that the edge looks at.
+//! Frontend messages: framing, and decoding of the fields that the edge needs.
 //!
-//! pgwire's decoder isn't used for these: it replaces bad UTF-8 and reads past the end of malformed
-//! bodies, and the edge passes the bytes on unchanged anyway. Source: PostgreSQL documentation,
-//! "Message Formats" of protocol 3.0.
+//! pgwire's decoder isn't used here: it replaces invalid UTF-8 and reads past the end of malformed
+//! bodies, and the edge forwards the original bytes unchanged in any case. Reference: PostgreSQL
+//! documentation, "Message Formats" of protocol 3.0.
 
 use bytes::{Buf, Bytes, BytesMut};
 use snafu::{OptionExt, Snafu, ensure};
 
-/// The type byte and the length field.
+/// Type byte and length field.
 const HEADER_BYTES: usize = 5;
 const LENGTH_BYTES: usize = 4;
 
-/// Bytes that are not a message of the protocol. The position of the next message may be lost, so
-/// the connection must be closed, unless it is [`FrontendError::NotUtf8`].
+/// Input that violates the protocol. The start of the next message may be unknown, so the
+/// connection must be closed, except after [`FrontendError::NotUtf8`].
 #[derive(Debug, Snafu, PartialEq, Eq)]
 pub(super) enum FrontendError {
-    /// The length field is too small, or too large for the settings.
-    #[snafu(display("a message of {length} bytes is larger than the limit of {limit}"))]
+    /// The message is larger than the limit.
+    #[snafu(display("message of {length} bytes exceeds the limit of {limit} bytes"))]
     TooLarge {
-        /// The length claimed, in bytes.
+        /// The length given in the header, in bytes.
         length: usize,
-        /// The largest allowed.
+        /// The maximum length in bytes.
         limit: usize,
     },
-    /// A type byte that callers never send.
-    #[snafu(display("there is no message type {tag:#04x}"))]
+    /// The type byte isn't one that clients send.
+    #[snafu(display("unknown message type {tag:#04x}"))]
     UnknownType {
         /// The type byte.
         tag: u8,
     },
-    /// The body doesn't have the shape of its type.
-    #[snafu(display("the body of message type {:?} is malformed", char::from(*tag)))]
+    /// The body doesn't match the message type.
+    #[snafu(display("malformed body in message type {:?}", char::from(*tag)))]
     Malformed {
         /// The type byte.
         tag: u8,
     },
-    /// A text field isn't UTF-8.
-    #[snafu(display("a text in message type {:?} is not valid UTF-8", char::from(*tag)))]
+    /// A string field isn't valid UTF-8.
+    #[snafu(display("invalid UTF-8 in message type {:?}", char::from(*tag)))]
     NotUtf8 {
         /// The type byte.
         tag: u8,
     },
 }
 
-/// One whole message as it came, with its header.
+/// One complete message as received, header included.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct Frame {
     pub(super) bytes: Bytes,
 }
 
-/// What a `Describe` or `Close` is about.
+/// What a `Describe` or `Close` refers to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Target {
     Statement,
     Portal,
 }
 
-/// The fields of a message that the edge looks at.
+/// A decoded message, with the fields that the edge needs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum FrontendMessage<'a> {
     Query { text: &'a str },
@@ -75,10 +75,10 @@
     CopyFail,
 }
 
-/// Takes one whole message off the front of `input`; `None` when more bytes are needed.
+/// Removes one complete message from the front of `input`. Returns `None` if more bytes are needed.
 ///
 /// # Errors
-/// [`FrontendError`] as soon as the header is wrong, before the body is waited for.
+/// [`FrontendError`] as soon as the header is invalid, without waiting for the body.
 pub(super) fn take_frame(
     input: &mut BytesMut,
     limit: usize,
@@ -125,7 +125,7 @@
         &self.bytes[HEADER_BYTES..]
     }
 
-    /// Reads the fields.
+    /// Decodes the message.
     ///
     /// # Errors
     /// [`FrontendError::Malformed`] or [`FrontendError::NotUtf8`].
@@ -162,7 +162,7 @@
     }
 }
 
-/// Reads the fields of a body in order.
+/// Decodes the fields of a message body in order.
 struct Body<'a> {
     tag: u8,
     rest: &'a [u8],
@@ -178,7 +178,7 @@
         Ok(taken)
     }
 
-    /// Text up to a zero byte.
+    /// A zero-terminated string.
     fn text(&mut self) -> Result<&'a str, FrontendError> {
         let tag = self.tag;
         let length = self
@@ -220,7 +220,7 @@
         self.take(parameter_formats * 2)?;
         for _ in 0..self.count()? {
             let length = self.take(4)?.get_i32();
-            // A negative length stands for NULL.
+            // A negative length denotes NULL.
             self.take(usize::try_from(length).unwrap_or(0))?;
         }
         let result_formats = self.count()?;
--- a/crates/stairward-proxy/src/edge/parameters.rs
+++ b/crates/stairward-proxy/src/edge/parameters.rs
@@ -1,4 +1,4 @@
-//! The parameters of a start-up packet, and those reported to callers.
+//! Parameters of a startup packet, and the parameters reported to clients.
 
 use std::collections::BTreeMap;
 
@@ -9,26 +9,26 @@
 use super::error::EdgeError;
 use super::reply;
 
-/// What the name of every hint starts with.
+/// Prefix of the names of all hints.
 const HINT_PREFIX: &str = "stairward.";
-/// The version of PostgreSQL whose protocol behaviour is offered.
+/// The PostgreSQL version reported to clients.
 const SERVER_VERSION: &str = "16.4";
 
-/// What a caller asks for when it starts up.
+/// The parameters that a client sends at startup.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub(super) struct StartupParameters {
     pub(super) user: String,
     pub(super) database: String,
     pub(super) application_name: String,
-    /// Settings to make on each connection, as SQL text.
+    /// Session parameters to set on each backend connection, as SQL literals.
     pub(super) settings: BTreeMap<String, String>,
     pub(super) hints: Hints,
 }
 
-/// Sorts the parameters of a start-up packet.
+/// Parses the parameters of a startup packet.
 ///
 /// # Errors
-/// A numbered error for a missing user, a bad hint, or what isn't offered.
+/// [`EdgeError`] if the user is missing, a hint is invalid, or a feature isn't supported.
 pub(super) fn parse_startup_parameters(
     parameters: BTreeMap<String, String>,
 ) -> Result<StartupParameters, EdgeError> {
@@ -55,7 +55,7 @@
     if parsed.user.is_empty() {
         return Err(EdgeError::with_explanation(
             ResultCode::ProtocolViolation,
-            "no user name was given",
+            "no user name given",
         ));
     }
     if parsed.database.is_empty() {
@@ -91,7 +91,7 @@
     }
 }
 
-/// Only UTF-8 is spoken, since texts are passed on unchanged.
+/// Only UTF-8 is supported, because text is forwarded without conversion.
 fn check_encoding(value: &str) -> Result<(), EdgeError> {
     let normalized: String = value
         .chars()
@@ -107,21 +107,21 @@
     }
 }
 
-/// Whether a setting that drivers send at every start is what back ends have anyway, so that it
-/// needn't be made on each connection.
+/// Whether the value of a parameter that drivers always send is the backends' default, so that it
+/// need not be set on each connection.
 fn is_backend_default(name: &str, value: &str) -> bool {
     match name {
         "datestyle" => value.to_ascii_uppercase().starts_with("ISO"),
         "intervalstyle" => value.eq_ignore_ascii_case("postgres"),
         "timezone" => matches!(value, "UTC" | "Etc/UTC" | "GMT"),
-        // From PostgreSQL 12 on, every value above 0 has the same effect, and 1 is the default.
+        // Since PostgreSQL 12, all values above 0 have the same effect, and 1 is the default.
         "extra_float_digits" => value.parse::<i32>().is_ok_and(|digits| digits > 0),
         "standard_conforming_strings" => value.eq_ignore_ascii_case("on"),
         _ => false,
     }
 }
 
-/// Splits `-c name=value` and `--name=value`, with `\` before spaces that belong to a value.
+/// Parses `-c name=value` and `--name=value`. A backslash escapes a space within a value.
 fn split_options(text: &str) -> Result<Vec<(String, String)>, EdgeError> {
     let malformed =
         || EdgeError::with_explanation(ResultCode::ProtocolViolation, "the options are malformed");
@@ -164,7 +164,7 @@
     words
 }
 
-/// Reports the parameters that drivers wait for.
+/// Sends the parameter status messages that drivers expect after authentication.
 pub(super) fn send_parameter_status(output: &mut BytesMut, parameters: &StartupParameters) {
     let reported = [
         ("server_version", SERVER_VERSION),
--- a/crates/stairward-proxy/src/edge/reply.rs
+++ b/crates/stairward-proxy/src/edge/reply.rs
@@ -1,4 +1,4 @@
-//! Messages to callers that the edge makes itself, encoded by pgwire.
+//! Messages that the edge itself sends to clients, encoded with pgwire.
 
 use bytes::BytesMut;
 use pgwire::messages::PgWireBackendMessage;
@@ -15,23 +15,23 @@
 
 use super::error::EdgeError;
 
-/// How grave an error is for the session.
+/// Severity of an error response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Severity {
-    /// The session goes on.
+    /// The session continues.
     Error,
-    /// The connection is closed after it.
+    /// The connection is closed after the message.
     Fatal,
 }
 
-/// PostgreSQL type number of `text`.
+/// OID of the PostgreSQL type `text`.
 const TEXT_TYPE: u32 = 25;
-/// Type size of values of any length.
+/// Type size of variable-length types.
 const VARIABLE_SIZE: i16 = -1;
 
 fn encode(output: &mut BytesMut, message: &PgWireBackendMessage) {
     let start = output.len();
-    // Encoding fails only for messages far larger than any made here.
+    // Encoding fails only for messages far larger than any sent here.
     if message.encode(output).is_err() {
         output.truncate(start);
     }
@@ -60,7 +60,7 @@
     encode(output, &PgWireBackendMessage::ErrorResponse(response));
 }
 
-/// Tells of a result code of the class *answered* other than plain success.
+/// Reports a result code of the class *answered* other than plain success.
 pub(super) fn notice_response(output: &mut BytesMut, code: ResultCode) {
     let response = NoticeResponse::new(error_fields("NOTICE", &EdgeError::new(code)));
     encode(output, &PgWireBackendMessage::NoticeResponse(response));
@@ -85,7 +85,7 @@
     encode(output, &PgWireBackendMessage::BackendKeyData(message));
 }
 
-/// Offers protocol 3.0 and names the protocol options that aren't known.
+/// Offers protocol 3.0 and lists the unsupported protocol options.
 pub(super) fn negotiate_protocol_version(output: &mut BytesMut, unknown_options: Vec<String>) {
     let message = NegotiateProtocolVersion::new(0, unknown_options);
     encode(
@@ -130,7 +130,7 @@
     encode(output, &PgWireBackendMessage::NoData(message));
 }
 
-/// One row with one text column, as `SHOW` gives it.
+/// A result of one row with one text column, as returned by `SHOW`.
 pub(super) fn text_row(output: &mut BytesMut, column: &str, value: &str) {
     let field = FieldDescription::new(column.to_owned(), 0, 0, TEXT_TYPE, VARIABLE_SIZE, -1, 0);
     let description = RowDescription::new(vec![field]);
@@ -144,7 +144,7 @@
     );
 }
 
-/// Describes a statement without parameters.
+/// Describes a statement that has no parameters.
 pub(super) fn empty_parameter_description(output: &mut BytesMut) {
     let message = pgwire::messages::data::ParameterDescription::new(Vec::new());
     encode(output, &PgWireBackendMessage::ParameterDescription(message));
--- a/crates/stairward-proxy/src/edge/service.rs
+++ b/crates/stairward-proxy/src/edge/service.rs
@@ -1,4 +1,4 @@
-//! The edge: accepts callers and keeps what their sessions share.
+//! The edge service: accepts client connections and holds the state shared by their sessions.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError, RwLock};
@@ -29,16 +29,16 @@
 use crate::cluster::Cluster;
 use crate::peer::PeerNetwork;
 
-/// Texts per generation of the class cache; see [`ClassCache`].
+/// Statements per generation of the class cache; see [`ClassCache`].
 const CLASS_CACHE_STATEMENTS: usize = 2_000;
-/// How long another proxy may take to pass a cancel request on.
+/// How long to wait for another proxy to process a forwarded cancel request.
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(1);
-/// How often a drain looks whether all sessions have ended.
+/// How often a drain checks whether all sessions have ended.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// Pause after the listener failed, for example for want of descriptors.
+/// Delay after an accept error, such as running out of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// The side of a node that speaks PostgreSQL to callers.
+/// The part of a node that serves PostgreSQL clients.
 pub struct EdgeService {
     pub(super) cluster: Cluster,
     pub(super) network: PeerNetwork,
@@ -54,7 +54,7 @@
 }
 
 impl EdgeService {
-    /// An edge that has no callers yet.
+    /// Creates an edge without client connections.
     #[must_use]
     pub fn new(cluster: Cluster, network: PeerNetwork, settings: EdgeSettings) -> Arc<Self> {
         let passwords = settings.users.clone().map(Passwords::new).map(Arc::new);
@@ -73,7 +73,7 @@
         })
     }
 
-    /// Serves callers that connect to the listener, until the edge is drained.
+    /// Accepts and serves client connections until the edge is drained.
     pub async fn serve(self: Arc<Self>, listener: TcpListener) {
         let primary_watcher = tokio::spawn(Arc::clone(&self).notify_on_new_primaries());
         let mut draining = self.draining.subscribe();
@@ -90,19 +90,19 @@
                     tracing::error!(
                         event = LogEvent::ListenerFailed.number(),
                         %error,
-                        "a caller could not be accepted"
+                        "failed to accept a client connection"
                     );
                     tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
-        // Callers that are on their way are told to connect elsewhere.
+        // Connections that are still arriving are told to connect to another proxy.
         let mut draining_listener = listener;
         self.reject_while_draining(&mut draining_listener).await;
         primary_watcher.abort();
     }
 
-    /// Tells new callers that this proxy stops, until the last session has ended.
+    /// Refuses new connections with an error until the last session has ended.
     async fn reject_while_draining(self: &Arc<Self>, listener: &mut TcpListener) {
         while self.statistics().sessions > 0 {
             let accepted = tokio::time::timeout(DRAIN_POLL_INTERVAL, listener.accept()).await;
@@ -112,8 +112,9 @@
         }
     }
 
-    /// A planned stop: refuses new sessions, tells idle ones to connect elsewhere, and lets the
-    /// others finish their batch or transaction. Returns whether all had ended by the deadline.
+    /// Drains the edge for a planned shutdown: refuses new sessions, disconnects idle ones and lets
+    /// the others finish their batch or transaction. Returns whether all sessions ended before the
+    /// deadline.
     pub async fn drain(&self, deadline: Duration) -> bool {
         self.draining.send_replace(true);
         let started = Instant::now();
@@ -126,36 +127,36 @@
         true
     }
 
-    /// Reads the counters.
+    /// Returns the current counter values.
     #[must_use]
     pub fn statistics(&self) -> EdgeStatistics {
         self.counters.snapshot()
     }
 
-    /// Replaces the users for sessions that start from now on.
+    /// Replaces the users for new sessions.
     pub fn set_users(&self, users: Option<Users>) {
         let passwords = users.map(Passwords::new).map(Arc::new);
         *write(&self.passwords) = passwords;
     }
 
-    /// Replaces the certificates for connections that are made from now on.
+    /// Replaces the TLS configuration for new connections.
     pub fn set_tls(&self, tls: Option<Arc<rustls::ServerConfig>>) {
         *write(&self.tls) = tls;
     }
 
-    /// Cancels what a session of this node runs, for another proxy that was asked to. Returns false
-    /// when this node has no such session.
+    /// Cancels the statement of a session of this node, on behalf of another proxy that received
+    /// the cancel request. Returns false if there is no such session.
     pub fn cancel_statement(&self, process: u32, secret: u32) -> bool {
         self.cancel_registry.cancel(CancelKey { process, secret })
     }
 
-    /// Answers a [`CallRequest::CancelStatement`] of another proxy; `None` for any other call.
+    /// Answers a [`CallRequest::CancelStatement`] from another proxy; `None` for any other call.
     #[must_use]
     pub fn answer_call(&self, request: &CallRequest) -> Option<CallReply> {
         match request {
             CallRequest::CancelStatement { process, secret } => {
                 self.cancel_statement(*process, *secret);
-                // A caller must not learn whether its guess was right.
+                // The reply doesn't reveal whether the key was valid.
                 Some(CallReply::Done)
             }
             _ => None,
@@ -182,7 +183,7 @@
         Arc::clone(group)
     }
 
-    /// Wakes the requests that wait for a primary whenever one is learnt.
+    /// Wakes the requests that wait for a primary whenever a new one is found.
     async fn notify_on_new_primaries(self: Arc<Self>) {
         let mut primaries = self.cluster.watch_primaries();
         let mut known_terms = BTreeMap::new();
@@ -201,7 +202,7 @@
         let permit = Arc::clone(&self.client_permits).try_acquire_owned().ok();
         let mut client = Some(Client::new(Either::Left(socket)));
         let timeout = self.settings.startup_timeout;
-        // Boxed, so that a session doesn't keep the room that its start took.
+        // Boxed, so that a session doesn't keep the memory used during startup.
         let starting = Box::pin(self.start_session(&mut client, permit.is_some()));
         let started = tokio::time::timeout(timeout, starting);
         let error = match started.await {
@@ -214,7 +215,7 @@
                 tracing::debug!(
                     event = LogEvent::ProtocolViolated.number(),
                     %error,
-                    "a caller did not come to a session"
+                    "connection failed during startup"
                 );
                 return;
             }
@@ -222,7 +223,7 @@
         tracing::warn!(
             event = LogEvent::SessionRefused.number(),
             code = error.code().map(ResultCode::number),
-            "a session was refused"
+            "session refused"
         );
         self.counters.refused.add(1);
         if let Some(mut client) = client {
@@ -231,7 +232,7 @@
         }
     }
 
-    /// Brings a connection to a session; `None` for a cancel request.
+    /// Performs startup and authentication; `None` for a cancel request.
     async fn start_session(
         &self,
         client: &mut Option<Client>,
@@ -320,7 +321,8 @@
         drop(permit);
     }
 
-    /// Cancels here, or passes the request on to the proxies whose number the key bears.
+    /// Cancels a local statement, or forwards the request to the proxies whose numbers match the
+    /// key.
     async fn forward_cancel(&self, key: CancelKey) {
         if self.cancel_registry.cancel(key) {
             return;
@@ -342,7 +344,7 @@
     }
 }
 
-/// Counts a session for as long as it lives.
+/// Counts a session as open until dropped.
 struct SessionCountGuard(Arc<EdgeService>);
 
 impl SessionCountGuard {
@@ -358,11 +360,11 @@
     }
 }
 
-/// A caller that has started up.
+/// A client that has completed startup.
 struct StartedClient {
     parameters: StartupParameters,
     group: Arc<Group>,
-    /// The floor of the token that it presented.
+    /// The floor of the session token that the client presented.
     floor: Option<SessionFloor>,
 }
 
--- a/crates/stairward-proxy/src/edge/session.rs
+++ b/crates/stairward-proxy/src/edge/session.rs
@@ -1,4 +1,4 @@
-//! One caller's session: reads messages, gathers them into batches and has them run.
+//! A client session: reads messages, collects them into batches and runs them.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,23 +22,23 @@
 use super::reply::{self, Severity};
 use super::service::EdgeService;
 
-/// How long an idle session is listened to after a planned stop began, before it is told to go: what
-/// its caller had sent by then has arrived.
+/// How long an idle session stays open after a drain has begun. A request that the client had
+/// already sent arrives within this time and is still served.
 const DRAIN_IDLE_TIME: Duration = Duration::from_millis(250);
-/// How long answers are gathered before they are written although more may come.
+/// Maximum delay for buffering a response before it is written.
 pub(super) const OUTPUT_DELAY: Duration = Duration::from_millis(5);
-/// Largest message accepted while the group's settings can't be read, in bytes.
+/// Maximum message size while the group has no settings.
 const DEFAULT_MESSAGE_LIMIT_BYTES: usize = 1024 * 1024;
 
 /// Why a session ended.
 pub(super) enum SessionEnd {
-    /// The caller said goodbye.
+    /// The client sent `Terminate`.
     Terminated,
-    /// This proxy stops, and the caller was told.
+    /// The proxy is draining.
     Drained,
-    /// The connection can't go on.
+    /// The client connection failed or was closed.
     Client(ClientError),
-    /// The caller broke the protocol.
+    /// The client violated the protocol.
     ProtocolViolated(FrontendError),
 }
 
@@ -53,18 +53,19 @@
 
 pub(super) type SessionResult<T> = Result<T, SessionEnd>;
 
-/// The session's transaction as the caller sees it.
+/// The state of the session's transaction as seen by the client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Transaction {
-    /// None is open.
+    /// No transaction is open.
     Idle,
-    /// One is open on the active stream.
+    /// A transaction is open on the active stream.
     Open,
-    /// One is open on the active stream and has failed.
+    /// A transaction is open on the active stream and has failed.
     Failed,
-    /// It was lost or given up, and is rolled back; the caller has yet to end it.
+    /// The transaction was lost or abandoned and has been rolled back; the client hasn't ended it
+    /// yet.
     Lost {
-        /// Whether the caller has been told.
+        /// Whether the loss has been reported to the client.
         reported: bool,
     },
 }
@@ -79,7 +80,7 @@
     }
 }
 
-/// A caller's session. It outlives any back end.
+/// A client session. It isn't bound to a backend.
 pub(super) struct Session {
     pub(super) service: Arc<EdgeService>,
     pub(super) group: Arc<Group>,
@@ -90,32 +91,32 @@
     pub(super) variables: SessionVariables,
     pub(super) prepared: PreparedStatements,
     pub(super) floor: SessionFloor,
-    /// Whether the floor covers all that the session may have seen on earlier connections.
+    /// Whether the floor covers everything that the client may have seen in earlier sessions.
     pub(super) floor_is_known: bool,
-    /// The floor that the caller was last given a token for.
+    /// The floor of the last token sent to the client.
     pub(super) reported_floor: Option<Freshness>,
     pub(super) transaction: Transaction,
     pub(super) active: Option<Box<ActiveStream>>,
     pub(super) builder: BatchBuilder,
-    /// Whether the caller was served since the planned stop began. It is told to go along with the
-    /// answer then, when it is least likely to have sent anything new.
+    /// Whether a request was served since the drain began. If so, the session ends right after the
+    /// response, when the client is least likely to have sent another request.
     pub(super) served_while_draining: bool,
-    /// Set after an error in a batch whose `Sync` hasn't come yet.
+    /// Whether messages are ignored up to the next `Sync`, after an error in the current batch.
     pub(super) skip_until_sync: bool,
 }
 
-/// What a session waits for between batches.
+/// The input that a session waits for between batches.
 enum SessionInput {
     Frame(Frame),
-    /// From the owner: answers to a part of a batch, or the loss of a transaction.
+    /// An owner message: the response to a part of a batch, or the loss of a transaction.
     Owner(Option<OwnerMessage>),
     Drain,
-    /// The planned stop has begun; what the session does next depends on it.
+    /// A drain has begun; the session reconsiders what to wait for.
     DrainStarted,
 }
 
 impl Session {
-    /// Serves the caller to the end of its session.
+    /// Serves the client until the session ends.
     pub(super) async fn run(mut self: Box<Self>) {
         let end = loop {
             if let Err(end) = self.process_next().await {
@@ -127,7 +128,7 @@
 
     async fn process_next(&mut self) -> SessionResult<()> {
         match self.next_input().await? {
-            // Boxed, so that a session that waits doesn't hold room for a batch under way.
+            // Boxed, so that an idle session doesn't reserve memory for a running batch.
             SessionInput::Frame(frame) => Box::pin(self.handle_frame(frame)).await,
             SessionInput::Owner(message) => {
                 Box::pin(self.handle_owner_message_between_batches(message)).await
@@ -165,7 +166,7 @@
         Ok(SessionInput::Frame(frame))
     }
 
-    /// Whether nothing of the caller's is under way.
+    /// Whether no transaction is open and no batch has been started.
     fn is_between_batches(&self) -> bool {
         let has_transaction = matches!(self.transaction, Transaction::Open | Transaction::Failed);
         !has_transaction && self.active.is_none() && self.builder.is_empty()
@@ -204,7 +205,7 @@
                 self.refuse(BatchKind::Simple, error);
                 Ok(())
             }
-            // What is left of a COPY that was refused is passed over, as PostgreSQL does.
+            // Remaining messages of a refused COPY are ignored, as in PostgreSQL.
             FrontendMessage::CopyData | FrontendMessage::CopyDone | FrontendMessage::CopyFail => {
                 Ok(())
             }
@@ -256,8 +257,8 @@
         Ok(())
     }
 
-    /// Answers a batch with an error in the back end's place. An open transaction is given up, as a
-    /// database would have it fail.
+    /// Sends an error response to a batch in place of a backend. An open transaction is abandoned
+    /// and must be ended by the client, as after an error in PostgreSQL.
     pub(super) fn refuse(&mut self, kind: BatchKind, error: EdgeError) {
         self.record_failure(&error);
         if self.transaction != Transaction::Idle {
@@ -265,7 +266,7 @@
             self.variables.roll_back();
             self.hints.end_transaction();
         }
-        // Its owner rolls back what was open on it.
+        // Dropping the stream makes the owner roll back the open transaction.
         self.active = None;
         reply::error_response(&mut self.client.output, Severity::Error, &error);
         if kind == BatchKind::Partial {
@@ -286,7 +287,7 @@
                     event = LogEvent::OutcomeUnknown.number(),
                     code = code.number(),
                     group = %self.group.id,
-                    "a request ended with its outcome unknown"
+                    "request outcome unknown"
                 );
             }
             _ => {
@@ -295,13 +296,13 @@
                     event = LogEvent::RequestRefused.number(),
                     code = code.number(),
                     group = %self.group.id,
-                    "a request was refused"
+                    "request refused"
                 );
             }
         }
     }
 
-    /// Reports a changed token, then that the session is ready for the next batch.
+    /// Sends the session token if it changed, then `ReadyForQuery`.
     pub(super) fn send_ready(&mut self) {
         self.send_token_if_changed();
         reply::ready_for_query(&mut self.client.output, self.transaction.status());
@@ -317,7 +318,7 @@
         }
     }
 
-    /// The session's token; `None` while nothing is known of its floor.
+    /// The session token; `None` while the floor is unknown.
     pub(super) fn token(&self) -> Option<String> {
         let floor = self.floor.get()?;
         let token = SessionToken {
@@ -332,7 +333,7 @@
     }
 
     async fn close(mut self: Box<Self>, end: SessionEnd) {
-        // Lets the owner roll back before the caller hears that the session has ended.
+        // Lets the owner roll back before the client is told that the session has ended.
         self.active = None;
         let error = match end {
             SessionEnd::Terminated => return self.client.close().await,
@@ -341,7 +342,7 @@
                 tracing::warn!(
                     event = LogEvent::ProtocolViolated.number(),
                     %error,
-                    "a caller was disconnected"
+                    "client disconnected"
                 );
                 return;
             }
@@ -353,7 +354,7 @@
     }
 }
 
-/// The next message on the active stream; never comes when there is none. Safe to cancel.
+/// Receives the next message from the active stream; pending while there is none. Cancel-safe.
 async fn receive(active: &mut Option<Box<ActiveStream>>) -> Option<OwnerMessage> {
     match active {
         Some(active) => active.stream.receive().await,
@@ -365,7 +366,7 @@
     tracing::warn!(
         event = LogEvent::ProtocolViolated.number(),
         %error,
-        "a caller broke the protocol and is disconnected"
+        "disconnecting a client after a protocol violation"
     );
     let code = match error {
         FrontendError::TooLarge { .. } => ResultCode::MessageTooLarge,
--- a/crates/stairward-proxy/src/edge/settings.rs
+++ b/crates/stairward-proxy/src/edge/settings.rs
@@ -1,4 +1,4 @@
-//! What an edge is started with, apart from the settings tree.
+//! Settings with which an edge is started, apart from the shared settings tree.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -6,27 +6,28 @@
 
 use stairward_session::TokenKey;
 
-/// Names and passwords of the users that may connect.
+/// Maps the names of the users that may connect to their passwords.
 pub type Users = BTreeMap<String, String>;
 
-/// How an edge serves callers. What can change while it runs is read from the cluster's settings, or
-/// replaced through [`super::EdgeService`].
+/// Startup settings of an edge. Settings that can change at run time are read from the cluster's
+/// settings or replaced through [`super::EdgeService`].
 #[derive(Clone)]
 pub struct EdgeSettings {
-    /// Signs session tokens; the same on all proxies of a cluster.
+    /// Signs session tokens; must be the same on all proxies of a cluster.
     pub token_key: TokenKey,
-    /// Users who authenticate by SCRAM-SHA-256; `None` trusts every client.
+    /// Users that authenticate by SCRAM-SHA-256; `None` accepts all clients without a password.
     pub users: Option<Users>,
-    /// Certificates for TLS; `None` refuses TLS.
+    /// TLS configuration; `None` declines TLS.
     pub tls: Option<Arc<rustls::ServerConfig>>,
-    /// Client connections at once, those still authenticating included.
+    /// Maximum number of client connections, including those still authenticating.
     pub maximum_clients: usize,
-    /// How long a client may take to start up and authenticate.
+    /// Time limit for startup and authentication.
     pub startup_timeout: Duration,
 }
 
 impl EdgeSettings {
-    /// Trust authentication for every client, no TLS, and at most 20,000 clients.
+    /// Settings that accept all clients without a password, without TLS and for at most 20,000
+    /// connections.
     #[must_use]
     pub fn with_trust_authentication(token_key: TokenKey) -> Self {
         Self {
--- a/crates/stairward-proxy/src/edge/startup.rs
+++ b/crates/stairward-proxy/src/edge/startup.rs
@@ -1,4 +1,4 @@
-//! From a new socket to a session: TLS, start-up packet, authentication.
+//! Connection startup: encryption negotiation, startup packet and authentication.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -22,18 +22,18 @@
 const TLS_CODE: u32 = 80_877_103;
 const GSS_CODE: u32 = 80_877_104;
 const PROTOCOL_MAJOR: u16 = 3;
-/// Longest message of an authentication exchange, in bytes.
+/// Maximum size of a message in the authentication exchange.
 const MAXIMUM_PASSWORD_BYTES: usize = 4 * 1024;
-/// Negotiations of encryption that a caller may try before it starts up.
+/// Maximum number of encryption requests before the startup packet.
 const MAXIMUM_NEGOTIATIONS: usize = 3;
 
-/// Why no session came about.
+/// Why a session couldn't be started.
 #[derive(Debug, Snafu)]
 pub(super) enum StartupError {
-    /// The connection can't go on; there is nobody to tell.
+    /// The connection failed, so no error can be sent.
     #[snafu(display("{source}"), context(false))]
     Client { source: ClientError },
-    /// The caller is told.
+    /// The session was refused with an error that is sent to the client.
     #[snafu(display("{}", error.message()))]
     Refused { error: EdgeError },
     /// The TLS handshake failed.
@@ -47,16 +47,16 @@
     }
 }
 
-/// What a new connection turned out to be.
+/// The request of a new connection.
 pub(super) enum Incoming {
-    /// A caller that wants a session.
+    /// Start of a session.
     Session(StartupParameters),
-    /// A cancel request. The connection is to be closed without an answer.
+    /// A cancel request. The connection is closed without a response.
     Cancel(CancelKey),
 }
 
-/// Negotiates encryption and reads the start-up packet. The client is put back even on failure, so
-/// that the caller can be told.
+/// Negotiates encryption and reads the startup packet. A refused client stays in `client`, so
+/// that the error can be sent; a failed TLS handshake leaves `None`.
 pub(super) async fn read_initial_request(
     client: &mut Option<Client>,
     tls: Option<Arc<rustls::ServerConfig>>,
@@ -71,11 +71,11 @@
             _ => return Ok(Incoming::Session(parse_startup(connection, packet)?)),
         }
     }
-    Err(protocol_violation("encryption was negotiated too often").into())
+    Err(protocol_violation("too many encryption requests").into())
 }
 
 #[derive(Debug, Snafu)]
-#[snafu(display("the connection is gone"))]
+#[snafu(display("the connection is closed"))]
 struct Closed;
 
 impl From<Closed> for StartupError {
@@ -111,7 +111,7 @@
         Either::Left(socket) => socket,
         encrypted @ Either::Right(_) => {
             *slot = Some(Client::new(encrypted));
-            return Err(protocol_violation("the connection is encrypted already").into());
+            return Err(protocol_violation("the connection is already encrypted").into());
         }
     };
     let encrypted = TlsAcceptor::from(tls)
@@ -124,7 +124,7 @@
 }
 
 fn parse_cancel_request(packet: &[u8]) -> Result<CancelKey, EdgeError> {
-    // Length, code, process number and a secret of four bytes, the form given out.
+    // Length, code, process number and a secret of four bytes, the size sent in `BackendKeyData`.
     let Ok(body) = <[u8; 8]>::try_from(&packet[8..]) else {
         return Err(protocol_violation("the cancel request is malformed"));
     };
@@ -141,22 +141,20 @@
     let major = (&packet[4..6]).get_u16();
     let minor = (&packet[6..8]).get_u16();
     if major != PROTOCOL_MAJOR {
-        return Err(protocol_violation(
-            "only version 3 of the protocol is spoken",
-        ));
+        return Err(protocol_violation("only protocol version 3 is supported"));
     }
     if std::str::from_utf8(&packet[8..]).is_err() {
         return Err(EdgeError::new(ResultCode::InvalidEncoding));
     }
     if packet.last() != Some(&0) {
         return Err(protocol_violation(
-            "the start-up packet does not end in a zero byte",
+            "the startup packet does not end in a zero byte",
         ));
     }
     let startup = Startup::decode(&mut packet, &DecodeContext::default())
         .ok()
         .flatten()
-        .ok_or_else(|| protocol_violation("the start-up packet is malformed"))?;
+        .ok_or_else(|| protocol_violation("the startup packet is malformed"))?;
     let (protocol_options, parameters): (BTreeMap<_, _>, BTreeMap<_, _>) = startup
         .parameters
         .into_iter()
@@ -170,7 +168,7 @@
     parse_startup_parameters(parameters)
 }
 
-/// Has the caller prove its password, or trusts it when there are none.
+/// Authenticates the client with its password; accepts any client if `passwords` is `None`.
 pub(super) async fn authenticate(
     client: &mut Client,
     user: &str,
@@ -209,12 +207,12 @@
     client.flush().await?;
     let frame = client.frame(MAXIMUM_PASSWORD_BYTES).await?;
     if frame.tag() != b'p' {
-        return Err(protocol_violation("a password message was expected").into());
+        return Err(protocol_violation("expected a password message").into());
     }
     Ok(frame)
 }
 
-/// The group that a session asks for by its database name.
+/// The group named by the database parameter of the session.
 pub(super) fn requested_group(
     settings: &stairward_settings::ResolvedSettings,
     database: &str,
--- a/crates/stairward-proxy/src/edge/statistics.rs
+++ b/crates/stairward-proxy/src/edge/statistics.rs
@@ -2,26 +2,26 @@
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// A reading of an edge's counters, each since the edge was made unless noted otherwise.
+/// Values of an edge's counters. Except for `sessions`, they count from the creation of the edge.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct EdgeStatistics {
     /// Statements received.
     pub statements: u64,
-    /// Batches of reads that were answered.
+    /// Read batches that completed.
     pub reads: u64,
-    /// Batches of reads that a replica answered.
+    /// Read batches that completed on a replica.
     pub replica_reads: u64,
-    /// Batches of writes that were answered.
+    /// Write batches that completed.
     pub writes: u64,
-    /// Requests refused as not run.
+    /// Refused requests and sessions, which had no effect.
     pub refused: u64,
-    /// Requests that ended with their outcome unknown.
+    /// Requests whose outcome is unknown.
     pub outcomes_unknown: u64,
-    /// Sessions open now.
+    /// Currently open sessions.
     pub sessions: u64,
 }
 
-/// One counter, mirrored in the process's metrics under its name.
+/// A counter that is also exported as a metric.
 pub(super) struct Counter {
     value: AtomicU64,
     metric: &'static str,
@@ -45,7 +45,7 @@
     }
 }
 
-/// The live counters.
+/// The counters behind [`EdgeStatistics`].
 pub(super) struct Counters {
     pub(super) statements: Counter,
     pub(super) reads: Counter,
--- a/crates/stairward-proxy/src/edge/tests.rs
+++ b/crates/stairward-proxy/src/edge/tests.rs
@@ -1,4 +1,4 @@
-//! Properties of framing, of passing answers on, and of start-up parameters.
+//! Property tests of message framing, response filtering and startup parameters.
 
 use bytes::BytesMut;
 
@@ -13,7 +13,7 @@
     [&[tag][..], &length.to_be_bytes(), body].concat()
 }
 
-/// Takes every frame that is there; stops at the first error.
+/// Takes all complete frames from `input`; returns false at the first error.
 fn take_all_frames(input: &mut BytesMut, frames: &mut Vec<Frame>) -> bool {
     loop {
         match take_frame(input, LIMIT) {
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn any_bytes_are_framed_alike_however_they_are_cut() {
+fn framing_does_not_depend_on_how_input_is_split() {
     stairward_testing::check!()
         .with_type::<(Vec<(u8, Vec<u8>)>, u8)>()
         .for_each(|(messages, step)| {
@@ -58,12 +58,12 @@
 }
 
 #[test]
-fn only_announced_parse_completes_are_kept_back() {
+fn only_injected_parse_completes_are_dropped() {
     stairward_testing::check!()
         .with_type::<Vec<(u8, bool)>>()
         .for_each(|messages| {
             let mut filter = ResponseFilter::default();
-            let mut answer = Vec::new();
+            let mut response = Vec::new();
             let mut expected = Vec::new();
             for (tag, is_injected) in messages {
                 let tag = b"123CDTEZ"[usize::from(*tag) % 8];
@@ -74,10 +74,10 @@
                 if tag != b'1' || !is_injected {
                     expected.extend_from_slice(&bytes);
                 }
-                answer.extend(bytes);
+                response.extend(bytes);
             }
             let mut output = BytesMut::new();
-            filter.forward(&answer, &mut output);
+            filter.forward(&response, &mut output);
             assert_eq!(output, expected);
             let parse_completes = messages.iter().filter(|(tag, _)| tag % 8 == 0).count();
             assert_eq!(filter.parse_completes, parse_completes);
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn any_start_up_parameters_are_read_without_harm() {
+fn arbitrary_startup_parameters_do_not_panic() {
     stairward_testing::check!()
         .with_type::<(String, String, String)>()
         .for_each(|(name, value, options)| {
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn options_are_split_and_sorted() {
+fn startup_options_are_parsed_and_separated_from_hints() {
     let options = "-c stairward.deadline_ms=250 --search-path=a\\ b -cwork_mem=4MB";
     let parameters = [
         ("user".to_owned(), "reader".to_owned()),
@@ -107,10 +107,10 @@
         ("extra_float_digits".to_owned(), "3".to_owned()),
         ("client_encoding".to_owned(), "utf-8".to_owned()),
     ];
-    let read = parse_startup_parameters(parameters.into()).unwrap();
-    assert_eq!(read.database, "reader");
-    assert_eq!(read.hints.deadline.unwrap().as_millis(), 250);
-    let settings: Vec<_> = read.settings.into_iter().collect();
+    let parsed = parse_startup_parameters(parameters.into()).unwrap();
+    assert_eq!(parsed.database, "reader");
+    assert_eq!(parsed.hints.deadline.unwrap().as_millis(), 250);
+    let settings: Vec<_> = parsed.settings.into_iter().collect();
     let expected = [("search_path", "'a b'"), ("work_mem", "'4MB'")];
     assert_eq!(
         settings,
