--- a/crates/stairward-proxy/tests/edge_outcomes.rs
+++ b/crates/stairward-proxy/tests/edge_outcomes.rs
@@ -1,9 +1,10 @@
-//! Every point at which a request can be cut, against the outcome that the caller is told.
+//! For every point at which a request can be interrupted: the outcome reported to the client and
+//! the number of attempts.
 
 mod edge_support;
 
 use edge_support::scripted::{Ending, ScriptedSite};
-use edge_support::{guarded, identity, result_code};
+use edge_support::{identity, result_code, with_timeout};
 use stairward_proxy::cluster::{Member, MembershipView};
 use stairward_types::{NodeId, OutcomeClass, ResultCode};
 use tokio::net::TcpListener;
@@ -13,24 +14,24 @@
 const REPEATABLE: &str = "INSERT INTO books VALUES (1) /*stairward.repeatable='on'*/";
 const KEYED: &str = "INSERT INTO books VALUES (1) /*stairward.request_key='k1'*/";
 const BEGIN: &str = "BEGIN";
-/// Bytes of answer that are certainly passed on to the caller before the loss.
-const LONG_ANSWER: usize = 100_000;
+/// Response size that is certainly forwarded to the client before the connection is lost.
+const LONG_RESPONSE_BYTES: usize = 100_000;
 
-/// A statement, how its first stream ends, what the caller is told (none for success), and how
-/// often it was sent.
+/// A statement, how its first stream ends, the reported result code (`None` for success) and the
+/// number of attempts.
 type Case = (&'static str, Ending, Option<ResultCode>, usize);
 
-async fn check(site: &ScriptedSite, (text, ending, expected, sent): Case) {
+async fn check_case(site: &ScriptedSite, (text, ending, expected, attempts): Case) {
     let client = site.connect().await;
-    // Lets the session learn its floor, so that only the statement itself is counted.
+    // Makes the session determine its floor first, so that only the tested statement is counted.
     client.batch_execute("SELECT 1").await.unwrap();
     site.script.set(&[ending]);
     let result = client.batch_execute(text).await;
-    let told = result.as_ref().err().and_then(result_code);
+    let reported = result.as_ref().err().and_then(result_code);
     let case = format!("{text} with {ending:?}: {result:?}");
-    assert_eq!(told, expected.map(ResultCode::number), "{case}");
+    assert_eq!(reported, expected.map(ResultCode::number), "{case}");
     assert_eq!(result.is_ok(), expected.is_none(), "{case}");
-    assert_eq!(site.script.opened().len(), sent, "{case}");
+    assert_eq!(site.script.opened().len(), attempts, "{case}");
     if let (Some(code), Err(error)) = (expected, &result) {
         let error = error.as_db_error().unwrap();
         assert_eq!(error.code().code(), code.sqlstate(), "{case}");
@@ -43,24 +44,24 @@
     client
         .batch_execute("SELECT 2")
         .await
-        .expect("the session goes on");
+        .expect("the session remains usable");
 }
 
-async fn check_all(cases: &[Case]) {
-    guarded(async {
+async fn check_cases(cases: &[Case]) {
+    with_timeout(async {
         for case in cases {
-            // Each on a new edge, since an edge remembers which back ends failed.
-            check(&ScriptedSite::start().await, *case).await;
+            // A new edge for each case, since an edge remembers failed backends.
+            check_case(&ScriptedSite::start().await, *case).await;
         }
     })
     .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_read_is_sent_again_unless_its_answer_had_begun() {
-    let unknown = Ending::Unknown(ResultCode::BackendLostAfterSend);
-    check_all(&[
-        (READ, Ending::Answer, None, 1),
+async fn a_read_is_retried_unless_its_response_has_started() {
+    let unknown = Ending::OutcomeUnknown(ResultCode::BackendLostAfterSend);
+    check_cases(&[
+        (READ, Ending::Respond, None, 1),
         (READ, Ending::Refuse(ResultCode::NotFreshEnough, 0), None, 2),
         (READ, Ending::Refuse(ResultCode::BackendLeaving, 0), None, 2),
         (
@@ -70,13 +71,13 @@
             2,
         ),
         (READ, Ending::Refuse(ResultCode::Overloaded, 5), None, 2),
-        (READ, Ending::LoseBeforeAdmitting, None, 2),
-        (READ, Ending::LoseAfterAdmitting, None, 2),
-        (READ, Ending::LoseAfterAnswer(1), None, 2),
+        (READ, Ending::DisconnectBeforeAdmission, None, 2),
+        (READ, Ending::DisconnectAfterAdmission, None, 2),
+        (READ, Ending::DisconnectAfterResponse(1), None, 2),
         (READ, unknown, None, 2),
         (
             READ,
-            Ending::LoseAfterAnswer(LONG_ANSWER),
+            Ending::DisconnectAfterResponse(LONG_RESPONSE_BYTES),
             Some(ResultCode::OwnerLostAfterSend),
             1,
         ),
@@ -85,10 +86,10 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_write_is_sent_again_only_when_it_provably_did_not_run() {
-    let unproved = ResultCode::FenceNotProved;
-    check_all(&[
-        (WRITE, Ending::Answer, None, 1),
+async fn a_write_is_retried_only_if_it_provably_did_not_run() {
+    let unproven = ResultCode::FenceNotProved;
+    check_cases(&[
+        (WRITE, Ending::Respond, None, 1),
         (
             WRITE,
             Ending::Refuse(ResultCode::PrimaryReplaced, 0),
@@ -127,48 +128,48 @@
         ),
         (
             WRITE,
-            Ending::LoseBeforeAdmitting,
+            Ending::DisconnectBeforeAdmission,
             Some(ResultCode::OwnerLostAfterSend),
             1,
         ),
         (
             WRITE,
-            Ending::LoseAfterAdmitting,
+            Ending::DisconnectAfterAdmission,
             Some(ResultCode::OwnerLostAfterSend),
             1,
         ),
         (
             WRITE,
-            Ending::LoseAfterAnswer(1),
+            Ending::DisconnectAfterResponse(1),
             Some(ResultCode::OwnerLostAfterSend),
             1,
         ),
-        (WRITE, Ending::Unknown(unproved), Some(unproved), 1),
+        (WRITE, Ending::OutcomeUnknown(unproven), Some(unproven), 1),
     ])
     .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_write_that_may_run_twice_is_sent_until_it_is_answered() {
-    let unproved = Ending::Unknown(ResultCode::FenceNotProved);
-    check_all(&[
-        (REPEATABLE, Ending::LoseBeforeAdmitting, None, 2),
-        (REPEATABLE, Ending::LoseAfterAdmitting, None, 2),
-        (REPEATABLE, unproved, None, 2),
-        (KEYED, Ending::LoseAfterAdmitting, None, 2),
-        (KEYED, unproved, None, 2),
+async fn a_repeatable_write_is_retried_until_it_completes() {
+    let unproven = Ending::OutcomeUnknown(ResultCode::FenceNotProved);
+    check_cases(&[
+        (REPEATABLE, Ending::DisconnectBeforeAdmission, None, 2),
+        (REPEATABLE, Ending::DisconnectAfterAdmission, None, 2),
+        (REPEATABLE, unproven, None, 2),
+        (KEYED, Ending::DisconnectAfterAdmission, None, 2),
+        (KEYED, unproven, None, 2),
     ])
     .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_start_of_a_transaction_is_sent_again_since_nothing_is_committed() {
-    check_all(&[
-        (BEGIN, Ending::LoseAfterAdmitting, None, 2),
+async fn begin_is_retried_because_nothing_was_committed() {
+    check_cases(&[
+        (BEGIN, Ending::DisconnectAfterAdmission, None, 2),
         (BEGIN, Ending::LoseTransaction, None, 2),
         (
             BEGIN,
-            Ending::Unknown(ResultCode::BackendLostAfterSend),
+            Ending::OutcomeUnknown(ResultCode::BackendLostAfterSend),
             None,
             2,
         ),
@@ -177,16 +178,16 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_transaction_cut_before_commit_is_lost_and_one_cut_at_commit_is_unknown() {
-    guarded(async {
+async fn a_transaction_is_lost_before_commit_and_unknown_at_commit() {
+    with_timeout(async {
         let site = ScriptedSite::start().await;
         let lost = ResultCode::TransactionLost;
         for (ending, text, expected) in [
-            (Ending::LoseAtSecondBatch, WRITE, lost),
+            (Ending::DisconnectAtSecondBatch, WRITE, lost),
             (Ending::UnknownAtSecondBatch, WRITE, lost),
-            (Ending::LoseAtSecondBatch, "ROLLBACK", lost),
+            (Ending::DisconnectAtSecondBatch, "ROLLBACK", lost),
             (
-                Ending::LoseAtSecondBatch,
+                Ending::DisconnectAtSecondBatch,
                 "COMMIT",
                 ResultCode::OwnerLostAfterSend,
             ),
@@ -200,12 +201,12 @@
             site.script.set(&[ending]);
             client.batch_execute("BEGIN").await.unwrap();
             let error = client.batch_execute(text).await.unwrap_err();
-            let told = result_code(&error).and_then(ResultCode::from_number);
-            assert_eq!(told, Some(expected), "{text} with {ending:?}");
+            let reported = result_code(&error).and_then(ResultCode::from_number);
+            assert_eq!(reported, Some(expected), "{text} with {ending:?}");
             if text == WRITE {
                 let error = client.batch_execute("SELECT 1").await.unwrap_err();
-                let told = result_code(&error).and_then(ResultCode::from_number);
-                assert_eq!(told, Some(ResultCode::StaleTransaction));
+                let reported = result_code(&error).and_then(ResultCode::from_number);
+                assert_eq!(reported, Some(ResultCode::StaleTransaction));
                 client.batch_execute("ROLLBACK").await.unwrap();
             }
             client.batch_execute("SELECT 1").await.unwrap();
@@ -215,8 +216,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_waits_while_no_node_owns_the_back_end() {
-    guarded(async {
+async fn a_request_waits_while_no_node_owns_the_backend() {
+    with_timeout(async {
         for text in [READ, WRITE] {
             let site = ScriptedSite::start().await;
             let client = site.connect().await;
@@ -231,8 +232,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_that_no_node_takes_ends_at_its_deadline() {
-    guarded(async {
+async fn an_unowned_backend_fails_requests_at_their_deadline() {
+    with_timeout(async {
         let site = ScriptedSite::start().await;
         let client = site.connect().await;
         client
@@ -249,8 +250,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_refusal_says_when_to_come_back() {
-    guarded(async {
+async fn a_refusal_reports_its_retry_delay() {
+    with_timeout(async {
         let site = ScriptedSite::start().await;
         let client = site.connect().await;
         site.script
@@ -264,13 +265,13 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn counters_tell_refused_from_unknown() {
-    guarded(async {
+async fn refused_and_unknown_requests_are_counted_separately() {
+    with_timeout(async {
         let site = ScriptedSite::start().await;
         let client = site.connect().await;
         site.script.set(&[
             Ending::Refuse(ResultCode::Overloaded, 1),
-            Ending::LoseAfterAdmitting,
+            Ending::DisconnectAfterAdmission,
         ]);
         client.batch_execute(WRITE).await.unwrap_err();
         client.batch_execute(WRITE).await.unwrap_err();
@@ -288,8 +289,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_key_reaches_the_owner_and_serves_one_write() {
-    guarded(async {
+async fn a_request_key_is_sent_with_one_write_only() {
+    with_timeout(async {
         let site = ScriptedSite::start().await;
         let client = site.connect().await;
         site.script.set(&[]);
@@ -311,8 +312,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn settings_and_floor_go_along_with_each_request() {
-    guarded(async {
+async fn session_settings_and_floor_are_sent_with_each_request() {
+    with_timeout(async {
         let site = ScriptedSite::start().await;
         let client = site.connect().await;
         client.batch_execute("SET work_mem = '4MB'").await.unwrap();
@@ -329,15 +330,15 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_that_accepts_connections_and_says_nothing_holds_nobody_up() {
-    guarded(async {
-        let silent = TcpListener::bind("127.0.0.1:0").await.unwrap();
+async fn an_unresponsive_owner_does_not_block_requests_past_their_deadline() {
+    with_timeout(async {
+        let unresponsive = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let owner = identity(2);
         let view = MembershipView {
             members: vec![Member {
                 node: owner.node,
                 incarnation: owner.incarnation,
-                peer_address: silent.local_addr().unwrap(),
+                peer_address: unresponsive.local_addr().unwrap(),
                 region: owner.region,
                 zone: owner.zone,
                 leaving: false,
--- a/crates/stairward-proxy/tests/edge_pressure.rs
+++ b/crates/stairward-proxy/tests/edge_pressure.rs
@@ -1,35 +1,36 @@
-//! Slow readers and callers that send garbage: bounded memory, no effect on other sessions.
+//! Slow readers and malformed input: memory stays bounded and other sessions are unaffected.
 
 mod edge_support;
 
-use edge_support::raw::{RawCaller, message, query};
+use edge_support::raw::{RawClient, message, query};
 use edge_support::scripted::{Ending, ScriptedSite};
-use edge_support::{guarded, simple_value};
+use edge_support::{simple_value, with_timeout};
 use stairward_protocol::stream::INITIAL_WINDOW_BYTES;
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 
-/// More than the sockets between edge and caller can hold.
-const FLOOD_BYTES: usize = 48 * 1024 * 1024;
+/// Larger than the socket buffers between edge and client.
+const LARGE_RESPONSE_BYTES: usize = 48 * 1024 * 1024;
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_slow_reader_holds_no_more_than_the_window() {
-    guarded(async {
+async fn a_slow_reader_buffers_no_more_than_the_window() {
+    with_timeout(async {
         let site = ScriptedSite::start().await;
-        let mut caller = RawCaller::connect(site.address).await;
-        site.script.set(&[Ending::Flood(FLOOD_BYTES)]);
-        caller.send(&[query("SELECT id FROM books")]).await;
-        site.script.stalled.notified().await;
+        let mut client = RawClient::connect(site.address).await;
+        site.script
+            .set(&[Ending::LargeResponse(LARGE_RESPONSE_BYTES)]);
+        client.send(&[query("SELECT id FROM books")]).await;
+        site.script.waiting_for_credit.notified().await;
         let mut bytes = 0;
         loop {
-            let (tag, body) = caller.next().await;
+            let (tag, body) = client.next().await;
             match tag {
                 b'D' => bytes += body.len() + 5,
                 b'Z' => break,
                 _ => {}
             }
         }
-        assert!(bytes >= FLOOD_BYTES, "{bytes}");
-        let outstanding = *site.script.outstanding.lock().unwrap();
+        assert!(bytes >= LARGE_RESPONSE_BYTES, "{bytes}");
+        let outstanding = *site.script.max_uncredited_bytes.lock().unwrap();
         assert!(
             outstanding <= INITIAL_WINDOW_BYTES as usize + 8_192,
             "{outstanding}"
@@ -38,8 +39,9 @@
     .await;
 }
 
-/// A stretch of what a hostile caller sends.
-fn stretch(choice: u8, bytes: &[u8]) -> Vec<u8> {
+/// Generates input of a malicious client: random bytes, valid messages, or messages with random
+/// bodies.
+fn fuzz_input(choice: u8, bytes: &[u8]) -> Vec<u8> {
     const TAGS: &[u8] = b"QPBDCEHSXpFdcf";
     let tag = TAGS[usize::from(choice) % TAGS.len()];
     match choice % 5 {
@@ -51,7 +53,7 @@
 }
 
 #[test]
-fn garbage_ends_its_own_session_at_most() {
+fn malformed_input_ends_only_its_own_session() {
     let runtime = tokio::runtime::Runtime::new().unwrap();
     let (site, bystander) = runtime.block_on(async {
         let site = ScriptedSite::start().await;
@@ -60,19 +62,19 @@
     });
     stairward_testing::check!()
         .with_type::<Vec<(u8, Vec<u8>)>>()
-        .for_each(|stretches| {
-            runtime.block_on(guarded(async {
-                let mut caller = RawCaller::connect(site.address).await;
-                for (choice, bytes) in stretches {
-                    // The edge may have closed the connection by now.
-                    let _ = caller.socket.write_all(&stretch(*choice, bytes)).await;
+        .for_each(|inputs| {
+            runtime.block_on(with_timeout(async {
+                let mut client = RawClient::connect(site.address).await;
+                for (choice, bytes) in inputs {
+                    // The edge may already have closed the connection.
+                    let _ = client.socket.write_all(&fuzz_input(*choice, bytes)).await;
                 }
-                let _ = caller.socket.shutdown().await;
+                let _ = client.socket.shutdown().await;
                 let mut answer = Vec::new();
-                let _ = caller.socket.read_to_end(&mut answer).await;
+                let _ = client.socket.read_to_end(&mut answer).await;
             }));
         });
-    runtime.block_on(guarded(async {
+    runtime.block_on(with_timeout(async {
         bystander.batch_execute("SELECT 1").await.unwrap();
         while site.edge.statistics().sessions > 1 {
             tokio::task::yield_now().await;
--- a/crates/stairward-proxy/tests/edge_queries.rs
+++ b/crates/stairward-proxy/tests/edge_queries.rs
@@ -1,14 +1,15 @@
-//! Simple and extended queries through an edge, with a client library that nobody here wrote.
+//! Simple and extended queries through an edge, sent by an independent client library
+//! (`tokio-postgres`).
 
 mod edge_support;
 
-use edge_support::{Site, guarded, result_code, simple_value};
+use edge_support::{Site, result_code, simple_value, with_timeout};
 use futures::{StreamExt as _, TryStreamExt as _};
 use stairward_types::ResultCode;
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_simple_query_is_answered() {
-    guarded(async {
+    with_timeout(async {
         let site = Site::start().await;
         let client = site.node().connect().await;
         assert_eq!(
@@ -21,9 +22,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_written_row_is_read_back() {
-    guarded(async {
+    with_timeout(async {
         let site = Site::start().await;
-        let client = site.with_table().await;
+        let client = site.connect_with_table().await;
         for id in 0..20 {
             let title = format!("volume {id}");
             client
@@ -49,11 +50,11 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn reads_are_served_by_replicas() {
-    guarded(async {
+    with_timeout(async {
         let site = Site::start().await;
-        let client = site.with_table().await;
+        let client = site.connect_with_table().await;
         let replica_reads = || site.node().edge.statistics().replica_reads;
-        // The replicas first have to catch up with the session's own write.
+        // The replicas must first catch up with the session's own write.
         while replica_reads() == 0 {
             simple_value(&client, "SELECT id FROM books").await;
         }
@@ -68,10 +69,10 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn named_statements_serve_every_back_end() {
-    guarded(async {
+async fn named_statements_work_on_every_backend() {
+    with_timeout(async {
         let site = Site::start().await;
-        let client = site.with_table().await;
+        let client = site.connect_with_table().await;
         let insert = client
             .prepare("INSERT INTO books (id, title) VALUES ($1, $2)")
             .await
@@ -90,9 +91,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn pipelined_statements_are_answered_in_order() {
-    guarded(async {
+    with_timeout(async {
         let site = Site::start().await;
-        let client = site.with_table().await;
+        let client = site.connect_with_table().await;
         let statement = client.prepare("SELECT $1::int4").await.unwrap();
         let requests: Vec<i32> = (0..100).collect();
         let answers: Vec<i32> = futures::stream::iter(requests.clone())
@@ -113,7 +114,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_error_leaves_the_session_usable() {
-    guarded(async {
+    with_timeout(async {
         let site = Site::start().await;
         let client = site.node().connect().await;
         let error = client
@@ -130,10 +131,10 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_large_result_comes_whole() {
-    guarded(async {
+async fn a_large_result_is_complete() {
+    with_timeout(async {
         let site = Site::start().await;
-        let client = site.with_table().await;
+        let client = site.connect_with_table().await;
         let title = "t".repeat(2_000);
         for batch in 0..10 {
             let rows: Vec<String> = (0..50)
@@ -157,8 +158,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn session_bound_features_are_refused_with_a_code() {
-    guarded(async {
+async fn session_bound_features_are_refused() {
+    with_timeout(async {
         let site = Site::start().await;
         let client = site.node().connect().await;
         for text in [
--- a/crates/stairward-proxy/tests/edge_sessions.rs
+++ b/crates/stairward-proxy/tests/edge_sessions.rs
@@ -1,8 +1,8 @@
-//! Session consistency: tokens, hints, reconnecting to another proxy.
+//! Session consistency: session tokens, hints, and reconnecting to another proxy.
 
 mod edge_support;
 
-use edge_support::{Site, connect_with, guarded, result_code, simple_value, token_key};
+use edge_support::{Site, connect_with, result_code, simple_value, token_key, with_timeout};
 use stairward_proxy::edge::EdgeSettings;
 use stairward_session::{SessionToken, TokenKey};
 use stairward_standins::group::Fault;
@@ -12,12 +12,12 @@
 
 const SHOW_TOKEN: &str = "SHOW stairward.session_token";
 
-async fn two_nodes() -> Site {
+async fn start_two_nodes() -> Site {
     Site::start_with(2, &EdgeSettings::with_trust_authentication(token_key())).await
 }
 
-/// Has one replica apply changes so late that no test waits for it. The other one has to keep up,
-/// since a write is acknowledged only once a majority holds it.
+/// Delays one replica for longer than any test runs. The other replica isn't delayed, because a
+/// write is acknowledged only once a majority has received it.
 fn lag_replica(site: &Site) {
     let member = stairward_types::BackendId::new("b").unwrap();
     let lag = Duration::from_secs(3_600);
@@ -25,10 +25,10 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_session_reads_its_own_write_beside_a_lagging_replica() {
-    guarded(async {
+async fn a_lagging_replica_does_not_hide_own_writes() {
+    with_timeout(async {
         let site = Site::start().await;
-        let client = site.with_table().await;
+        let client = site.connect_with_table().await;
         lag_replica(&site);
         for id in 0..5 {
             client
@@ -45,9 +45,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_token_carries_the_floor_to_another_proxy() {
-    guarded(async {
-        let site = two_nodes().await;
-        let client = site.with_table().await;
+    with_timeout(async {
+        let site = start_two_nodes().await;
+        let client = site.connect_with_table().await;
         lag_replica(&site);
         client
             .batch_execute("INSERT INTO books (id, title) VALUES (1, 'x')")
@@ -65,10 +65,10 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_session_without_a_token_sees_what_was_acknowledged_before_it_came() {
-    guarded(async {
-        let site = two_nodes().await;
-        let client = site.with_table().await;
+async fn a_new_session_sees_writes_acknowledged_before_it_connected() {
+    with_timeout(async {
+        let site = start_two_nodes().await;
+        let client = site.connect_with_table().await;
         lag_replica(&site);
         client
             .batch_execute("INSERT INTO books (id, title) VALUES (1, 'x')")
@@ -93,7 +93,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn forged_and_damaged_tokens_are_refused() {
-    guarded(async {
+    with_timeout(async {
         let site = Site::start().await;
         let forged = TokenKey::new(*b"some other secret").sign(&SessionToken {
             group: GroupId::new(edge_support::DATABASE).unwrap(),
@@ -110,18 +110,18 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_token_beyond_the_group_does_not_lock_the_session_out() {
-    guarded(async {
+async fn a_token_ahead_of_the_group_does_not_block_the_session() {
+    with_timeout(async {
         let site = Site::start().await;
-        let client = site.with_table().await;
+        let client = site.connect_with_table().await;
         let token = token_key().sign(&SessionToken {
             group: GroupId::new(edge_support::DATABASE).unwrap(),
             floor: Freshness::new(Term(900), LogPosition(u64::MAX)),
         });
         let mut config = site.node().config();
         config.options(format!("-c stairward.session_token={token}"));
-        let beyond = connect_with(&config).await;
-        let seen = simple_value(&beyond, "SELECT count(*) FROM books").await;
+        let ahead = connect_with(&config).await;
+        let seen = simple_value(&ahead, "SELECT count(*) FROM books").await;
         assert_eq!(seen.as_deref(), Some("0"));
         drop(client);
     })
@@ -129,8 +129,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn bad_hints_are_refused_wherever_they_stand() {
-    guarded(async {
+async fn invalid_hints_are_refused_everywhere() {
+    with_timeout(async {
         let site = Site::start().await;
         let expected = Some(ResultCode::InvalidHint.number());
         let error = connect_error(&site, "-c stairward.deadline_ms=soon").await;
@@ -161,9 +161,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_read_only_session_cannot_write() {
-    guarded(async {
+    with_timeout(async {
         let site = Site::start().await;
-        let client = site.with_table().await;
+        let client = site.connect_with_table().await;
         client
             .batch_execute("SET stairward.read_only = on")
             .await
@@ -182,9 +182,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_key_is_refused_within_a_transaction() {
-    guarded(async {
+    with_timeout(async {
         let site = Site::start().await;
-        let client = site.with_table().await;
+        let client = site.connect_with_table().await;
         client.batch_execute("BEGIN").await.unwrap();
         let error = client
             .batch_execute(
@@ -199,14 +199,14 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_keyed_write_sent_through_two_proxies_runs_once() {
-    guarded(async {
-        let site = two_nodes().await;
-        let first = site.with_table().await;
+async fn a_write_with_a_request_key_runs_once_through_two_proxies() {
+    with_timeout(async {
+        let site = start_two_nodes().await;
+        let first = site.connect_with_table().await;
         let second = site.nodes[1].connect().await;
         let text = "INSERT INTO books (id, title) VALUES (1, 'x') /*stairward.request_key='k'*/";
         first.batch_execute(text).await.unwrap();
-        // Run again it would break the primary key.
+        // A second execution would violate the primary key.
         second.batch_execute(text).await.unwrap();
         let seen = simple_value(&second, "SELECT count(*) FROM books").await;
         assert_eq!(seen.as_deref(), Some("1"));
--- a/crates/stairward-proxy/tests/edge_startup.rs
+++ b/crates/stairward-proxy/tests/edge_startup.rs
@@ -1,11 +1,11 @@
-//! Start-up: encryption, authentication, limits, and callers that break the protocol.
+//! Connection startup: encryption, authentication, limits and protocol violations.
 
 mod edge_support;
 
 use std::sync::Arc;
 
 use edge_support::raw::{message, startup_packet, with_length};
-use edge_support::{Site, guarded, result_code, simple_value, token_key};
+use edge_support::{Site, result_code, simple_value, token_key, with_timeout};
 use stairward_proxy::edge::EdgeSettings;
 use stairward_types::ResultCode;
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
@@ -15,14 +15,14 @@
 const TLS_REQUEST: [u8; 8] = [0, 0, 0, 8, 4, 210, 22, 47];
 const GSS_REQUEST: [u8; 8] = [0, 0, 0, 8, 4, 210, 22, 48];
 
-async fn raw(site: &Site) -> TcpStream {
+async fn connect_raw(site: &Site) -> TcpStream {
     TcpStream::connect(site.node().address).await.unwrap()
 }
 
-/// Everything that the edge sends until it closes the connection.
-async fn rest(socket: &mut TcpStream) -> Vec<u8> {
+/// Reads everything that the edge sends until the connection is closed.
+async fn read_until_closed(socket: &mut TcpStream) -> Vec<u8> {
     let mut bytes = Vec::new();
-    // A reset instead of an orderly end also ends it.
+    // The connection may also end with a reset.
     let _ = socket.read_to_end(&mut bytes).await;
     bytes
 }
@@ -35,10 +35,10 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn encryption_that_is_not_offered_is_declined_and_the_caller_goes_on() {
-    guarded(async {
+async fn declined_encryption_does_not_end_the_connection() {
+    with_timeout(async {
         let site = Site::start().await;
-        let mut socket = raw(&site).await;
+        let mut socket = connect_raw(&site).await;
         for request in [GSS_REQUEST, TLS_REQUEST] {
             socket.write_all(&request).await.unwrap();
             assert_eq!(socket.read_u8().await.unwrap(), b'N');
@@ -51,8 +51,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn malformed_start_ups_get_a_numbered_error_or_a_closed_connection() {
-    guarded(async {
+async fn malformed_startup_packets_are_refused() {
+    with_timeout(async {
         let site = Site::start().await;
         let violation = Some(ResultCode::ProtocolViolation);
         let cases: [(Vec<u8>, Option<ResultCode>); 8] = [
@@ -72,9 +72,9 @@
             ),
         ];
         for (bytes, expected) in cases {
-            let mut socket = raw(&site).await;
+            let mut socket = connect_raw(&site).await;
             socket.write_all(&bytes).await.unwrap();
-            let answer = rest(&mut socket).await;
+            let answer = read_until_closed(&mut socket).await;
             match expected {
                 Some(code) => assert!(contains_code(&answer, code), "{bytes:?}: {answer:?}"),
                 None => assert_eq!(answer, b"", "{bytes:?}"),
@@ -85,8 +85,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn messages_that_break_the_protocol_end_only_their_own_session() {
-    guarded(async {
+async fn protocol_violations_end_only_their_own_session() {
+    with_timeout(async {
         let site = Site::start().await;
         let bystander = site.node().connect().await;
         let violation = ResultCode::ProtocolViolation;
@@ -99,11 +99,11 @@
             (vec![b'Q', 0x7F, 0, 0, 0], ResultCode::MessageTooLarge),
         ];
         for (bytes, expected) in cases {
-            let mut socket = raw(&site).await;
+            let mut socket = connect_raw(&site).await;
             let packet = startup_packet(&[("user", "reader"), ("database", "shelf")]);
             socket.write_all(&packet).await.unwrap();
             socket.write_all(&bytes).await.unwrap();
-            let answer = rest(&mut socket).await;
+            let answer = read_until_closed(&mut socket).await;
             assert!(contains_code(&answer, expected), "{bytes:?}: {answer:?}");
         }
         let seen = simple_value(&bystander, "SELECT 1").await;
@@ -113,10 +113,10 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn text_that_is_not_utf_8_is_refused_and_the_session_goes_on() {
-    guarded(async {
+async fn invalid_utf_8_is_refused_without_ending_the_session() {
+    with_timeout(async {
         let site = Site::start().await;
-        let mut socket = raw(&site).await;
+        let mut socket = connect_raw(&site).await;
         let packet = startup_packet(&[("user", "reader"), ("database", "shelf")]);
         socket.write_all(&packet).await.unwrap();
         let bad_query = message(b'Q', b"SELECT '\xFF'\0");
@@ -129,32 +129,35 @@
             .await
             .unwrap();
         socket.write_all(&message(b'X', b"")).await.unwrap();
-        let answer = rest(&mut socket).await;
+        let answer = read_until_closed(&mut socket).await;
         let text = String::from_utf8_lossy(&answer);
         let code = format!("SW{}", ResultCode::InvalidEncoding.number());
         assert_eq!(text.matches(&code).count(), 2);
-        assert!(text.contains("SELECT 1"), "the last query is answered");
+        assert!(
+            text.contains("SELECT 1"),
+            "the last query returns its result"
+        );
     })
     .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_start_up_that_never_comes_is_cut_off() {
-    guarded(async {
+async fn a_connection_without_startup_packet_is_closed() {
+    with_timeout(async {
         let settings = EdgeSettings {
             startup_timeout: std::time::Duration::from_millis(50),
             ..EdgeSettings::with_trust_authentication(token_key())
         };
         let site = Site::start_with(1, &settings).await;
-        let mut socket = raw(&site).await;
-        assert_eq!(rest(&mut socket).await, b"");
+        let mut socket = connect_raw(&site).await;
+        assert_eq!(read_until_closed(&mut socket).await, b"");
     })
     .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn callers_beyond_the_limit_are_told_so() {
-    guarded(async {
+async fn clients_above_the_limit_are_refused_with_an_error() {
+    with_timeout(async {
         let settings = EdgeSettings {
             maximum_clients: 1,
             ..EdgeSettings::with_trust_authentication(token_key())
@@ -179,8 +182,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn only_the_right_password_is_accepted() {
-    guarded(async {
+async fn a_wrong_password_is_refused() {
+    with_timeout(async {
         let site = Site::start_with(1, &with_users()).await;
         let mut config = site.node().config();
         config.password("pässword");
@@ -201,8 +204,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn users_can_be_replaced_while_the_edge_runs() {
-    guarded(async {
+async fn replaced_users_apply_to_new_connections() {
+    with_timeout(async {
         let site = Site::start_with(1, &with_users()).await;
         let users = [("reader".to_owned(), "new".to_owned())].into();
         site.node().edge.set_users(Some(users));
@@ -213,7 +216,7 @@
     .await;
 }
 
-/// A server configuration with a certificate made for it, and a client that trusts it.
+/// A server configuration with a self-signed certificate, and a client that trusts it.
 fn tls() -> (Arc<rustls::ServerConfig>, tokio_rustls::TlsConnector) {
     let certified = rcgen::generate_simple_self_signed(vec!["localhost".to_owned()]).unwrap();
     let certificate = certified.cert.der().clone();
@@ -232,14 +235,14 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_session_runs_over_tls() {
-    guarded(async {
+    with_timeout(async {
         let (server, connector) = tls();
         let settings = EdgeSettings {
             tls: Some(server),
             ..with_users()
         };
         let site = Site::start_with(1, &settings).await;
-        let mut socket = raw(&site).await;
+        let mut socket = connect_raw(&site).await;
         socket.write_all(&TLS_REQUEST).await.unwrap();
         assert_eq!(socket.read_u8().await.unwrap(), b'S');
         let name = rustls_pki_types::ServerName::try_from("localhost").unwrap();
@@ -257,18 +260,18 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn bytes_sent_ahead_of_the_tls_handshake_are_refused() {
-    guarded(async {
+    with_timeout(async {
         let (server, _) = tls();
         let settings = EdgeSettings {
             tls: Some(server),
             ..EdgeSettings::with_trust_authentication(token_key())
         };
         let site = Site::start_with(1, &settings).await;
-        let mut socket = raw(&site).await;
+        let mut socket = connect_raw(&site).await;
         let mut bytes = TLS_REQUEST.to_vec();
         bytes.extend(startup_packet(&[("user", "reader"), ("database", "shelf")]));
         socket.write_all(&bytes).await.unwrap();
-        assert_eq!(rest(&mut socket).await, b"S");
+        assert_eq!(read_until_closed(&mut socket).await, b"S");
     })
     .await;
 }
--- a/crates/stairward-proxy/tests/edge_support/mod.rs
+++ b/crates/stairward-proxy/tests/edge_support/mod.rs
@@ -1,4 +1,5 @@
-//! A node with an edge and an owner before a group of three stand-in databases, over real TCP.
+//! Nodes with an edge and an owner in front of a group of three simulated databases, connected over
+//! TCP.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -27,8 +28,8 @@
 use tokio_postgres::{Client, NoTls, SimpleQueryMessage};
 
 pub const DATABASE: &str = "shelf";
-/// Guards against hangs; no test waits for it when all is well.
-pub const HANG: Duration = Duration::from_secs(30);
+/// Time limit of a test; reached only if it hangs.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 pub fn identity(node: u64) -> Identity {
     Identity {
@@ -92,7 +93,7 @@
     )
 }
 
-/// What a test node does for its peers.
+/// Handles streams and calls from peers on a test node.
 struct NodeService {
     owner: Arc<OwnerService>,
     edge: Arc<EdgeService>,
@@ -120,16 +121,16 @@
     }
 }
 
-/// One proxy process.
+/// One proxy node.
 pub struct Node {
     pub cluster: Cluster,
     pub edge: Arc<EdgeService>,
     pub owner: Arc<OwnerService>,
     pub address: SocketAddr,
-    serving: tokio::task::JoinHandle<()>,
+    accept_task: tokio::task::JoinHandle<()>,
 }
 
-/// Peer listeners of the nodes, which must be known before the nodes start.
+/// Binds the peer listeners, whose addresses must be known before the nodes start.
 async fn peer_listeners(count: u64) -> (Vec<TcpListener>, MembershipView) {
     let mut listeners = Vec::new();
     let mut members = Vec::new();
@@ -161,7 +162,7 @@
         settings: &ResolvedSettings,
         edge_settings: EdgeSettings,
     ) -> Self {
-        // Node 1 owns every back end.
+        // Node 1 owns all backends.
         let rule = Arc::new(|_: &MembershipView, _: &BackendId, _: &BackendSettings| {
             Some(Owners {
                 owner: NodeId(1),
@@ -185,13 +186,13 @@
         tokio::spawn(Arc::clone(&owner).run());
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
-        let serving = tokio::spawn(Arc::clone(&edge).serve(listener));
+        let accept_task = tokio::spawn(Arc::clone(&edge).serve(listener));
         Self {
             cluster,
             edge,
             owner,
             address,
-            serving,
+            accept_task,
         }
     }
 
@@ -209,9 +210,9 @@
         connect_with(&self.config()).await
     }
 
-    /// Waits until the edge has stopped accepting callers.
-    pub async fn stopped(self) {
-        self.serving.await.unwrap();
+    /// Waits until the edge no longer accepts connections.
+    pub async fn wait_until_stopped(self) {
+        self.accept_task.await.unwrap();
     }
 }
 
@@ -221,7 +222,7 @@
     client
 }
 
-/// Nodes before a group of three stand-in databases.
+/// Proxy nodes in front of a group of three simulated databases.
 pub struct Site {
     pub databases: DatabaseGroup,
     pub nodes: Vec<Node>,
@@ -262,8 +263,8 @@
         &self.nodes[0]
     }
 
-    /// A connection with a table `books (id, title)` in the database.
-    pub async fn with_table(&self) -> Client {
+    /// Connects and creates a table `books (id, title)`.
+    pub async fn connect_with_table(&self) -> Client {
         let client = self.node().connect().await;
         client
             .batch_execute("CREATE TABLE books (id integer PRIMARY KEY, title text)")
@@ -273,7 +274,7 @@
     }
 }
 
-/// The first column of the first row of a simple query.
+/// The first column of the first row returned by a simple query.
 pub async fn simple_value(client: &Client, text: &str) -> Option<String> {
     let messages = client.simple_query(text).await.unwrap();
     messages.into_iter().find_map(|message| match message {
@@ -282,15 +283,15 @@
     })
 }
 
-/// The result code number in an error's message, `SWnnnn`.
+/// The result code in an error message of the form `SWnnnn`.
 pub fn result_code(error: &tokio_postgres::Error) -> Option<u16> {
     let message = error.as_db_error()?.message();
     message.strip_prefix("SW")?.get(..4)?.parse().ok()
 }
 
-/// Runs a test body with a guard against hangs.
-pub async fn guarded<F: Future>(body: F) -> F::Output {
-    tokio::time::timeout(HANG, body)
+/// Runs a test body with a time limit.
+pub async fn with_timeout<F: Future>(body: F) -> F::Output {
+    tokio::time::timeout(TEST_TIMEOUT, body)
         .await
-        .expect("the test hangs")
+        .expect("the test timed out")
 }
--- a/crates/stairward-proxy/tests/edge_support/raw.rs
+++ b/crates/stairward-proxy/tests/edge_support/raw.rs
@@ -1,4 +1,4 @@
-//! A caller that speaks the protocol byte by byte.
+//! A client that sends and receives individual protocol messages.
 
 use std::net::SocketAddr;
 
@@ -7,7 +7,7 @@
 
 const CANCEL_CODE: [u8; 4] = 80_877_102_u32.to_be_bytes();
 
-/// A start-up packet for protocol 3.0 with these parameters.
+/// Encodes a startup packet for protocol 3.0.
 pub fn startup_packet(parameters: &[(&str, &str)]) -> Vec<u8> {
     let mut body = vec![0, 3, 0, 0];
     for (name, value) in parameters {
@@ -61,44 +61,44 @@
     message(b'S', b"")
 }
 
-/// A caller past its start-up.
-pub struct RawCaller {
+/// A client that has completed startup.
+pub struct RawClient {
     pub socket: TcpStream,
-    /// Body of its `BackendKeyData`: what cancels its statements.
+    /// Body of its `BackendKeyData`, as needed for cancel requests.
     pub key: Vec<u8>,
 }
 
-impl RawCaller {
+impl RawClient {
     pub async fn connect(address: SocketAddr) -> Self {
         let mut socket = TcpStream::connect(address).await.unwrap();
         let packet = startup_packet(&[("user", "reader"), ("database", super::DATABASE)]);
         socket.write_all(&packet).await.unwrap();
         let key = Vec::new();
-        let mut caller = Self { socket, key };
+        let mut client = Self { socket, key };
         loop {
-            match caller.next().await {
-                (b'K', key) => caller.key = key,
-                (b'Z', _) => return caller,
+            match client.next().await {
+                (b'K', key) => client.key = key,
+                (b'Z', _) => return client,
                 _ => {}
             }
         }
     }
 
-    /// Sends a cancel request with this caller's key, and waits until the edge has dealt with it.
+    /// Sends a cancel request with this client's key and waits until the edge has processed it.
     pub async fn cancel(&self, address: SocketAddr) {
         let mut socket = TcpStream::connect(address).await.unwrap();
         let body = [&CANCEL_CODE[..], &self.key].concat();
         socket.write_all(&with_length(&body)).await.unwrap();
         let mut answer = Vec::new();
         socket.read_to_end(&mut answer).await.unwrap();
-        assert_eq!(answer, b"", "a cancel request gets no answer");
+        assert_eq!(answer, b"", "a cancel request gets no response");
     }
 
     pub async fn send(&mut self, messages: &[Vec<u8>]) {
         self.socket.write_all(&messages.concat()).await.unwrap();
     }
 
-    /// The next message: its type and body.
+    /// Reads the next message: its type and body.
     pub async fn next(&mut self) -> (u8, Vec<u8>) {
         let tag = self.socket.read_u8().await.unwrap();
         let length = self.socket.read_u32().await.unwrap() as usize;
@@ -107,8 +107,8 @@
         (tag, body)
     }
 
-    /// Message types up to and with this one; reported parameters are left out.
-    pub async fn answers_until(&mut self, last: u8) -> String {
+    /// The types of the messages up to and including `last`; `ParameterStatus` is omitted.
+    pub async fn response_types_until(&mut self, last: u8) -> String {
         let mut tags = String::new();
         loop {
             let (tag, _) = self.next().await;
@@ -121,9 +121,9 @@
         }
     }
 
-    /// Sends messages and gives the types of the answers up to the next `ReadyForQuery`.
-    pub async fn ask(&mut self, messages: &[Vec<u8>]) -> String {
+    /// Sends messages and returns the types of the responses up to the next `ReadyForQuery`.
+    pub async fn request(&mut self, messages: &[Vec<u8>]) -> String {
         self.send(messages).await;
-        self.answers_until(b'Z').await
+        self.response_types_until(b'Z').await
     }
 }
--- a/crates/stairward-proxy/tests/edge_support/scripted.rs
+++ b/crates/stairward-proxy/tests/edge_support/scripted.rs
@@ -1,4 +1,4 @@
-//! An edge before an owner that ends its streams as a test says.
+//! An edge with a scripted owner that ends its streams as a test specifies.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -19,37 +19,37 @@
 
 use super::{DATABASE, backend_names, identity, resolved_settings, token_key};
 
-/// Without a grant for so long, the caller counts as stalled.
-const STALL_TIME: std::time::Duration = std::time::Duration::from_millis(200);
+/// Time without credit after which the client counts as stalled.
+const CREDIT_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(200);
 
 /// How the scripted owner ends a stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Ending {
-    /// Answers, and keeps the stream while a transaction is open.
-    Answer,
-    /// Refuses, advising to come back after so many milliseconds.
+    /// Responds, and keeps the stream open while a transaction is open.
+    Respond,
+    /// Refuses with a retry delay in milliseconds.
     Refuse(ResultCode, u32),
-    /// Loses the connection without a word.
-    LoseBeforeAdmitting,
-    /// Loses the connection once the request was admitted.
-    LoseAfterAdmitting,
-    /// Loses the connection after so many bytes of the answer.
-    LoseAfterAnswer(usize),
-    /// Says that it doesn't know.
-    Unknown(ResultCode),
-    /// Says that the transaction was lost.
+    /// Closes the connection without a message.
+    DisconnectBeforeAdmission,
+    /// Closes the connection after admitting the request.
+    DisconnectAfterAdmission,
+    /// Closes the connection after sending this many response bytes.
+    DisconnectAfterResponse(usize),
+    /// Reports an unknown outcome.
+    OutcomeUnknown(ResultCode),
+    /// Reports a lost transaction.
     LoseTransaction,
-    /// Answers the first batch, and loses the connection when it gets the second.
-    LoseAtSecondBatch,
-    /// Answers with so many bytes of rows, as fast as the edge grants them.
-    Flood(usize),
-    /// Answers the first batch, and doesn't know the outcome of the second.
+    /// Responds to the first batch and closes the connection on receiving the second.
+    DisconnectAtSecondBatch,
+    /// Sends this many bytes of rows, limited only by flow control.
+    LargeResponse(usize),
+    /// Responds to the first batch and reports an unknown outcome for the second.
     UnknownAtSecondBatch,
 }
 
-/// What the owner was asked for.
+/// The parameters of a stream that the edge opened.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Opened {
+pub struct OpenedStream {
     pub backend: String,
     pub writes: bool,
     pub request_key: String,
@@ -58,27 +58,28 @@
 }
 
 #[derive(Default)]
-pub struct Script {
+pub struct OwnerScript {
     endings: Mutex<VecDeque<Ending>>,
-    pub opened: Mutex<Vec<Opened>>,
-    /// Frontend message types received, over all streams.
+    pub opened: Mutex<Vec<OpenedStream>>,
+    /// Types of the frontend messages received on all streams.
     pub received: Mutex<String>,
     pub position: Mutex<u64>,
-    /// Notified once a flood waits for a grant.
-    pub stalled: tokio::sync::Notify,
-    /// Most bytes of a flood sent and not yet granted again.
-    pub outstanding: Mutex<usize>,
+    /// Notified when a large response has run out of credit.
+    pub waiting_for_credit: tokio::sync::Notify,
+    /// The largest number of bytes of a large response sent without credit having been returned for
+    /// them.
+    pub max_uncredited_bytes: Mutex<usize>,
 }
 
-impl Script {
-    /// Sets the endings of the next streams; streams after them are answered.
+impl OwnerScript {
+    /// Sets the endings of the next streams. Further streams are answered normally.
     pub fn set(&self, endings: &[Ending]) {
         *self.endings.lock().unwrap() = endings.iter().copied().collect();
         self.opened.lock().unwrap().clear();
         self.received.lock().unwrap().clear();
     }
 
-    pub fn opened(&self) -> Vec<Opened> {
+    pub fn opened(&self) -> Vec<OpenedStream> {
         self.opened.lock().unwrap().clone()
     }
 
@@ -99,7 +100,7 @@
     }
 }
 
-struct ScriptedOwner(Arc<Script>);
+struct ScriptedOwner(Arc<OwnerScript>);
 
 impl PeerService for ScriptedOwner {
     fn accept_stream(&self, stream: OwnerStream) {
@@ -121,17 +122,17 @@
     }
 }
 
-async fn serve(script: Arc<Script>, mut stream: OwnerStream) {
+async fn serve(script: Arc<OwnerScript>, mut stream: OwnerStream) {
     let Some(EdgeMessage::Open(open)) = stream.receive().await else {
         return;
     };
     let backend = open.backend.as_str().to_owned();
     script.opened.lock().unwrap().push(opened(&open));
     let ending = script.endings.lock().unwrap().pop_front();
-    let ending = ending.unwrap_or(Ending::Answer);
+    let ending = ending.unwrap_or(Ending::Respond);
     let hint = script.hint(&backend);
     match ending {
-        Ending::LoseBeforeAdmitting => return,
+        Ending::DisconnectBeforeAdmission => return,
         Ending::Refuse(code, retry_after_milliseconds) => {
             stream.send(OwnerMessage::Refused {
                 code: code.number(),
@@ -144,9 +145,9 @@
     }
     stream.send(OwnerMessage::Admitted(hint));
     match ending {
-        Ending::LoseAfterAdmitting => return,
-        Ending::Flood(bytes) => flood(&script, &mut stream, bytes).await,
-        Ending::LoseAfterAnswer(bytes) => {
+        Ending::DisconnectAfterAdmission => return,
+        Ending::LargeResponse(bytes) => send_large_response(&script, &mut stream, bytes).await,
+        Ending::DisconnectAfterResponse(bytes) => {
             let mut sent = 0;
             while sent < bytes {
                 let row = data_row(&[b'x'; 8_000]);
@@ -157,7 +158,7 @@
             }
             return;
         }
-        Ending::Unknown(code) => {
+        Ending::OutcomeUnknown(code) => {
             let code = code.number();
             stream.send(OwnerMessage::OutcomeUnknown { code, hint });
             return;
@@ -168,37 +169,37 @@
         }
         _ => {}
     }
-    answer_batches(&script, &mut stream, open, ending).await;
+    respond_to_batches(&script, &mut stream, open, ending).await;
 }
 
-/// Sends rows within the window.
-async fn flood(script: &Script, stream: &mut OwnerStream, bytes: usize) {
+/// Sends rows as far as the flow-control window allows.
+async fn send_large_response(script: &OwnerScript, stream: &mut OwnerStream, bytes: usize) {
     let row = data_row(&[b'x'; 8_000]);
     let mut sent = 0;
-    let mut outstanding = 0;
+    let mut uncredited_bytes = 0;
     while sent < bytes {
-        while outstanding >= INITIAL_WINDOW_BYTES as usize {
-            let waited = tokio::time::timeout(STALL_TIME, stream.receive()).await;
+        while uncredited_bytes >= INITIAL_WINDOW_BYTES as usize {
+            let waited = tokio::time::timeout(CREDIT_TIMEOUT, stream.receive()).await;
             match waited {
-                Ok(Some(EdgeMessage::Credit { bytes })) => outstanding -= bytes as usize,
+                Ok(Some(EdgeMessage::Credit { bytes })) => uncredited_bytes -= bytes as usize,
                 Ok(Some(_)) => {}
                 Ok(None) => return,
-                Err(_) => script.stalled.notify_one(),
+                Err(_) => script.waiting_for_credit.notify_one(),
             }
         }
         stream.send(OwnerMessage::Answer {
             messages: row.clone().into(),
         });
         sent += row.len();
-        outstanding += row.len();
-        let mut most = script.outstanding.lock().unwrap();
-        *most = (*most).max(outstanding);
+        uncredited_bytes += row.len();
+        let mut max_bytes = script.max_uncredited_bytes.lock().unwrap();
+        *max_bytes = (*max_bytes).max(uncredited_bytes);
     }
 }
 
-fn opened(open: &Open) -> Opened {
+fn opened(open: &Open) -> OpenedStream {
     let setup = open.session_setup.bytes.get(5..).unwrap_or_default();
-    Opened {
+    OpenedStream {
         backend: open.backend.as_str().to_owned(),
         writes: open.access == WireAccess::Write,
         request_key: open.request_key.as_str().to_owned(),
@@ -209,16 +210,21 @@
     }
 }
 
-/// Answers batch after batch until no transaction is open.
-async fn answer_batches(script: &Script, stream: &mut OwnerStream, open: Open, ending: Ending) {
+/// Responds to batches until no transaction is open.
+async fn respond_to_batches(
+    script: &OwnerScript,
+    stream: &mut OwnerStream,
+    open: Open,
+    ending: Ending,
+) {
     let backend = open.backend.as_str().to_owned();
     let writes = open.access == WireAccess::Write;
     let mut batch = open.batch;
     let mut in_transaction = false;
     loop {
-        let answer = answer(script, &batch, &mut in_transaction);
+        let response = respond(script, &batch, &mut in_transaction);
         stream.send(OwnerMessage::Answer {
-            messages: answer.into(),
+            messages: response.into(),
         });
         if batch.complete != 0 {
             if writes && !in_transaction {
@@ -248,7 +254,7 @@
             }
         };
         match ending {
-            Ending::LoseAtSecondBatch => return,
+            Ending::DisconnectAtSecondBatch => return,
             Ending::UnknownAtSecondBatch => {
                 stream.send(OwnerMessage::OutcomeUnknown {
                     code: ResultCode::FenceNotProved.number(),
@@ -261,9 +267,9 @@
     }
 }
 
-/// Answers each frontend message of a batch as a database with nothing in it would.
-fn answer(script: &Script, batch: &Batch, in_transaction: &mut bool) -> Vec<u8> {
-    let mut answer = Vec::new();
+/// Responds to each frontend message of a batch like an empty database.
+fn respond(script: &OwnerScript, batch: &Batch, in_transaction: &mut bool) -> Vec<u8> {
+    let mut response = Vec::new();
     let mut rest = batch.messages.bytes.as_slice();
     while rest.len() >= 5 {
         let length = u32::from_be_bytes(rest[1..5].try_into().unwrap()) as usize;
@@ -279,20 +285,20 @@
         script.received.lock().unwrap().push(char::from(message[0]));
         match message[0] {
             b'P' if text.contains("FAIL") => {
-                answer.extend(backend_message(b'E', b"SERROR\0C42601\0Mfails\0\0"));
+                response.extend(backend_message(b'E', b"SERROR\0C42601\0Mfails\0\0"));
             }
-            b'P' => answer.extend(backend_message(b'1', b"")),
-            b'B' => answer.extend(backend_message(b'2', b"")),
-            b'C' => answer.extend(backend_message(b'3', b"")),
+            b'P' => response.extend(backend_message(b'1', b"")),
+            b'B' => response.extend(backend_message(b'2', b"")),
+            b'C' => response.extend(backend_message(b'3', b"")),
             b'D' => {
-                answer.extend(backend_message(b't', &[0, 0]));
-                answer.extend(backend_message(b'n', b""));
+                response.extend(backend_message(b't', &[0, 0]));
+                response.extend(backend_message(b'n', b""));
             }
-            b'E' | b'Q' => answer.extend(backend_message(b'C', b"DONE\0")),
+            b'E' | b'Q' => response.extend(backend_message(b'C', b"DONE\0")),
             _ => {}
         }
     }
-    answer
+    response
 }
 
 fn backend_message(tag: u8, body: &[u8]) -> Vec<u8> {
@@ -307,9 +313,9 @@
     backend_message(b'D', &body)
 }
 
-/// A node whose owner is scripted. `a` is the primary, `b` and `c` are replicas.
+/// A node with a scripted owner. `a` is the primary; `b` and `c` are replicas.
 pub struct ScriptedSite {
-    pub script: Arc<Script>,
+    pub script: Arc<OwnerScript>,
     pub edge: Arc<EdgeService>,
     pub cluster: Cluster,
     pub settings: ResolvedSettings,
@@ -321,12 +327,12 @@
         Self::start_with_owner(NodeId(1), MembershipView::default()).await
     }
 
-    /// A node whose back ends are owned by another one, listed in `view`.
+    /// Starts a node whose backends are owned by another node, listed in `view`.
     pub async fn start_with_owner(owner: NodeId, view: MembershipView) -> Self {
-        let anywhere = SocketAddr::from(([127, 0, 0, 1], 1));
+        let unused_address = SocketAddr::from(([127, 0, 0, 1], 1));
         let backends: Vec<_> = backend_names()
             .into_iter()
-            .map(|name| (name, anywhere))
+            .map(|name| (name, unused_address))
             .collect();
         let settings = resolved_settings(&backends, 1);
         let rule = Arc::new(
@@ -347,7 +353,7 @@
         cluster.learn_primary(&GroupId::new(DATABASE).unwrap(), primary);
         let key = ClusterKey::new(*b"a cluster key for tests").unwrap();
         let network = PeerNetwork::new(cluster.clone(), key);
-        let script = Arc::new(Script::default());
+        let script = Arc::new(OwnerScript::default());
         *script.position.lock().unwrap() = 100;
         network.set_service(Arc::new(ScriptedOwner(Arc::clone(&script))));
         let edge_settings = EdgeSettings::with_trust_authentication(token_key());
--- a/crates/stairward-proxy/tests/edge_transactions.rs
+++ b/crates/stairward-proxy/tests/edge_transactions.rs
@@ -1,8 +1,8 @@
-//! Transactions, session settings and failover as callers see them.
+//! Transactions, session settings and failover as seen by clients.
 
 mod edge_support;
 
-use edge_support::{Site, guarded, result_code, simple_value};
+use edge_support::{Site, result_code, simple_value, with_timeout};
 use stairward_standins::group::Fault;
 use stairward_types::ResultCode;
 use tokio_postgres::Client;
@@ -13,10 +13,10 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_committed_transaction_stays_and_a_rolled_back_one_goes() {
-    guarded(async {
+async fn commit_keeps_and_rollback_discards_changes() {
+    with_timeout(async {
         let site = Site::start().await;
-        let mut client = site.with_table().await;
+        let mut client = site.connect_with_table().await;
         let transaction = client.transaction().await.unwrap();
         transaction
             .execute("INSERT INTO books (id, title) VALUES (1, 'kept')", &[])
@@ -36,9 +36,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn transactions_of_two_sessions_do_not_mix() {
-    guarded(async {
+    with_timeout(async {
         let site = Site::start().await;
-        let first = site.with_table().await;
+        let first = site.connect_with_table().await;
         let second = site.node().connect().await;
         first.batch_execute("BEGIN").await.unwrap();
         second.batch_execute("BEGIN").await.unwrap();
@@ -61,9 +61,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_failed_transaction_refuses_statements_until_it_ends() {
-    guarded(async {
+    with_timeout(async {
         let site = Site::start().await;
-        let client = site.with_table().await;
+        let client = site.connect_with_table().await;
         client.batch_execute("BEGIN").await.unwrap();
         client
             .batch_execute("SELECT * FROM nowhere")
@@ -79,10 +79,10 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_read_only_transaction_runs_on_a_replica() {
-    guarded(async {
+    with_timeout(async {
         let site = Site::start().await;
-        let client = site.with_table().await;
-        // The replicas first have to catch up with the session's own write.
+        let client = site.connect_with_table().await;
+        // The replicas must first catch up with the session's own write.
         loop {
             client.batch_execute("BEGIN READ ONLY").await.unwrap();
             let recovering = simple_value(&client, "SELECT pg_is_in_recovery()").await;
@@ -96,10 +96,10 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_refused_statement_gives_its_transaction_up() {
-    guarded(async {
+async fn a_refused_statement_aborts_its_transaction() {
+    with_timeout(async {
         let site = Site::start().await;
-        let client = site.with_table().await;
+        let client = site.connect_with_table().await;
         client.batch_execute("BEGIN").await.unwrap();
         client
             .batch_execute("INSERT INTO books (id, title) VALUES (1, 'x')")
@@ -109,7 +109,7 @@
         let error = client.batch_execute("SELECT 1").await.unwrap_err();
         let expected = Some(ResultCode::StaleTransaction.number());
         assert_eq!(result_code(&error), expected);
-        // As in PostgreSQL, the end of a failed transaction rolls it back.
+        // As in PostgreSQL, COMMIT of a failed transaction rolls it back.
         client.batch_execute("COMMIT").await.unwrap();
         assert_eq!(count(&client).await, "0");
     })
@@ -117,10 +117,10 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn settings_follow_the_session_to_every_back_end() {
-    guarded(async {
+async fn session_settings_apply_on_every_backend() {
+    with_timeout(async {
         let site = Site::start().await;
-        let client = site.with_table().await;
+        let client = site.connect_with_table().await;
         client
             .batch_execute("SET statement_timeout = '7s'")
             .await
@@ -143,10 +143,10 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_setting_is_undone_with_its_transaction() {
-    guarded(async {
+async fn a_setting_is_rolled_back_with_its_transaction() {
+    with_timeout(async {
         let site = Site::start().await;
-        let client = site.with_table().await;
+        let client = site.connect_with_table().await;
         client
             .batch_execute("SET statement_timeout = '7s'")
             .await
@@ -164,10 +164,10 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_lost_transaction_is_reported_once_and_the_session_goes_on() {
-    guarded(async {
+async fn a_lost_transaction_is_reported_once_without_ending_the_session() {
+    with_timeout(async {
         let site = Site::start().await;
-        let client = site.with_table().await;
+        let client = site.connect_with_table().await;
         client.batch_execute("BEGIN").await.unwrap();
         client
             .batch_execute("INSERT INTO books (id, title) VALUES (1, 'lost')")
@@ -197,12 +197,13 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_write_waits_for_the_next_primary() {
-    guarded(async {
+    with_timeout(async {
         let site = Site::start().await;
-        let client = site.with_table().await;
+        let client = site.connect_with_table().await;
         let primary = site.databases.primary().await.unwrap();
         site.databases.inject(Fault::Stop { member: primary });
-        // Sent on a connection that is gone: the first may end unknown, the ones after it wait.
+        // The first write may be sent on the lost connection and end with an unknown outcome; later
+        // writes wait for the new primary.
         let first = client
             .batch_execute("INSERT INTO books (id, title) VALUES (1, 'x')")
             .await;
--- a/crates/stairward-proxy/tests/replica_lag.rs
+++ b/crates/stairward-proxy/tests/replica_lag.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use edge_support::{Site, backend_names, guarded, simple_value};
+use edge_support::{Site, backend_names, simple_value, with_timeout};
 use stairward_standins::group::Fault;
 
 /// Longer than the guard against hangs: nothing in these tests can wait for a replay.
@@ -16,7 +16,7 @@
 /// A site whose replicas receive the log at once and replay it after [`LAG`].
 async fn lagging_site() -> Site {
     let site = Site::start().await;
-    site.with_table().await;
+    site.connect_with_table().await;
     for member in backend_names().into_iter().skip(1) {
         site.databases.inject(Fault::Lag { member, lag: LAG });
     }
@@ -25,7 +25,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_commit_is_acknowledged_before_any_replica_replays_it() {
-    guarded(async {
+    with_timeout(async {
         let site = lagging_site().await;
         let client = site.node().connect().await;
         let inserted = client
@@ -38,7 +38,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_new_session_without_a_token_reads_what_was_written_before() {
-    guarded(async {
+    with_timeout(async {
         let site = lagging_site().await;
         for id in 0..SESSIONS {
             let writer = site.node().connect().await;
