--- a/crates/stairward-proxy/src/edge/active.rs
+++ b/crates/stairward-proxy/src/edge/active.rs
@@ -31,6 +31,7 @@
     /// The batch, or the part of it sent last.
     pub(super) batch: Batch,
     pub(super) filter: ResponseFilter,
+    /// Changes to prepared statements, in the order of their responses.
     pub(super) changes: Vec<PendingChange>,
     /// Whether the batch may commit writes.
     pub(super) may_commit: bool,
@@ -52,6 +53,7 @@
 
 /// A batch encoded for the owner, and the state needed to process its response.
 pub(super) struct OutgoingBatch {
+    /// The batch as sent to the owner.
     pub(super) wire: WireBatch,
     pub(super) running: RunningBatch,
 }
--- a/crates/stairward-proxy/src/edge/majority.rs
+++ b/crates/stairward-proxy/src/edge/majority.rs
@@ -76,6 +76,7 @@
 /// it cover every write acknowledged before.
 #[derive(Default)]
 pub(super) struct MajorityRounds {
+    /// Number of rounds started so far.
     started: AtomicU64,
     last: Mutex<LastRound>,
 }
--- a/crates/stairward-proxy/src/edge/pinned.rs
+++ b/crates/stairward-proxy/src/edge/pinned.rs
@@ -21,6 +21,7 @@
 
 /// What has been done about the deadline of the running batch.
 enum DeadlineState {
+    /// The deadline has not passed.
     Running,
     /// The deadline has passed and the statement was cancelled; waiting for its outcome.
     Cancelled,
@@ -28,9 +29,10 @@
 
 /// How the parts of a batch that were already sent ended.
 enum PartOutcome {
-    Answered,
+    Completed,
     /// The backend reported an error.
     Failed,
+    /// The stream was lost, or the deadline has passed.
     Lost,
 }
 
@@ -55,8 +57,8 @@
             }
             return self.await_batch_end(kind, deadline).await;
         }
-        let lost = self.owner_lost_error();
-        self.report_lost_batch(kind, lost);
+        let error = self.owner_lost_error();
+        self.report_lost_batch(kind, error);
         Ok(())
     }
 
@@ -86,7 +88,7 @@
             && request.access == AccessClass::Write
     }
 
-    /// Completes the read stream, keeping the statements prepared on it, and runs the request on a
+    /// Completes the read stream, records the statements prepared on it, and runs the request on a
     /// new stream to the primary.
     async fn switch_to_primary(&mut self, request: Request) -> SessionResult<()> {
         let kind = request.batch.kind;
@@ -94,12 +96,12 @@
         if let Some(active) = &mut self.active
             && !active.send_closing_sync()
         {
-            let lost = self.owner_lost_error();
-            self.report_lost_batch(kind, lost);
+            let error = self.owner_lost_error();
+            self.report_lost_batch(kind, error);
             return Ok(());
         }
         match self.finish_earlier_parts(deadline).await? {
-            PartOutcome::Answered => self.run_on_new_stream(request).await,
+            PartOutcome::Completed => self.run_on_new_stream(request).await,
             PartOutcome::Failed => {
                 self.finish_after_error(kind);
                 Ok(())
@@ -147,7 +149,7 @@
         if running.filter.failed {
             PartOutcome::Failed
         } else {
-            PartOutcome::Answered
+            PartOutcome::Completed
         }
     }
 
@@ -182,8 +184,8 @@
                     self.cancel_active();
                 }
                 Wakeup::Timer => {
-                    let lost = self.lost_batch_error(ResultCode::DeadlineAfterSend);
-                    self.report_lost_batch(kind, lost);
+                    let error = self.lost_batch_error(ResultCode::DeadlineAfterSend);
+                    self.report_lost_batch(kind, error);
                 }
                 Wakeup::NewPrimary => {}
                 Wakeup::ClientGone => return Err(SessionEnd::Client(ClientError::Closed)),
--- a/crates/stairward-proxy/src/edge/service.rs
+++ b/crates/stairward-proxy/src/edge/service.rs
@@ -188,8 +188,8 @@
         let mut primaries = self.cluster.watch_primaries();
         let mut known_terms = BTreeMap::new();
         while primaries.changed().await.is_ok() {
-            let known = Arc::clone(&primaries.borrow_and_update());
-            for (group, primary) in known.iter() {
+            let primaries_by_group = Arc::clone(&primaries.borrow_and_update());
+            for (group, primary) in primaries_by_group.iter() {
                 if known_terms.insert(group.clone(), primary.term) != Some(primary.term) {
                     self.group(group).notify_waiting();
                 }
--- a/crates/stairward-proxy/src/edge/session.rs
+++ b/crates/stairward-proxy/src/edge/session.rs
@@ -147,8 +147,8 @@
         }
         self.client.flush().await?;
         let draining = *self.draining.borrow();
-        let between_batches = self.is_between_batches();
-        if draining && between_batches && self.served_while_draining {
+        let idle = self.is_idle();
+        if draining && idle && self.served_while_draining {
             return Ok(SessionInput::Drain);
         }
         let frame = tokio::select! {
@@ -158,7 +158,7 @@
             _ = self.draining.wait_for(|draining| *draining), if !draining => {
                 return Ok(SessionInput::DrainStarted);
             }
-            () = tokio::time::sleep(DRAIN_IDLE_TIME), if draining && between_batches => {
+            () = tokio::time::sleep(DRAIN_IDLE_TIME), if draining && idle => {
                 return Ok(SessionInput::Drain);
             }
         };
@@ -166,8 +166,9 @@
         Ok(SessionInput::Frame(frame))
     }
 
-    /// Whether no transaction is open and no batch has been started.
-    fn is_between_batches(&self) -> bool {
+    /// Whether no transaction is open and no batch has been started. Only then may a drain end the
+    /// session.
+    fn is_idle(&self) -> bool {
         let has_transaction = matches!(self.transaction, Transaction::Open | Transaction::Failed);
         !has_transaction && self.active.is_none() && self.builder.is_empty()
     }
--- a/crates/stairward-proxy/src/edge/startup.rs
+++ b/crates/stairward-proxy/src/edge/startup.rs
@@ -96,13 +96,13 @@
 }
 
 async fn negotiate_tls(
-    slot: &mut Option<Client>,
+    client_slot: &mut Option<Client>,
     tls: Option<Arc<rustls::ServerConfig>>,
 ) -> Result<(), StartupError> {
-    let mut client = slot.take().context(ClosedSnafu)?;
+    let mut client = client_slot.take().context(ClosedSnafu)?;
     let Some(tls) = tls else {
         decline_encryption(&mut client).await?;
-        *slot = Some(client);
+        *client_slot = Some(client);
         return Ok(());
     };
     client.output.extend_from_slice(b"S");
@@ -110,7 +110,7 @@
     let socket = match client.into_socket()? {
         Either::Left(socket) => socket,
         encrypted @ Either::Right(_) => {
-            *slot = Some(Client::new(encrypted));
+            *client_slot = Some(Client::new(encrypted));
             return Err(protocol_violation("the connection is already encrypted").into());
         }
     };
@@ -119,7 +119,7 @@
         .await
         .context(TlsSnafu)?;
     let socket: ClientSocket = Either::Right(Box::new(encrypted));
-    *slot = Some(Client::new(socket));
+    *client_slot = Some(Client::new(socket));
     Ok(())
 }
 
