--- a/crates/stairward-proxy/src/edge/group.rs
+++ b/crates/stairward-proxy/src/edge/group.rs
@@ -1,5 +1,5 @@
-//! What all sessions of one database group share at an edge: routing hints, the search for a
-//! primary, and the position confirmed by a majority.
+//! State of one database group shared by all sessions of an edge: routing state, the search for a
+//! primary, and the freshness confirmed by a majority.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -13,25 +13,25 @@
 use stairward_types::{Freshness, GroupId, Revision};
 use tokio::sync::watch;
 
-use super::majority::{MajorityRounds, MemberAnswer};
+use super::majority::{MajorityRounds, MemberReply};
 use crate::cluster::{Cluster, Identity, KnownPrimary};
 use crate::peer::PeerNetwork;
 
-/// Pause between two searches for a primary while requests wait for one.
-const SEARCH_PAUSE: Duration = Duration::from_millis(25);
-/// How long one search waits for the members' answers.
+/// Interval between two searches for a primary while requests wait for one.
+const SEARCH_INTERVAL: Duration = Duration::from_millis(25);
+/// How long one search waits for replies from the members.
 const SEARCH_TIMEOUT: Duration = Duration::from_millis(400);
-/// Requests released to a new primary per second.
+/// Rate at which held requests are released to a new primary.
 const RELEASES_PER_SECOND: u32 = 2_000;
 
-/// One database group as this edge sees it.
+/// A database group as seen by this edge.
 pub(super) struct Group {
     pub(super) id: GroupId,
     cluster: Cluster,
     network: PeerNetwork,
     state: Mutex<State>,
-    /// Counts the times a primary was learnt or found alive.
-    primary_learnt: watch::Sender<u64>,
+    /// Incremented whenever a new primary is found or the known one is confirmed.
+    primary_updates: watch::Sender<u64>,
     searching: AtomicBool,
     rounds: MajorityRounds,
 }
@@ -49,23 +49,23 @@
             cluster,
             network,
             state: Mutex::default(),
-            primary_learnt: watch::Sender::new(0),
+            primary_updates: watch::Sender::new(0),
             searching: AtomicBool::new(false),
             rounds: MajorityRounds::default(),
         }
     }
 
-    /// The settings in force; `None` once the group has been removed from them.
+    /// The current settings; `None` if the group has been removed.
     fn settings(&self) -> Option<GroupSettings> {
         self.with_settings(GroupSettings::clone)
     }
 
-    /// Reads the settings in force; `None` once the group has been removed from them.
+    /// Reads the current settings; `None` if the group has been removed.
     pub(super) fn with_settings<R>(&self, read: impl FnOnce(&GroupSettings) -> R) -> Option<R> {
         self.cluster.settings().groups.get(&self.id).map(read)
     }
 
-    /// Runs a decision on the group's routing state, brought up to date first.
+    /// Runs `decide` on the group's routing state after updating it.
     pub(super) fn with_routing<R>(&self, decide: impl FnOnce(&mut GroupRouting) -> R) -> R {
         let mut state = self.lock();
         self.refresh(&mut state);
@@ -76,7 +76,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes over changed settings and newly learnt primaries.
+    /// Applies changed settings and newly found primaries.
     fn refresh(&self, state: &mut State) {
         let settings = self.cluster.settings();
         if state.revision != Some(settings.revision)
@@ -98,64 +98,65 @@
         }
     }
 
-    /// Follows the times a primary is learnt.
-    pub(super) fn watch_primary(&self) -> watch::Receiver<u64> {
-        self.primary_learnt.subscribe()
+    /// Subscribes to notifications that a primary was found or confirmed.
+    pub(super) fn subscribe_primary(&self) -> watch::Receiver<u64> {
+        self.primary_updates.subscribe()
     }
 
     /// Wakes the requests that wait for a primary.
-    pub(super) fn wake_held(&self) {
-        self.primary_learnt.send_modify(|count| *count += 1);
+    pub(super) fn notify_waiting(&self) {
+        self.primary_updates.send_modify(|count| *count += 1);
     }
 
-    /// Looks for a primary as long as requests wait for one. At most one search runs.
-    pub(super) fn search_primary(self: &Arc<Self>) {
+    /// Searches for a primary while requests wait for one. At most one search runs at a time.
+    pub(super) fn start_primary_search(self: &Arc<Self>) {
         if self.searching.swap(true, Ordering::SeqCst) {
             return;
         }
         let group = Arc::clone(self);
         tokio::spawn(async move {
             while group.with_routing(|routing| !routing.hold.is_empty()) {
-                if group.search_once().await {
-                    group.wake_held();
+                if group.search_round().await {
+                    group.notify_waiting();
                 }
-                tokio::time::sleep(SEARCH_PAUSE).await;
+                tokio::time::sleep(SEARCH_INTERVAL).await;
             }
             group.searching.store(false, Ordering::SeqCst);
-            // A request may have begun to wait between the last look and now.
+            // A request may have been queued between the last check and the store.
             if group.with_routing(|routing| !routing.hold.is_empty()) {
-                group.search_primary();
+                group.start_primary_search();
             }
         });
     }
 
-    /// Asks every member once, and stops as soon as the answers show a primary.
-    async fn search_once(&self) -> bool {
+    /// Queries every member once, and stops as soon as the replies identify a primary.
+    async fn search_round(&self) -> bool {
         let Some(settings) = self.settings() else {
             return false;
         };
-        let mut questions: FuturesUnordered<_> = settings
+        let mut queries: FuturesUnordered<_> = settings
             .backends
             .keys()
-            .map(|backend| self.ask_member(backend, SEARCH_TIMEOUT))
+            .map(|backend| self.query_member(backend, SEARCH_TIMEOUT))
             .collect();
-        let mut answers = Vec::new();
-        while let Some(answer) = questions.next().await {
-            answers.extend(answer);
-            if self.take_primary(&answers, settings.backends.len()) {
+        let mut replies = Vec::new();
+        while let Some(reply) = queries.next().await {
+            replies.extend(reply);
+            if self.adopt_primary(&replies, settings.backends.len()) {
                 return true;
             }
         }
         false
     }
 
-    /// Takes over the primary that the answers show, if they do. A newer one counts at once; the one
-    /// already known only if a majority knows of no later term, since it may be cut off.
-    fn take_primary(&self, answers: &[MemberAnswer], members: usize) -> bool {
-        let newest = answers.iter().map(|answer| answer.freshness.term).max();
-        let primary = answers
+    /// Adopts the primary that the replies identify, if any. A primary of a newer term is adopted
+    /// at once. The known primary is confirmed only if a majority reports no later term, because it
+    /// may be partitioned from the others.
+    fn adopt_primary(&self, replies: &[MemberReply], members: usize) -> bool {
+        let newest = replies.iter().map(|reply| reply.freshness.term).max();
+        let primary = replies
             .iter()
-            .find(|answer| answer.is_primary && Some(answer.freshness.term) == newest);
+            .find(|reply| reply.is_primary && Some(reply.freshness.term) == newest);
         let Some(primary) = primary else {
             return false;
         };
@@ -164,45 +165,46 @@
             backend: primary.backend.clone(),
         };
         let is_newer = self.cluster.learn_primary(&self.id, known.clone());
-        let is_found = is_newer || answers.len() * 2 > members;
-        if is_found {
+        let is_confirmed = is_newer || replies.len() * 2 > members;
+        if is_confirmed {
             self.with_routing(|routing| {
                 routing.view.confirm_primary(known.term, known.backend);
             });
         }
-        is_found
+        is_confirmed
     }
 
-    /// Asks a back end's owner, or else its standby, for its state, now.
-    async fn ask_member(
+    /// Queries the current state of a backend at its owner, or at the standby if the owner doesn't
+    /// reply.
+    async fn query_member(
         &self,
         backend: &stairward_types::BackendId,
         timeout: Duration,
-    ) -> Option<MemberAnswer> {
+    ) -> Option<MemberReply> {
         let owners = self.cluster.owners(backend)?;
         for node in [Some(owners.owner), owners.standby].into_iter().flatten() {
             let request = CallRequest::AskBackend {
                 backend: backend.as_str().into(),
             };
-            let reply = self.network.call(node, request, timeout).await;
-            if let Some(answer) = MemberAnswer::read(backend, reply) {
-                self.observe(&answer);
-                return Some(answer);
+            let call_result = self.network.call(node, request, timeout).await;
+            if let Some(reply) = MemberReply::read(backend, call_result) {
+                self.record_observation(&reply);
+                return Some(reply);
             }
         }
         None
     }
 
-    fn observe(&self, answer: &MemberAnswer) {
+    fn record_observation(&self, reply: &MemberReply) {
         let now = self.cluster.clock.now();
         self.with_routing(|routing| {
-            let observation = answer.observation(&routing.view);
-            routing.view.observe(now, &answer.backend, observation);
+            let observation = reply.observation(&routing.view);
+            routing.view.observe(now, &reply.backend, observation);
         });
     }
 
-    /// The least freshness that covers every write acknowledged before this call; `None` when no
-    /// majority answers in time.
+    /// The minimum freshness that covers every write acknowledged before this call; `None` if no
+    /// majority replies in time.
     pub(super) async fn confirmed_freshness(&self, timeout: Duration) -> Option<Freshness> {
         let settings = self.settings()?;
         let members = settings.backends.len();
@@ -211,7 +213,7 @@
                 settings
                     .backends
                     .keys()
-                    .map(|backend| self.ask_member(backend, timeout))
+                    .map(|backend| self.query_member(backend, timeout))
                     .collect()
             })
             .await
--- a/crates/stairward-proxy/src/edge/majority.rs
+++ b/crates/stairward-proxy/src/edge/majority.rs
@@ -1,4 +1,4 @@
-//! Asking a majority of a group's members how far the group has come.
+//! Determines how far a group's log has been received by a majority of its members.
 
 use std::future::Future;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -12,20 +12,23 @@
 
 use crate::peer::PeerError;
 
-/// What a member said when asked.
+/// A member's reply to a state query.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) struct MemberAnswer {
+pub(super) struct MemberReply {
     pub(super) backend: BackendId,
-    /// Its term and applied position: what reads on it see.
+    /// Term and applied position: the state visible to reads on this member.
     pub(super) freshness: Freshness,
-    /// Its term and received position: what counts for a majority.
+    /// Term and received position: the state that counts towards a majority.
     pub(super) received: Freshness,
     pub(super) is_primary: bool,
 }
 
-impl MemberAnswer {
-    pub(super) fn read(backend: &BackendId, reply: Result<CallReply, PeerError>) -> Option<Self> {
-        match reply {
+impl MemberReply {
+    pub(super) fn read(
+        backend: &BackendId,
+        call_result: Result<CallReply, PeerError>,
+    ) -> Option<Self> {
+        match call_result {
             Ok(CallReply::Backend {
                 freshness,
                 is_primary,
@@ -40,7 +43,8 @@
         }
     }
 
-    /// The answer as a routing hint. It doesn't tell the load, so the last one known stays.
+    /// Converts the reply to a routing observation. The reply doesn't contain the member's load, so
+    /// the last known value is kept.
     pub(super) fn observation(&self, view: &GroupView) -> Observation {
         let last = view
             .backends()
@@ -61,60 +65,62 @@
 
 #[derive(Default)]
 struct LastRound {
-    /// Its number; rounds are counted from 1.
+    /// The number of the round, starting at 1.
     number: u64,
     result: Option<Freshness>,
 }
 
-/// Rounds of questions to a group's members, one at a time.
+/// Rounds of queries to a group's members, one at a time.
 ///
-/// Any number of sessions that wait are served by one round, as long as it began after they asked:
-/// only then does it cover all that was acknowledged before.
+/// All waiting sessions share one round, provided that it started after they asked: only then does
+/// it cover every write acknowledged before.
 #[derive(Default)]
 pub(super) struct MajorityRounds {
-    begun: AtomicU64,
+    /// Number of rounds started so far.
+    started: AtomicU64,
     last: Mutex<LastRound>,
 }
 
 impl MajorityRounds {
-    /// The join of the answers of a majority, asked after this call; `None` without a majority.
+    /// The latest freshness among the replies of a majority that was queried after this call;
+    /// `None` without a majority.
     ///
-    /// The join is right whichever majority answers: a write acknowledged at a position has been
-    /// received there by a majority, so one of those that answer has received it, or follows a later
-    /// term whose log includes it. Applied positions would not do: a write is acknowledged before
-    /// the replicas apply it.
+    /// Any majority gives a correct result: a write acknowledged at a position has been received by
+    /// a majority, so at least one of the members that reply has received it, or follows a later
+    /// term whose log includes it. Applied positions would not be sufficient, because a write is
+    /// acknowledged before the replicas apply it.
     pub(super) async fn run<F>(
         &self,
         members: usize,
-        questions: impl FnOnce() -> FuturesUnordered<F>,
+        queries: impl FnOnce() -> FuturesUnordered<F>,
     ) -> Option<Freshness>
     where
-        F: Future<Output = Option<MemberAnswer>>,
+        F: Future<Output = Option<MemberReply>>,
     {
-        let begun_before = self.begun.load(Ordering::SeqCst);
+        let started_before = self.started.load(Ordering::SeqCst);
         let mut last = self.last.lock().await;
-        if last.number > begun_before {
+        if last.number > started_before {
             return last.result;
         }
-        last.number = self.begun.fetch_add(1, Ordering::SeqCst) + 1;
-        last.result = join_of_majority(members, questions()).await;
+        last.number = self.started.fetch_add(1, Ordering::SeqCst) + 1;
+        last.result = combine_majority(members, queries()).await;
         last.result
     }
 }
 
-async fn join_of_majority<F>(members: usize, mut answers: FuturesUnordered<F>) -> Option<Freshness>
+async fn combine_majority<F>(members: usize, mut replies: FuturesUnordered<F>) -> Option<Freshness>
 where
-    F: Future<Output = Option<MemberAnswer>>,
+    F: Future<Output = Option<MemberReply>>,
 {
-    let needed = members / 2 + 1;
+    let quorum = members / 2 + 1;
     let mut count = 0;
-    let mut joined = Freshness::default();
-    while let Some(answer) = answers.next().await {
-        let Some(answer) = answer else { continue };
-        joined = joined.join(answer.received);
+    let mut combined = Freshness::default();
+    while let Some(reply) = replies.next().await {
+        let Some(reply) = reply else { continue };
+        combined = combined.join(reply.received);
         count += 1;
-        if count >= needed {
-            return Some(joined);
+        if count >= quorum {
+            return Some(combined);
         }
     }
     None
--- a/crates/stairward-proxy/src/edge/mod.rs
+++ b/crates/stairward-proxy/src/edge/mod.rs
@@ -1,27 +1,29 @@
-//! The edge: speaks PostgreSQL protocol 3.0 to callers and has owners run what they ask.
+//! The edge: accepts PostgreSQL protocol 3.0 connections from clients and sends their requests to
+//! the nodes that own the backend connection pools.
 //!
-//! One task serves a session. It gathers messages into batches ([`batch`]), decides where each runs
-//! ([`execute`]), and passes the answer on. A batch outside a transaction takes a new stream, whose
-//! back end the routing machine chooses ([`opening`]); one within a transaction goes to the stream
-//! that the session holds ([`pinned`]).
+//! One task serves each session. It collects protocol messages into batches ([`batch`]), decides
+//! how each batch runs ([`execute`]) and forwards the response. A batch outside a transaction opens
+//! a new stream to the owner of the backend chosen by the routing state machine ([`dispatch`]). A
+//! batch within a transaction uses the stream that the session already holds ([`pinned`]).
 
 mod active;
-mod answer;
 mod authentication;
 mod batch;
 mod cancel;
 mod client;
+mod completion;
+mod dispatch;
 mod error;
+mod events;
 mod execute;
-mod finish;
 mod frontend;
 mod group;
 mod hint_changes;
 mod majority;
-mod opening;
 mod parameters;
 mod pinned;
 mod reply;
+mod response_filter;
 mod service;
 mod session;
 mod settings;
@@ -29,7 +31,6 @@
 mod statistics;
 #[cfg(test)]
 mod tests;
-mod waiting;
 
 pub use service::EdgeService;
 pub use settings::{EdgeSettings, Users};
--- a/crates/stairward-proxy/src/edge/service.rs
+++ b/crates/stairward-proxy/src/edge/service.rs
@@ -1,4 +1,4 @@
-//! The edge: accepts callers and keeps what their sessions share.
+//! The edge service: accepts client connections and holds the state shared by their sessions.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError, RwLock};
@@ -16,7 +16,7 @@
 
 use super::authentication::Passwords;
 use super::batch::BatchBuilder;
-use super::cancel::{CancelKey, CancelRegistry, is_process_of};
+use super::cancel::{CancelKey, CancelRegistry, may_belong_to};
 use super::client::Client;
 use super::error::EdgeError;
 use super::group::Group;
@@ -24,21 +24,21 @@
 use super::reply::{self, Severity};
 use super::session::{Session, Transaction};
 use super::settings::{EdgeSettings, Users};
-use super::startup::{self, Opening, StartupError};
+use super::startup::{self, Incoming, StartupError};
 use super::statistics::{Counters, EdgeStatistics};
 use crate::cluster::Cluster;
 use crate::peer::PeerNetwork;
 
-/// Texts per generation of the class cache; see [`ClassCache`].
-const CLASS_CACHE_TEXTS: usize = 2_000;
-/// How long another proxy may take to pass a cancel request on.
+/// Statements per generation of the class cache; see [`ClassCache`].
+const CLASS_CACHE_STATEMENTS: usize = 2_000;
+/// How long to wait for another proxy to process a forwarded cancel request.
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(1);
-/// How often a drain looks whether all sessions have ended.
-const DRAIN_POLL: Duration = Duration::from_millis(10);
-/// Pause after the listener failed, for example for want of descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// How often a drain checks whether all sessions have ended.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Delay after an accept error, such as running out of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// The side of a node that speaks PostgreSQL to callers.
+/// The part of a node that serves PostgreSQL clients.
 pub struct EdgeService {
     pub(super) cluster: Cluster,
     pub(super) network: PeerNetwork,
@@ -46,36 +46,36 @@
     settings: EdgeSettings,
     passwords: RwLock<Option<Arc<Passwords>>>,
     tls: RwLock<Option<Arc<rustls::ServerConfig>>>,
-    classes: Mutex<ClassCache>,
+    statement_classes: Mutex<ClassCache>,
     groups: Mutex<BTreeMap<GroupId, Arc<Group>>>,
-    cancels: Arc<CancelRegistry>,
+    cancel_registry: Arc<CancelRegistry>,
     draining: watch::Sender<bool>,
-    clients: Arc<Semaphore>,
+    client_permits: Arc<Semaphore>,
 }
 
 impl EdgeService {
-    /// An edge that has no callers yet.
+    /// Creates an edge without client connections.
     #[must_use]
     pub fn new(cluster: Cluster, network: PeerNetwork, settings: EdgeSettings) -> Arc<Self> {
         let passwords = settings.users.clone().map(Passwords::new).map(Arc::new);
         Arc::new(Self {
-            cancels: Arc::new(CancelRegistry::new(cluster.identity.node)),
+            cancel_registry: Arc::new(CancelRegistry::new(cluster.identity.node)),
             cluster,
             network,
             counters: Counters::default(),
             passwords: RwLock::new(passwords),
             tls: RwLock::new(settings.tls.clone()),
-            classes: Mutex::new(ClassCache::new(CLASS_CACHE_TEXTS)),
+            statement_classes: Mutex::new(ClassCache::new(CLASS_CACHE_STATEMENTS)),
             groups: Mutex::default(),
             draining: watch::Sender::new(false),
-            clients: Arc::new(Semaphore::new(settings.maximum_clients)),
+            client_permits: Arc::new(Semaphore::new(settings.maximum_clients)),
             settings,
         })
     }
 
-    /// Serves callers that connect to the listener, until the edge is drained.
+    /// Accepts and serves client connections until the edge is drained.
     pub async fn serve(self: Arc<Self>, listener: TcpListener) {
-        let follower = tokio::spawn(Arc::clone(&self).follow_primaries());
+        let primary_watcher = tokio::spawn(Arc::clone(&self).notify_on_new_primaries());
         let mut draining = self.draining.subscribe();
         loop {
             let accepted = tokio::select! {
@@ -84,36 +84,37 @@
             };
             match accepted {
                 Ok((socket, _)) => {
-                    tokio::spawn(Arc::clone(&self).accept(socket));
+                    tokio::spawn(Arc::clone(&self).handle_connection(socket));
                 }
                 Err(error) => {
                     tracing::error!(
                         event = LogEvent::ListenerFailed.number(),
                         %error,
-                        "a caller could not be accepted"
+                        "failed to accept a client connection"
                     );
-                    tokio::time::sleep(ACCEPT_PAUSE).await;
+                    tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
-        // Callers that are on their way are told to connect elsewhere.
-        let mut turned_away = listener;
-        self.turn_away(&mut turned_away).await;
-        follower.abort();
+        // Connections that are still arriving are told to connect to another proxy.
+        let mut draining_listener = listener;
+        self.reject_while_draining(&mut draining_listener).await;
+        primary_watcher.abort();
     }
 
-    /// Tells new callers that this proxy stops, until the last session has ended.
-    async fn turn_away(self: &Arc<Self>, listener: &mut TcpListener) {
+    /// Refuses new connections with an error until the last session has ended.
+    async fn reject_while_draining(self: &Arc<Self>, listener: &mut TcpListener) {
         while self.statistics().sessions > 0 {
-            let accepted = tokio::time::timeout(DRAIN_POLL, listener.accept()).await;
+            let accepted = tokio::time::timeout(DRAIN_POLL_INTERVAL, listener.accept()).await;
             if let Ok(Ok((socket, _))) = accepted {
-                tokio::spawn(Arc::clone(self).accept(socket));
+                tokio::spawn(Arc::clone(self).handle_connection(socket));
             }
         }
     }
 
-    /// A planned stop: refuses new sessions, tells idle ones to connect elsewhere, and lets the
-    /// others finish their batch or transaction. Returns whether all had ended by the deadline.
+    /// Drains the edge for a planned shutdown: refuses new sessions, disconnects idle ones and lets
+    /// the others finish their batch or transaction. Returns whether all sessions ended before the
+    /// deadline.
     pub async fn drain(&self, deadline: Duration) -> bool {
         self.draining.send_replace(true);
         let started = Instant::now();
@@ -121,41 +122,41 @@
             if started.elapsed() >= deadline {
                 return false;
             }
-            tokio::time::sleep(DRAIN_POLL).await;
+            tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
         }
         true
     }
 
-    /// Reads the counters.
+    /// Returns the current counter values.
     #[must_use]
     pub fn statistics(&self) -> EdgeStatistics {
-        self.counters.read()
+        self.counters.snapshot()
     }
 
-    /// Replaces the users for sessions that start from now on.
+    /// Replaces the users for new sessions.
     pub fn set_users(&self, users: Option<Users>) {
         let passwords = users.map(Passwords::new).map(Arc::new);
         *write(&self.passwords) = passwords;
     }
 
-    /// Replaces the certificates for connections that are made from now on.
+    /// Replaces the TLS configuration for new connections.
     pub fn set_tls(&self, tls: Option<Arc<rustls::ServerConfig>>) {
         *write(&self.tls) = tls;
     }
 
-    /// Cancels what a session of this node runs, for another proxy that was asked to. Returns false
-    /// when this node has no such session.
+    /// Cancels the statement of a session of this node, on behalf of another proxy that received
+    /// the cancel request. Returns false if there is no such session.
     pub fn cancel_statement(&self, process: u32, secret: u32) -> bool {
-        self.cancels.cancel(CancelKey { process, secret })
+        self.cancel_registry.cancel(CancelKey { process, secret })
     }
 
-    /// Answers a [`CallRequest::CancelStatement`] of another proxy; `None` for any other call.
+    /// Answers a [`CallRequest::CancelStatement`] from another proxy; `None` for any other call.
     #[must_use]
     pub fn answer_call(&self, request: &CallRequest) -> Option<CallReply> {
         match request {
             CallRequest::CancelStatement { process, secret } => {
                 self.cancel_statement(*process, *secret);
-                // A caller must not learn whether its guess was right.
+                // The reply doesn't reveal whether the key was valid.
                 Some(CallReply::Done)
             }
             _ => None,
@@ -167,7 +168,7 @@
     }
 
     pub(super) fn classify(&self, text: &str) -> Arc<StatementClass> {
-        self.classes
+        self.statement_classes
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .classify(text)
@@ -182,31 +183,31 @@
         Arc::clone(group)
     }
 
-    /// Wakes the requests that wait for a primary whenever one is learnt.
-    async fn follow_primaries(self: Arc<Self>) {
+    /// Wakes the requests that wait for a primary whenever a new one is found.
+    async fn notify_on_new_primaries(self: Arc<Self>) {
         let mut primaries = self.cluster.watch_primaries();
-        let mut terms = BTreeMap::new();
+        let mut known_terms = BTreeMap::new();
         while primaries.changed().await.is_ok() {
-            let known = Arc::clone(&primaries.borrow_and_update());
-            for (group, primary) in known.iter() {
-                if terms.insert(group.clone(), primary.term) != Some(primary.term) {
-                    self.group(group).wake_held();
+            let primaries_by_group = Arc::clone(&primaries.borrow_and_update());
+            for (group, primary) in primaries_by_group.iter() {
+                if known_terms.insert(group.clone(), primary.term) != Some(primary.term) {
+                    self.group(group).notify_waiting();
                 }
             }
         }
     }
 
-    async fn accept(self: Arc<Self>, socket: TcpStream) {
+    async fn handle_connection(self: Arc<Self>, socket: TcpStream) {
         let _ = socket.set_nodelay(true);
-        let permit = Arc::clone(&self.clients).try_acquire_owned().ok();
+        let permit = Arc::clone(&self.client_permits).try_acquire_owned().ok();
         let mut client = Some(Client::new(Either::Left(socket)));
         let timeout = self.settings.startup_timeout;
-        // Boxed, so that a session doesn't keep the room that its start took.
-        let starting = Box::pin(self.start(&mut client, permit.is_some()));
+        // Boxed, so that a session doesn't keep the memory used during startup.
+        let starting = Box::pin(self.start_session(&mut client, permit.is_some()));
         let started = tokio::time::timeout(timeout, starting);
         let error = match started.await {
             Ok(Ok(Some(session))) => {
-                return Box::pin(Arc::clone(&self).run(client, session, permit)).await;
+                return Box::pin(Arc::clone(&self).run_session(client, session, permit)).await;
             }
             Ok(Ok(None)) | Err(_) => return,
             Ok(Err(StartupError::Refused { error })) => error,
@@ -214,7 +215,7 @@
                 tracing::debug!(
                     event = LogEvent::ProtocolViolated.number(),
                     %error,
-                    "a caller did not come to a session"
+                    "connection failed during startup"
                 );
                 return;
             }
@@ -222,30 +223,30 @@
         tracing::warn!(
             event = LogEvent::SessionRefused.number(),
             code = error.code().map(ResultCode::number),
-            "a session was refused"
+            "session refused"
         );
         self.counters.refused.add(1);
         if let Some(mut client) = client {
-            reply::error(&mut client.output, Severity::Fatal, &error);
+            reply::error_response(&mut client.output, Severity::Fatal, &error);
             let _ = tokio::time::timeout(timeout, Box::pin(client.close())).await;
         }
     }
 
-    /// Brings a connection to a session; `None` for a cancel request.
-    async fn start(
+    /// Performs startup and authentication; `None` for a cancel request.
+    async fn start_session(
         &self,
         client: &mut Option<Client>,
-        has_room: bool,
-    ) -> Result<Option<Started>, StartupError> {
+        has_permit: bool,
+    ) -> Result<Option<StartedClient>, StartupError> {
         let tls = read(&self.tls);
-        let parameters = match startup::open(client, tls).await? {
-            Opening::Session(parameters) => parameters,
-            Opening::Cancel(key) => {
-                self.pass_cancel_on(key).await;
+        let parameters = match startup::read_initial_request(client, tls).await? {
+            Incoming::Session(parameters) => parameters,
+            Incoming::Cancel(key) => {
+                self.forward_cancel(key).await;
                 return Ok(None);
             }
         };
-        if !has_room {
+        if !has_permit {
             return Err(EdgeError::new(ResultCode::TooManyClients).into());
         }
         if *self.draining.borrow() {
@@ -258,15 +259,15 @@
         startup::authenticate(connection, &parameters.user, passwords.as_deref()).await?;
         let settings = self.cluster.settings();
         let group = startup::requested_group(&settings, &parameters.database)?;
-        let floor = self.floor_of_token(&parameters, &group)?;
-        Ok(Some(Started {
+        let floor = self.token_floor(&parameters, &group)?;
+        Ok(Some(StartedClient {
             parameters,
             group: self.group(&group),
             floor,
         }))
     }
 
-    fn floor_of_token(
+    fn token_floor(
         &self,
         parameters: &StartupParameters,
         group: &GroupId,
@@ -277,26 +278,26 @@
         let token = self
             .token_key()
             .verify(text, group)
-            .map_err(|error| EdgeError::explained(ResultCode::InvalidToken, error))?;
+            .map_err(|error| EdgeError::with_explanation(ResultCode::InvalidToken, error))?;
         Ok(Some(SessionFloor::starting_at(token.floor)))
     }
 
-    async fn run(
+    async fn run_session(
         self: Arc<Self>,
         client: Option<Client>,
-        started: Started,
+        started: StartedClient,
         permit: Option<OwnedSemaphorePermit>,
     ) {
         let Some(mut client) = client else { return };
-        let registration = self.cancels.register(rand::random());
-        parameters::report(&mut client.output, &started.parameters);
+        let registration = self.cancel_registry.register(rand::random());
+        parameters::send_parameter_status(&mut client.output, &started.parameters);
         let key = registration.key;
-        reply::key_data(
+        reply::backend_key_data(
             &mut client.output,
             key.process.cast_signed(),
             key.secret.cast_signed(),
         );
-        let _count = SessionCount::new(&self);
+        let _count_guard = SessionCountGuard::new(&self);
         let mut session = Box::new(Session {
             draining: self.draining.subscribe(),
             service: Arc::clone(&self),
@@ -312,27 +313,28 @@
             transaction: Transaction::Idle,
             active: None,
             builder: BatchBuilder::default(),
-            skipping: false,
+            skip_until_sync: false,
             served_while_draining: false,
         });
-        session.ready();
+        session.send_ready();
         session.run().await;
         drop(permit);
     }
 
-    /// Cancels here, or passes the request on to the proxies whose number the key bears.
-    async fn pass_cancel_on(&self, key: CancelKey) {
-        if self.cancels.cancel(key) {
+    /// Cancels a local statement, or forwards the request to the proxies whose numbers match the
+    /// key.
+    async fn forward_cancel(&self, key: CancelKey) {
+        if self.cancel_registry.cancel(key) {
             return;
         }
-        let own = self.cluster.identity.node;
+        let own_node = self.cluster.identity.node;
         let members = self.cluster.members();
-        let others = members
+        let candidate_nodes = members
             .members
             .iter()
             .map(|member| member.node)
-            .filter(|node| *node != own && is_process_of(key.process, *node));
-        for node in others {
+            .filter(|node| *node != own_node && may_belong_to(key.process, *node));
+        for node in candidate_nodes {
             let request = CallRequest::CancelStatement {
                 process: key.process,
                 secret: key.secret,
@@ -342,27 +344,27 @@
     }
 }
 
-/// Counts a session for as long as it lives.
-struct SessionCount(Arc<EdgeService>);
+/// Counts a session as open until dropped.
+struct SessionCountGuard(Arc<EdgeService>);
 
-impl SessionCount {
+impl SessionCountGuard {
     fn new(service: &Arc<EdgeService>) -> Self {
         service.counters.session_opened();
         Self(Arc::clone(service))
     }
 }
 
-impl Drop for SessionCount {
+impl Drop for SessionCountGuard {
     fn drop(&mut self) {
         self.0.counters.session_closed();
     }
 }
 
-/// A caller that has started up.
-struct Started {
+/// A client that has completed startup.
+struct StartedClient {
     parameters: StartupParameters,
     group: Arc<Group>,
-    /// The floor of the token that it presented.
+    /// The floor of the session token that the client presented.
     floor: Option<SessionFloor>,
 }
 
--- a/crates/stairward-proxy/src/edge/session.rs
+++ b/crates/stairward-proxy/src/edge/session.rs
@@ -1,4 +1,4 @@
-//! One caller's session: reads messages, gathers them into batches and has them run.
+//! A client session: reads messages, collects them into batches and runs them.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,49 +22,50 @@
 use super::reply::{self, Severity};
 use super::service::EdgeService;
 
-/// How long an idle session is listened to after a planned stop began, before it is told to go: what
-/// its caller had sent by then has arrived.
-const DRAIN_QUIET: Duration = Duration::from_millis(250);
-/// How long answers are gathered before they are written although more may come.
-pub(super) const GATHER_TIME: Duration = Duration::from_millis(5);
-/// Largest message accepted while the group's settings can't be read, in bytes.
-const FALLBACK_MESSAGE_BYTES: usize = 1024 * 1024;
+/// How long an idle session stays open after a drain has begun. A request that the client had
+/// already sent arrives within this time and is still served.
+const DRAIN_IDLE_TIME: Duration = Duration::from_millis(250);
+/// Maximum delay for buffering a response before it is written.
+pub(super) const OUTPUT_DELAY: Duration = Duration::from_millis(5);
+/// Maximum message size while the group has no settings.
+const DEFAULT_MESSAGE_LIMIT_BYTES: usize = 1024 * 1024;
 
 /// Why a session ended.
 pub(super) enum SessionEnd {
-    /// The caller said goodbye.
+    /// The client sent `Terminate`.
     Terminated,
-    /// This proxy stops, and the caller was told.
+    /// The proxy is draining.
     Drained,
-    /// The connection can't go on.
+    /// The client connection failed or was closed.
     Client(ClientError),
-    /// The caller broke the protocol.
-    Violated(FrontendError),
+    /// The client violated the protocol.
+    ProtocolViolated(FrontendError),
 }
 
 impl From<ClientError> for SessionEnd {
     fn from(error: ClientError) -> Self {
         match error {
-            ClientError::Protocol { source } => Self::Violated(source),
+            ClientError::Protocol { source } => Self::ProtocolViolated(source),
             other => Self::Client(other),
         }
     }
 }
 
-pub(super) type Flow<T> = Result<T, SessionEnd>;
+pub(super) type SessionResult<T> = Result<T, SessionEnd>;
 
-/// The session's transaction as the caller sees it.
+/// The state of the session's transaction as seen by the client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Transaction {
-    /// None is open.
+    /// No transaction is open.
     Idle,
-    /// One is open on the active stream.
+    /// A transaction is open on the active stream.
     Open,
-    /// One is open on the active stream and has failed.
+    /// A transaction is open on the active stream and has failed.
     Failed,
-    /// It was lost or given up, and is rolled back; the caller has yet to end it.
+    /// The transaction was lost or abandoned and has been rolled back; the client hasn't ended it
+    /// yet.
     Lost {
-        /// Whether the caller has been told.
+        /// Whether the loss has been reported to the client.
         reported: bool,
     },
 }
@@ -79,7 +80,7 @@
     }
 }
 
-/// A caller's session. It outlives any back end.
+/// A client session. It isn't bound to a backend.
 pub(super) struct Session {
     pub(super) service: Arc<EdgeService>,
     pub(super) group: Arc<Group>,
@@ -90,81 +91,84 @@
     pub(super) variables: SessionVariables,
     pub(super) prepared: PreparedStatements,
     pub(super) floor: SessionFloor,
-    /// Whether the floor covers all that the session may have seen on earlier connections.
+    /// Whether the floor covers everything that the client may have seen in earlier sessions.
     pub(super) floor_is_known: bool,
-    /// The floor that the caller was last given a token for.
+    /// The floor of the last token sent to the client.
     pub(super) reported_floor: Option<Freshness>,
     pub(super) transaction: Transaction,
     pub(super) active: Option<Box<ActiveStream>>,
     pub(super) builder: BatchBuilder,
-    /// Whether the caller was served since the planned stop began. It is told to go along with the
-    /// answer then, when it is least likely to have sent anything new.
+    /// Whether a request was served since the drain began. If so, the session ends right after the
+    /// response, when the client is least likely to have sent another request.
     pub(super) served_while_draining: bool,
-    /// Set after an error in a batch whose `Sync` hasn't come yet.
-    pub(super) skipping: bool,
+    /// Whether messages are ignored up to the next `Sync`, after an error in the current batch.
+    pub(super) skip_until_sync: bool,
 }
 
-/// What a session waits for between batches.
-enum Step {
+/// The input that a session waits for between batches.
+enum SessionInput {
     Frame(Frame),
-    /// From the owner: answers to a part of a batch, or the loss of a transaction.
+    /// An owner message: the response to a part of a batch, or the loss of a transaction.
     Owner(Option<OwnerMessage>),
     Drain,
-    /// The planned stop has begun; what the session does next depends on it.
-    DrainBegan,
+    /// A drain has begun; the session reconsiders what to wait for.
+    DrainStarted,
 }
 
 impl Session {
-    /// Serves the caller to the end of its session.
+    /// Serves the client until the session ends.
     pub(super) async fn run(mut self: Box<Self>) {
         let end = loop {
-            if let Err(end) = self.step().await {
+            if let Err(end) = self.process_next().await {
                 break end;
             }
         };
-        Box::pin(self.finish(end)).await;
+        Box::pin(self.close(end)).await;
     }
 
-    async fn step(&mut self) -> Flow<()> {
-        match self.next_step().await? {
-            // Boxed, so that a session that waits doesn't hold room for a batch under way.
-            Step::Frame(frame) => Box::pin(self.take_frame(frame)).await,
-            Step::Owner(message) => Box::pin(self.hear_between_batches(message)).await,
-            Step::Drain => Err(SessionEnd::Drained),
-            Step::DrainBegan => Ok(()),
+    async fn process_next(&mut self) -> SessionResult<()> {
+        match self.next_input().await? {
+            // Boxed, so that an idle session doesn't reserve memory for a running batch.
+            SessionInput::Frame(frame) => Box::pin(self.handle_frame(frame)).await,
+            SessionInput::Owner(message) => {
+                Box::pin(self.handle_owner_message_between_batches(message)).await
+            }
+            SessionInput::Drain => Err(SessionEnd::Drained),
+            SessionInput::DrainStarted => Ok(()),
         }
     }
 
-    async fn next_step(&mut self) -> Flow<Step> {
+    async fn next_input(&mut self) -> SessionResult<SessionInput> {
         let limit = self.message_limit();
         if self.client.output.len() < OUTPUT_BYTES
             && let Some(frame) = self.client.buffered_frame(limit)?
         {
-            return Ok(Step::Frame(frame));
+            return Ok(SessionInput::Frame(frame));
         }
         self.client.flush().await?;
         let draining = *self.draining.borrow();
-        let at_boundary = self.is_at_boundary();
-        if draining && at_boundary && self.served_while_draining {
-            return Ok(Step::Drain);
+        let idle = self.is_idle();
+        if draining && idle && self.served_while_draining {
+            return Ok(SessionInput::Drain);
         }
         let frame = tokio::select! {
             biased;
             frame = self.client.frame(limit) => frame?,
-            message = receive(&mut self.active) => return Ok(Step::Owner(message)),
+            message = receive(&mut self.active) => return Ok(SessionInput::Owner(message)),
             _ = self.draining.wait_for(|draining| *draining), if !draining => {
-                return Ok(Step::DrainBegan);
+                return Ok(SessionInput::DrainStarted);
             }
-            () = tokio::time::sleep(DRAIN_QUIET), if draining && at_boundary => {
-                return Ok(Step::Drain);
+            () = tokio::time::sleep(DRAIN_IDLE_TIME), if draining && idle => {
+                return Ok(SessionInput::Drain);
             }
         };
         self.served_while_draining = draining;
-        Ok(Step::Frame(frame))
+        Ok(SessionInput::Frame(frame))
     }
 
-    /// Whether nothing of the caller's is under way.
-    fn is_at_boundary(&self) -> bool {
+    /// Whether no transaction is open and no batch has been started. Only then may a drain end the
+    /// session.
+    fn is_idle(&self) -> bool {
         let has_transaction = matches!(self.transaction, Transaction::Open | Transaction::Failed);
         !has_transaction && self.active.is_none() && self.builder.is_empty()
     }
@@ -172,51 +176,55 @@
     fn message_limit(&self) -> usize {
         self.group
             .with_settings(|settings| settings.maximum_message_bytes)
-            .unwrap_or(FALLBACK_MESSAGE_BYTES)
+            .unwrap_or(DEFAULT_MESSAGE_LIMIT_BYTES)
     }
 
-    async fn take_frame(&mut self, frame: Frame) -> Flow<()> {
+    async fn handle_frame(&mut self, frame: Frame) -> SessionResult<()> {
         let parsed = match frame.message() {
             Ok(message) => message,
-            Err(FrontendError::NotUtf8 { tag }) => return self.refuse_encoding(tag).await,
-            Err(error) => return Err(SessionEnd::Violated(error)),
+            Err(FrontendError::NotUtf8 { tag }) => return self.reject_encoding(tag).await,
+            Err(error) => return Err(SessionEnd::ProtocolViolated(error)),
         };
         match parsed {
             FrontendMessage::Terminate => Err(SessionEnd::Terminated),
             FrontendMessage::Query { text } => {
-                self.skipping = false;
+                self.skip_until_sync = false;
                 let class = self.service.classify(text);
                 let batch = Batch::simple(frame.clone(), text, class);
                 self.execute(batch).await
             }
             FrontendMessage::Sync => self.sync(frame).await,
-            FrontendMessage::Flush if !self.skipping && !self.builder.is_empty() => {
+            FrontendMessage::Flush if !self.skip_until_sync && !self.builder.is_empty() => {
                 let batch = self.builder.finish(frame, BatchKind::Partial);
                 self.execute(batch).await
             }
             FrontendMessage::FunctionCall => {
-                let error =
-                    EdgeError::explained(ResultCode::FeatureRefused, "function call messages");
+                let error = EdgeError::with_explanation(
+                    ResultCode::FeatureRefused,
+                    "function call messages",
+                );
                 self.refuse(BatchKind::Simple, error);
                 Ok(())
             }
-            // What is left of a COPY that was refused is passed over, as PostgreSQL does.
+            // Remaining messages of a refused COPY are ignored, as in PostgreSQL.
             FrontendMessage::CopyData | FrontendMessage::CopyDone | FrontendMessage::CopyFail => {
                 Ok(())
             }
-            FrontendMessage::Password => Err(SessionEnd::Violated(FrontendError::Malformed {
-                tag: frame.tag(),
-            })),
+            FrontendMessage::Password => {
+                Err(SessionEnd::ProtocolViolated(FrontendError::Malformed {
+                    tag: frame.tag(),
+                }))
+            }
             message => {
-                self.gather(&frame, message);
+                self.buffer_message(&frame, message);
                 Ok(())
             }
         }
     }
 
-    fn gather(&mut self, frame: &Frame, message: FrontendMessage<'_>) {
+    fn buffer_message(&mut self, frame: &Frame, message: FrontendMessage<'_>) {
         let is_flush = matches!(message, FrontendMessage::Flush);
-        if self.skipping || is_flush {
+        if self.skip_until_sync || is_flush {
             return;
         }
         let service = &self.service;
@@ -225,62 +233,62 @@
         });
     }
 
-    async fn sync(&mut self, frame: Frame) -> Flow<()> {
+    async fn sync(&mut self, frame: Frame) -> SessionResult<()> {
         let is_empty = self.builder.is_empty();
         let batch = self.builder.finish(frame, BatchKind::Extended);
-        let has_part_running = self
+        let has_running_part = self
             .active
             .as_ref()
             .is_some_and(|active| active.running.is_some());
-        if self.skipping || (is_empty && !has_part_running) {
-            self.skipping = false;
-            self.ready();
+        if self.skip_until_sync || (is_empty && !has_running_part) {
+            self.skip_until_sync = false;
+            self.send_ready();
             return Ok(());
         }
         self.execute(batch).await
     }
 
-    async fn refuse_encoding(&mut self, tag: u8) -> Flow<()> {
+    async fn reject_encoding(&mut self, tag: u8) -> SessionResult<()> {
         let error = EdgeError::new(ResultCode::InvalidEncoding);
         if tag == b'Q' {
             self.refuse(BatchKind::Simple, error);
-        } else if !self.skipping {
+        } else if !self.skip_until_sync {
             self.refuse(BatchKind::Partial, error);
         }
         Ok(())
     }
 
-    /// Answers a batch with an error in the back end's place. An open transaction is given up, as a
-    /// database would have it fail.
+    /// Sends an error response to a batch in place of a backend. An open transaction is abandoned
+    /// and must be ended by the client, as after an error in PostgreSQL.
     pub(super) fn refuse(&mut self, kind: BatchKind, error: EdgeError) {
-        self.count_refusal(&error);
+        self.record_failure(&error);
         if self.transaction != Transaction::Idle {
             self.transaction = Transaction::Lost { reported: true };
             self.variables.roll_back();
             self.hints.end_transaction();
         }
-        // Its owner rolls back what was open on it.
+        // Dropping the stream makes the owner roll back the open transaction.
         self.active = None;
-        reply::error(&mut self.client.output, Severity::Error, &error);
+        reply::error_response(&mut self.client.output, Severity::Error, &error);
         if kind == BatchKind::Partial {
-            self.skipping = true;
+            self.skip_until_sync = true;
             self.builder = BatchBuilder::default();
         } else {
-            self.ready();
+            self.send_ready();
         }
     }
 
-    fn count_refusal(&self, error: &EdgeError) {
+    fn record_failure(&self, error: &EdgeError) {
         let Some(code) = error.code() else { return };
         let counters = &self.service.counters;
         match code.class() {
             OutcomeClass::OutcomeUnknown => {
-                counters.unknown.add(1);
+                counters.outcomes_unknown.add(1);
                 tracing::warn!(
                     event = LogEvent::OutcomeUnknown.number(),
                     code = code.number(),
                     group = %self.group.id,
-                    "a request ended with its outcome unknown"
+                    "request outcome unknown"
                 );
             }
             _ => {
@@ -289,29 +297,29 @@
                     event = LogEvent::RequestRefused.number(),
                     code = code.number(),
                     group = %self.group.id,
-                    "a request was refused"
+                    "request refused"
                 );
             }
         }
     }
 
-    /// Reports a changed token, then that the session is ready for the next batch.
-    pub(super) fn ready(&mut self) {
-        self.report_token();
-        reply::ready(&mut self.client.output, self.transaction.status());
+    /// Sends the session token if it changed, then `ReadyForQuery`.
+    pub(super) fn send_ready(&mut self) {
+        self.send_token_if_changed();
+        reply::ready_for_query(&mut self.client.output, self.transaction.status());
     }
 
-    fn report_token(&mut self) {
+    fn send_token_if_changed(&mut self) {
         if self.floor.get() == self.reported_floor {
             return;
         }
         if let Some(token) = self.token() {
-            reply::parameter(&mut self.client.output, TOKEN_PARAMETER, &token);
+            reply::parameter_status(&mut self.client.output, TOKEN_PARAMETER, &token);
             self.reported_floor = self.floor.get();
         }
     }
 
-    /// The session's token; `None` while nothing is known of its floor.
+    /// The session token; `None` while the floor is unknown.
     pub(super) fn token(&self) -> Option<String> {
         let floor = self.floor.get()?;
         let token = SessionToken {
@@ -325,8 +333,8 @@
         self.service.cluster.clock.now()
     }
 
-    async fn finish(mut self: Box<Self>, end: SessionEnd) {
-        // Lets the owner roll back before the caller hears that the session has ended.
+    async fn close(mut self: Box<Self>, end: SessionEnd) {
+        // Lets the owner roll back before the client is told that the session has ended.
         self.active = None;
         let error = match end {
             SessionEnd::Terminated => return self.client.close().await,
@@ -335,19 +343,19 @@
                 tracing::warn!(
                     event = LogEvent::ProtocolViolated.number(),
                     %error,
-                    "a caller was disconnected"
+                    "client disconnected"
                 );
                 return;
             }
             SessionEnd::Drained => EdgeError::new(ResultCode::ProxyStopping),
-            SessionEnd::Violated(error) => violation(&error),
+            SessionEnd::ProtocolViolated(error) => protocol_violation(&error),
         };
-        reply::error(&mut self.client.output, Severity::Fatal, &error);
+        reply::error_response(&mut self.client.output, Severity::Fatal, &error);
         self.client.close().await;
     }
 }
 
-/// The next message on the active stream; never comes when there is none. Safe to cancel.
+/// Receives the next message from the active stream; pending while there is none. Cancel-safe.
 async fn receive(active: &mut Option<Box<ActiveStream>>) -> Option<OwnerMessage> {
     match active {
         Some(active) => active.stream.receive().await,
@@ -355,16 +363,16 @@
     }
 }
 
-fn violation(error: &FrontendError) -> EdgeError {
+fn protocol_violation(error: &FrontendError) -> EdgeError {
     tracing::warn!(
         event = LogEvent::ProtocolViolated.number(),
         %error,
-        "a caller broke the protocol and is disconnected"
+        "disconnecting a client after a protocol violation"
     );
     let code = match error {
         FrontendError::TooLarge { .. } => ResultCode::MessageTooLarge,
         FrontendError::NotUtf8 { .. } => ResultCode::InvalidEncoding,
         _ => ResultCode::ProtocolViolation,
     };
-    EdgeError::explained(code, error)
+    EdgeError::with_explanation(code, error)
 }
--- a/crates/stairward-proxy/src/edge/statistics.rs
+++ b/crates/stairward-proxy/src/edge/statistics.rs
@@ -2,26 +2,26 @@
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// A reading of an edge's counters, each since the edge was made unless noted otherwise.
+/// Values of an edge's counters. Except for `sessions`, they count from the creation of the edge.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct EdgeStatistics {
     /// Statements received.
     pub statements: u64,
-    /// Batches of reads that were answered.
+    /// Read batches that completed.
     pub reads: u64,
-    /// Batches of reads that a replica answered.
+    /// Read batches that completed on a replica.
     pub replica_reads: u64,
-    /// Batches of writes that were answered.
+    /// Write batches that completed.
     pub writes: u64,
-    /// Requests refused as not run.
+    /// Refused requests and sessions, which had no effect.
     pub refused: u64,
-    /// Requests that ended with their outcome unknown.
-    pub unknown: u64,
-    /// Sessions open now.
+    /// Requests whose outcome is unknown.
+    pub outcomes_unknown: u64,
+    /// Currently open sessions.
     pub sessions: u64,
 }
 
-/// One counter, mirrored in the process's metrics under its name.
+/// A counter that is also exported as a metric.
 pub(super) struct Counter {
     value: AtomicU64,
     metric: &'static str,
@@ -45,14 +45,14 @@
     }
 }
 
-/// The live counters.
+/// The counters behind [`EdgeStatistics`].
 pub(super) struct Counters {
     pub(super) statements: Counter,
     pub(super) reads: Counter,
     pub(super) replica_reads: Counter,
     pub(super) writes: Counter,
     pub(super) refused: Counter,
-    pub(super) unknown: Counter,
+    pub(super) outcomes_unknown: Counter,
     sessions: AtomicU64,
 }
 
@@ -64,21 +64,21 @@
             replica_reads: Counter::new("stairward_replica_reads_total"),
             writes: Counter::new("stairward_writes_total"),
             refused: Counter::new("stairward_requests_refused_total"),
-            unknown: Counter::new("stairward_outcomes_unknown_total"),
+            outcomes_unknown: Counter::new("stairward_outcomes_unknown_total"),
             sessions: AtomicU64::new(0),
         }
     }
 }
 
 impl Counters {
-    pub(super) fn read(&self) -> EdgeStatistics {
+    pub(super) fn snapshot(&self) -> EdgeStatistics {
         EdgeStatistics {
             statements: self.statements.get(),
             reads: self.reads.get(),
             replica_reads: self.replica_reads.get(),
             writes: self.writes.get(),
             refused: self.refused.get(),
-            unknown: self.unknown.get(),
+            outcomes_unknown: self.outcomes_unknown.get(),
             sessions: self.sessions.load(Ordering::Relaxed),
         }
     }
