--- a/crates/stairward-checker/src/checks/mod.rs
+++ b/crates/stairward-checker/src/checks/mod.rs
@@ -20,16 +20,16 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CheckLimits {
     /// How long after its mark a leaving back end may still be given new work.
-    pub leaving: Duration,
+    pub leaving_grace: Duration,
     /// How long after its acceptance a revision may be missing on a proxy without faults.
-    pub configuration: Duration,
+    pub configuration_delay: Duration,
 }
 
 impl Default for CheckLimits {
     fn default() -> Self {
         Self {
-            leaving: Duration::from_secs(3),
-            configuration: Duration::from_secs(6),
+            leaving_grace: Duration::from_secs(3),
+            configuration_delay: Duration::from_secs(6),
         }
     }
 }
@@ -37,12 +37,12 @@
 /// Checks a history with the default limits.
 #[must_use]
 pub fn check(history: &History) -> Report {
-    check_with(history, CheckLimits::default())
+    check_with_limits(history, CheckLimits::default())
 }
 
 /// Checks a history.
 #[must_use]
-pub fn check_with(history: &History, limits: CheckLimits) -> Report {
+pub fn check_with_limits(history: &History, limits: CheckLimits) -> Report {
     let index = Index::build(history);
     let mut report = Report {
         dropped: history.dropped,
@@ -54,8 +54,8 @@
     foreign_answer::check(&index, &mut report);
     not_run_ran::check(&index, &mut report);
     ran_twice::check(&index, &mut report);
-    leaving_got_work::check(history, &index, limits.leaving, &mut report);
+    leaving_got_work::check(history, &index, limits.leaving_grace, &mut report);
     stop_cut_request::check(history, &index, &mut report);
-    configuration_reverted::check(history, limits.configuration, &mut report);
+    configuration_reverted::check(history, limits.configuration_delay, &mut report);
     report
 }
--- a/crates/stairward-checker/src/lib.rs
+++ b/crates/stairward-checker/src/lib.rs
@@ -16,7 +16,7 @@
 mod recorder;
 mod report;
 
-pub use checks::{CheckLimits, check, check_with};
+pub use checks::{CheckLimits, check, check_with_limits};
 pub use event::{
     CallerTransactionKind, HistoryEvent, Outcome, RequestId, RowSeen, RowWritten, SessionId,
     TransactionId,
--- a/crates/stairward-checker/src/recorder.rs
+++ b/crates/stairward-checker/src/recorder.rs
@@ -40,7 +40,7 @@
 
 impl Default for Recorder {
     fn default() -> Self {
-        Self::with_maximum(DEFAULT_MAXIMUM_RECORDS)
+        Self::with_maximum_records(DEFAULT_MAXIMUM_RECORDS)
     }
 }
 
@@ -53,7 +53,7 @@
 
     /// A recorder that keeps at most so many records.
     #[must_use]
-    pub fn with_maximum(maximum_records: usize) -> Self {
+    pub fn with_maximum_records(maximum_records: usize) -> Self {
         Self {
             history: Arc::default(),
             maximum_records,
--- a/crates/stairward-checker/src/report.rs
+++ b/crates/stairward-checker/src/report.rs
@@ -116,13 +116,13 @@
 
     /// How often an invariant was violated.
     #[must_use]
-    pub fn violations_of(&self, invariant: Invariant) -> u64 {
+    pub fn violation_count(&self, invariant: Invariant) -> u64 {
         self.violations.get(&invariant).copied().unwrap_or(0)
     }
 
     /// On how many observations an invariant was checked.
     #[must_use]
-    pub fn checked_of(&self, invariant: Invariant) -> u64 {
+    pub fn observation_count(&self, invariant: Invariant) -> u64 {
         self.checked.get(&invariant).copied().unwrap_or(0)
     }
 
--- a/crates/stairward-checker/tests/checkers.rs
+++ b/crates/stairward-checker/tests/checkers.rs
@@ -153,13 +153,13 @@
 fn assert_good(invariant: Invariant, script: Script) {
     let report = check(&script.history());
     assert!(report.is_clean(), "{:?}", report.examples);
-    assert_ne!(report.checked_of(invariant), 0);
+    assert_ne!(report.observation_count(invariant), 0);
 }
 
 #[track_caller]
 fn assert_bad(invariant: Invariant, script: Script) {
     let report = check(&script.history());
-    assert_ne!(report.violations_of(invariant), 0);
+    assert_ne!(report.violation_count(invariant), 0);
     let example = report
         .examples
         .iter()
@@ -460,7 +460,7 @@
 
 #[test]
 fn a_history_with_dropped_records_is_not_clean() {
-    let recorder = Recorder::with_maximum(1);
+    let recorder = Recorder::with_maximum_records(1);
     recorder.record(Time::ZERO, accepted(1));
     recorder.record(Time::ZERO, accepted(2));
     let report = check(&recorder.history());
--- a/crates/stairward-lab/src/experiment/bench.rs
+++ b/crates/stairward-lab/src/experiment/bench.rs
@@ -210,7 +210,7 @@
         replica_lag: Duration::ZERO,
         listen: None,
     };
-    let cluster = DemoCluster::start(&options, Recorder::with_maximum(0), Clock::start())
+    let cluster = DemoCluster::start(&options, Recorder::with_maximum_records(0), Clock::start())
         .await
         .context(ClusterSnafu)?;
     fill_tables(&site, &cluster).await?;
--- a/crates/stairward-lab/src/load/command.rs
+++ b/crates/stairward-lab/src/load/command.rs
@@ -176,7 +176,7 @@
     let tally = Arc::new(Tally::default());
     let progress = Progress::show(Arc::clone(&tally), length);
     // The history cannot be judged without the back ends' own record, so none is kept.
-    let recorder = Recorder::with_maximum(0);
+    let recorder = Recorder::with_maximum_records(0);
     prepared
         .run(Clock::start(), recorder, Arc::clone(&tally))
         .await;
