--- a/crates/stairward-checker/src/checks/configuration_reverted.rs
+++ b/crates/stairward-checker/src/checks/configuration_reverted.rs
@@ -1,4 +1,5 @@
-//! An accepted configuration is in force on every proxy within the limit and never reverts.
+//! Every proxy without faults applies an accepted settings revision within the limit, and no proxy
+//! goes back to an older revision.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,12 +10,12 @@
 use crate::report::{Invariant, Report};
 
 pub(super) fn check(history: &History, limit: Duration, report: &mut Report) {
-    check_never_lower(history, report);
-    check_in_force_in_time(history, limit, report);
+    check_no_reversion(history, report);
+    check_applied_in_time(history, limit, report);
 }
 
-fn check_never_lower(history: &History, report: &mut Report) {
-    let mut newest: BTreeMap<NodeId, Revision> = BTreeMap::new();
+fn check_no_reversion(history: &History, report: &mut Report) {
+    let mut highest_applied: BTreeMap<NodeId, Revision> = BTreeMap::new();
     let mut accepted: BTreeSet<Revision> = BTreeSet::new();
     for record in &history.records {
         match record.event {
@@ -23,76 +24,79 @@
             }
             HistoryEvent::SettingsApplied { proxy, revision } => {
                 report.observe(Invariant::ConfigurationReverted);
-                let before = newest.entry(proxy).or_default();
-                if revision < *before {
+                let previous = highest_applied.entry(proxy).or_default();
+                if revision < *previous {
                     let text =
-                        format!("proxy {proxy} went from revision {before} back to {revision}");
+                        format!("proxy {proxy} reverted from revision {previous} to {revision}");
                     report.violate(Invariant::ConfigurationReverted, Vec::new(), text);
                 }
                 if !accepted.contains(&revision) {
-                    let text = format!("proxy {proxy} applied revision {revision}, never accepted");
+                    let text = format!(
+                        "proxy {proxy} applied revision {revision}, which the store never accepted"
+                    );
                     report.violate(Invariant::ConfigurationReverted, Vec::new(), text);
                 }
-                *before = revision.max(*before);
+                *previous = revision.max(*previous);
             }
             _ => {}
         }
     }
 }
 
-/// From when on a proxy has been alive with neither itself nor the store disturbed.
+/// Since when each proxy has been running without a fault of its own or of the store. A proxy is
+/// only expected to apply a revision in time when neither was disturbed meanwhile.
 #[derive(Default)]
-struct Calm {
+struct ProxyHealth {
     store_is_faulty: bool,
-    since_store: Time,
-    alive: BTreeMap<NodeId, Time>,
-    faulty: BTreeSet<NodeId>,
+    store_healthy_since: Time,
+    running_since: BTreeMap<NodeId, Time>,
+    faulty_proxies: BTreeSet<NodeId>,
     in_force: BTreeMap<NodeId, Revision>,
 }
 
-impl Calm {
-    fn follow(&mut self, at: Time, event: &HistoryEvent) {
+impl ProxyHealth {
+    fn apply(&mut self, at: Time, event: &HistoryEvent) {
         match *event {
             HistoryEvent::StoreFaultBegan => self.store_is_faulty = true,
             HistoryEvent::StoreFaultEnded => {
                 self.store_is_faulty = false;
-                self.since_store = at;
+                self.store_healthy_since = at;
             }
             HistoryEvent::ProxyStarted { proxy } => {
-                self.alive.insert(proxy, at);
-                self.faulty.remove(&proxy);
+                self.running_since.insert(proxy, at);
+                self.faulty_proxies.remove(&proxy);
                 self.in_force.remove(&proxy);
             }
             HistoryEvent::ProxyKilled { proxy }
             | HistoryEvent::StopBegan { proxy }
             | HistoryEvent::StopEnded { proxy } => {
-                self.alive.remove(&proxy);
+                self.running_since.remove(&proxy);
             }
             HistoryEvent::ProxyFaultBegan { proxy } => {
-                self.faulty.insert(proxy);
+                self.faulty_proxies.insert(proxy);
             }
             HistoryEvent::ProxyFaultEnded { proxy } => {
-                self.faulty.remove(&proxy);
-                if let Some(since) = self.alive.get_mut(&proxy) {
+                self.faulty_proxies.remove(&proxy);
+                if let Some(since) = self.running_since.get_mut(&proxy) {
                     *since = at;
                 }
             }
             HistoryEvent::SettingsApplied { proxy, revision } => {
-                let before = self.in_force.entry(proxy).or_default();
-                *before = revision.max(*before);
+                let previous = self.in_force.entry(proxy).or_default();
+                *previous = revision.max(*previous);
             }
             _ => {}
         }
     }
 
-    /// Proxies that have been calm since a moment, and the revision in force on each.
-    fn calm_since(&self, moment: Time) -> Vec<(NodeId, Revision)> {
-        if self.store_is_faulty || self.since_store > moment {
+    /// Proxies that have run undisturbed since `moment`, and the revision in force on each.
+    fn undisturbed_since(&self, moment: Time) -> Vec<(NodeId, Revision)> {
+        if self.store_is_faulty || self.store_healthy_since > moment {
             return Vec::new();
         }
-        self.alive
+        self.running_since
             .iter()
-            .filter(|(proxy, since)| **since <= moment && !self.faulty.contains(proxy))
+            .filter(|(proxy, since)| **since <= moment && !self.faulty_proxies.contains(proxy))
             .map(|(&proxy, _)| {
                 (
                     proxy,
@@ -103,21 +107,21 @@
     }
 }
 
-/// A revision whose limit has not passed yet.
+/// An accepted revision whose time limit has not yet passed.
 struct Pending {
     revision: Revision,
     accepted_at: Time,
 }
 
-fn check_in_force_in_time(history: &History, limit: Duration, report: &mut Report) {
-    let mut calm = Calm::default();
+fn check_applied_in_time(history: &History, limit: Duration, report: &mut Report) {
+    let mut health = ProxyHealth::default();
     let mut pending: Vec<Pending> = Vec::new();
     for record in &history.records {
-        let is_due = |waiting: &Pending| record.at > waiting.accepted_at + limit;
-        for due in pending.extract_if(.., |waiting| is_due(waiting)) {
-            check_due(&calm, &due, limit, report);
+        let is_due = |candidate: &Pending| record.at > candidate.accepted_at + limit;
+        for due in pending.extract_if(.., |candidate| is_due(candidate)) {
+            check_due(&health, &due, limit, report);
         }
-        calm.follow(record.at, &record.event);
+        health.apply(record.at, &record.event);
         if let HistoryEvent::SettingsAccepted { revision } = record.event {
             pending.push(Pending {
                 revision,
@@ -127,8 +131,8 @@
     }
 }
 
-fn check_due(calm: &Calm, due: &Pending, limit: Duration, report: &mut Report) {
-    for (proxy, in_force) in calm.calm_since(due.accepted_at) {
+fn check_due(health: &ProxyHealth, due: &Pending, limit: Duration, report: &mut Report) {
+    for (proxy, in_force) in health.undisturbed_since(due.accepted_at) {
         report.observe(Invariant::ConfigurationReverted);
         if in_force < due.revision {
             let text = format!(
--- a/crates/stairward-checker/src/checks/leaving_got_work.rs
+++ b/crates/stairward-checker/src/checks/leaving_got_work.rs
@@ -1,4 +1,4 @@
-//! A leaving back end gets no new work once the limit has passed.
+//! A back end marked as leaving is given no new transactions after the grace period.
 
 use std::collections::BTreeMap;
 
@@ -9,25 +9,28 @@
 use crate::recorder::History;
 use crate::report::{Invariant, Report};
 
+/// The operator's marks on each back end, in the order of time.
 type Marks<'a> = BTreeMap<&'a BackendId, Vec<(Time, AdminState)>>;
 
-pub(super) fn check(history: &History, index: &Index<'_>, limit: Duration, report: &mut Report) {
+pub(super) fn check(history: &History, index: &Index<'_>, grace: Duration, report: &mut Report) {
     let marks = marks(history);
-    for (&(backend, transaction), known) in &index.transactions {
-        let (Some(marks), Some(&first)) = (marks.get(backend), known.requests.first()) else {
+    for (&(backend, transaction_id), transaction) in &index.transactions {
+        let (Some(marks), Some(&first_request)) =
+            (marks.get(backend), transaction.requests.first())
+        else {
             continue;
         };
         report.observe(Invariant::LeavingGotWork);
-        let Some(leaving_since) = leaving_since(marks, known.started_at) else {
+        let Some(leaving_since) = leaving_since(marks, transaction.started_at) else {
             continue;
         };
-        if known.started_at > leaving_since + limit {
+        if transaction.started_at > leaving_since + grace {
             let text = format!(
-                "back end {backend} began transaction {transaction} for request {first} {:?} \
-                 after it was marked as leaving",
-                known.started_at.since(leaving_since)
+                "back end {backend} began transaction {transaction_id} for request {first_request} \
+                 {:?} after it was marked as leaving",
+                transaction.started_at.since(leaving_since)
             );
-            report.violate(Invariant::LeavingGotWork, vec![first], text);
+            report.violate(Invariant::LeavingGotWork, vec![first_request], text);
         }
     }
 }
@@ -42,7 +45,7 @@
     marks
 }
 
-/// When the back end was marked as leaving, if that is its mark at the moment given.
+/// When the back end was marked as leaving, if it still bears that mark at time `at`.
 fn leaving_since(marks: &[(Time, AdminState)], at: Time) -> Option<Time> {
     let mut since = None;
     for &(marked_at, state) in marks.iter().take_while(|(marked_at, _)| *marked_at <= at) {
--- a/crates/stairward-checker/src/checks/mod.rs
+++ b/crates/stairward-checker/src/checks/mod.rs
@@ -1,4 +1,4 @@
-//! The checkers, one per invariant.
+//! One checker per invariant, and the function that runs them all.
 
 mod configuration_reverted;
 mod foreign_answer;
@@ -16,12 +16,12 @@
 use crate::recorder::History;
 use crate::report::Report;
 
-/// How long the invariants that name "seconds" allow.
+/// Time limits of the invariants that allow for a delay.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CheckLimits {
-    /// How long after its mark a leaving back end may still be given new work.
+    /// How long a back end may still be given new work after it was marked as leaving.
     pub leaving_grace: Duration,
-    /// How long after its acceptance a revision may be missing on a proxy without faults.
+    /// How long after the store accepted a revision it may be missing on a proxy without faults.
     pub configuration_delay: Duration,
 }
 
@@ -34,13 +34,13 @@
     }
 }
 
-/// Checks a history with the default limits.
+/// Checks a history against every invariant, with the default limits.
 #[must_use]
 pub fn check(history: &History) -> Report {
     check_with_limits(history, CheckLimits::default())
 }
 
-/// Checks a history.
+/// Checks a history against every invariant, with the given limits.
 #[must_use]
 pub fn check_with_limits(history: &History, limits: CheckLimits) -> Report {
     let index = Index::build(history);
--- a/crates/stairward-checker/src/checks/not_run_ran.rs
+++ b/crates/stairward-checker/src/checks/not_run_ran.rs
@@ -1,11 +1,11 @@
-//! A request refused as not run left no effect and was not run to its end.
+//! A request refused as not run was neither committed nor, if it only reads, completed.
 
 use crate::event::{CallerTransactionKind, Outcome, RequestId};
 use crate::index::{BackendTransaction, Index};
 use crate::report::{Invariant, Report};
 
 pub(super) fn check(index: &Index<'_>, report: &mut Report) {
-    for (&number, request) in &index.requests {
+    for (&request_id, request) in &index.requests {
         let refused = request
             .ends
             .iter()
@@ -15,21 +15,22 @@
         }
         report.observe(Invariant::NotRunRan);
         let ran = index
-            .transactions_of(number)
+            .transactions_of(request_id)
             .any(|transaction| has_run(transaction, request.kind));
         if ran {
-            violate(number, report);
+            report_violation(request_id, report);
         }
     }
 }
 
-/// A committed transaction has run. So has a read of its own, which has nothing to commit.
+/// Whether a transaction took effect: it was committed, or it is an autocommit read that was not
+/// rolled back. Such a read commits no writes, so no commit is recorded for it.
 fn has_run(transaction: &BackendTransaction, kind: CallerTransactionKind) -> bool {
-    let read_to_its_end = kind == CallerTransactionKind::Read && transaction.autocommit;
-    transaction.commit.is_some() || (read_to_its_end && !transaction.rolled_back)
+    let is_autocommit_read = kind == CallerTransactionKind::Read && transaction.autocommit;
+    transaction.commit.is_some() || (is_autocommit_read && !transaction.rolled_back)
 }
 
-fn violate(number: RequestId, report: &mut Report) {
-    let text = format!("request {number} was refused as not run, but a back end ran it");
-    report.violate(Invariant::NotRunRan, vec![number], text);
+fn report_violation(request_id: RequestId, report: &mut Report) {
+    let text = format!("request {request_id} was refused as not run, but a back end ran it");
+    report.violate(Invariant::NotRunRan, vec![request_id], text);
 }
--- a/crates/stairward-checker/src/checks/own_reads.rs
+++ b/crates/stairward-checker/src/checks/own_reads.rs
@@ -1,4 +1,4 @@
-//! A session's reads see its own acknowledged writes.
+//! Read-your-writes consistency: a session's reads see its own acknowledged writes.
 
 use std::collections::BTreeMap;
 
@@ -6,10 +6,12 @@
 use crate::index::{Index, Request, RequestEnd};
 use crate::report::{Invariant, Report};
 
-/// The newest acknowledged write of a session to a key.
+/// An acknowledged write of a session to one key.
 struct OwnWrite {
     request: RequestId,
     version: u64,
+    /// Index in the history of the record that acknowledged the write. Only reads sent after it
+    /// must see the write.
     acknowledged_index: usize,
 }
 
@@ -17,16 +19,18 @@
 
 pub(super) fn check(index: &Index<'_>, report: &mut Report) {
     let writes = acknowledged_writes(index);
-    for (&number, request) in &index.requests {
-        for end in answered(request) {
+    for (&request_id, request) in &index.requests {
+        for end in successful_answers(request) {
             for row in end.reads {
-                check_row(&writes, number, request, row, report);
+                check_row(&writes, request_id, request, row, report);
             }
         }
     }
 }
 
-fn answered<'a, 'b>(request: &'b Request<'a>) -> impl Iterator<Item = &'b RequestEnd<'a>> {
+fn successful_answers<'a, 'b>(
+    request: &'b Request<'a>,
+) -> impl Iterator<Item = &'b RequestEnd<'a>> {
     request
         .ends
         .iter()
@@ -35,18 +39,18 @@
 
 fn acknowledged_writes<'a>(index: &Index<'a>) -> OwnWrites<'a> {
     let mut writes = OwnWrites::new();
-    for (&number, request) in &index.requests {
-        let Some(end) = answered(request).next() else {
+    for (&request_id, request) in &index.requests {
+        let Some(end) = successful_answers(request).next() else {
             continue;
         };
         for row in request.writes {
-            let own = OwnWrite {
-                request: number,
+            let write = OwnWrite {
+                request: request_id,
                 version: row.version,
                 acknowledged_index: end.index,
             };
             let key = (request.session, row.key.as_str());
-            writes.entry(key).or_default().push(own);
+            writes.entry(key).or_default().push(write);
         }
     }
     writes
@@ -54,7 +58,7 @@
 
 fn check_row(
     writes: &OwnWrites<'_>,
-    number: RequestId,
+    request_id: RequestId,
     request: &Request<'_>,
     row: &RowSeen,
     report: &mut Report,
@@ -71,10 +75,10 @@
     report.observe(Invariant::OwnReads);
     if row.version < newest.version {
         let text = format!(
-            "session {} read version {} of {} in request {number}, after its request {} wrote \
-             version {}",
+            "session {} read version {} of {} in request {request_id}, although its request {} \
+             had written version {}",
             request.session, row.version, row.key, newest.request, newest.version
         );
-        report.violate(Invariant::OwnReads, vec![newest.request, number], text);
+        report.violate(Invariant::OwnReads, vec![newest.request, request_id], text);
     }
 }
--- a/crates/stairward-checker/src/checks/stop_cut_request.rs
+++ b/crates/stairward-checker/src/checks/stop_cut_request.rs
@@ -1,4 +1,4 @@
-//! A planned stop of a proxy cuts no request in flight.
+//! A planned stop of a proxy interrupts no request in flight.
 
 use stairward_types::{NodeId, ResultCode, Time};
 
@@ -7,38 +7,40 @@
 use crate::recorder::History;
 use crate::report::{Invariant, Report};
 
-/// A planned stop that nothing else disturbed.
+/// A planned stop of a proxy.
 struct Stop {
     proxy: NodeId,
     began_at: Time,
     ended_at: Time,
+    /// Whether the proxy was neither killed nor under a fault during the stop; only then is the
+    /// stop checked.
     undisturbed: bool,
 }
 
 pub(super) fn check(history: &History, index: &Index<'_>, report: &mut Report) {
-    for stop in stops(history) {
-        for (&number, request) in &index.requests {
-            check_request(&stop, number, request, report);
+    for stop in planned_stops(history) {
+        for (&request_id, request) in &index.requests {
+            check_request(&stop, request_id, request, report);
         }
     }
 }
 
-fn stops(history: &History) -> Vec<Stop> {
+fn planned_stops(history: &History) -> Vec<Stop> {
     let mut stops = Vec::new();
     for (position, record) in history.records.iter().enumerate() {
         if let HistoryEvent::StopBegan { proxy } = record.event {
-            stops.push(stop(history, position, proxy, record.at));
+            stops.push(planned_stop(history, position, proxy, record.at));
         }
     }
     stops
 }
 
-fn stop(history: &History, position: usize, proxy: NodeId, began_at: Time) -> Stop {
+fn planned_stop(history: &History, position: usize, proxy: NodeId, began_at: Time) -> Stop {
     let mut stop = Stop {
         proxy,
         began_at,
         ended_at: Time::NEVER,
-        undisturbed: !is_faulty_before(history, position, proxy),
+        undisturbed: !is_faulty_at(history, position, proxy),
     };
     for record in &history.records[position..] {
         match record.event {
@@ -58,7 +60,7 @@
     stop
 }
 
-fn is_faulty_before(history: &History, position: usize, proxy: NodeId) -> bool {
+fn is_faulty_at(history: &History, position: usize, proxy: NodeId) -> bool {
     let last = history.records[..position]
         .iter()
         .rev()
@@ -70,33 +72,33 @@
     last.unwrap_or(false)
 }
 
-fn check_request(stop: &Stop, number: RequestId, request: &Request<'_>, report: &mut Report) {
+fn check_request(stop: &Stop, request_id: RequestId, request: &Request<'_>, report: &mut Report) {
     let end = request.ends.first();
     let sent_before = request.sent_at < stop.began_at;
     let ended_before = end.is_some_and(|end| end.at < stop.began_at);
-    let is_concerned = request.proxy == stop.proxy || request.last_owner == Some(stop.proxy);
-    if !stop.undisturbed || !sent_before || ended_before || !is_concerned {
+    let involves_proxy = request.proxy == stop.proxy || request.last_owner == Some(stop.proxy);
+    if !stop.undisturbed || !sent_before || ended_before || !involves_proxy {
         return;
     }
     report.observe(Invariant::StopCutRequest);
-    if let Some(reason) = cut_reason(stop, request, end) {
+    if let Some(reason) = interruption_reason(stop, request, end) {
         let text = format!(
-            "request {number} was in flight when the stop of proxy {} began, and {reason}",
+            "request {request_id} was in flight when the stop of proxy {} began, and {reason}",
             stop.proxy
         );
-        report.violate(Invariant::StopCutRequest, vec![number], text);
+        report.violate(Invariant::StopCutRequest, vec![request_id], text);
     }
 }
 
-fn cut_reason(
+fn interruption_reason(
     stop: &Stop,
     request: &Request<'_>,
     end: Option<&RequestEnd<'_>>,
 ) -> Option<&'static str> {
     let at_stopping_proxy = request.proxy == stop.proxy;
     let Some(end) = end else {
-        let exited = stop.ended_at != Time::NEVER;
-        return (at_stopping_proxy && exited).then_some("never ended");
+        let has_exited = stop.ended_at != Time::NEVER;
+        return (at_stopping_proxy && has_exited).then_some("never ended");
     };
     let has_code = |code: ResultCode| end.code == Some(code.number());
     if at_stopping_proxy && end.outcome == Outcome::ConnectionLost {
@@ -107,7 +109,7 @@
     }
     let owner_stopped = request.last_owner == Some(stop.proxy);
     if owner_stopped && has_code(ResultCode::OwnerLostAfterSend) {
-        return Some("its owner left without answering");
+        return Some("its owner stopped without answering");
     }
     None
 }
