--- a/crates/stairward-checker/src/event.rs
+++ b/crates/stairward-checker/src/event.rs
@@ -1,4 +1,4 @@
-//! What a history is made of.
+//! The events that make up a history.
 
 use serde::{Deserialize, Serialize};
 use stairward_types::{AdminState, BackendId, GroupId, LogPosition, NodeId, Revision, Term};
@@ -22,12 +22,13 @@
 }
 
 history_number! {
-    /// One request of a caller, unique in the history. A whole transaction is one request: all its
-    /// statements carry the same number, in a comment `/*request='7'*/`.
+    /// A request of a caller, unique in the history. A whole transaction is one request: all its
+    /// statements carry the same number in a comment such as `/*request='7'*/`.
     RequestId
 }
 history_number! {
-    /// One person's session. It stays the same when the client reconnects, to whichever proxy.
+    /// A caller's session. It outlives connections: a client that reconnects, even to another
+    /// proxy, continues its session.
     SessionId
 }
 history_number! {
@@ -35,7 +36,7 @@
     TransactionId
 }
 
-/// What kind of request a caller made.
+/// The kind of a caller's request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CallerTransactionKind {
@@ -53,25 +54,25 @@
 pub enum Outcome {
     /// Answered with success.
     Answered,
-    /// The back end answered with an error of its own, such as a taken slot.
+    /// The back end itself answered with an error, for example because a slot was already taken.
     Rejected,
-    /// Refused as not run.
+    /// Refused with an error saying that the request was not run.
     NotRun,
-    /// Told that the outcome is unknown.
+    /// Answered with an error saying that the outcome is unknown.
     OutcomeUnknown,
     /// The connection ended without an answer.
     ConnectionLost,
-    /// The caller itself left before it had its answer.
+    /// The caller disconnected before it received an answer.
     CallerLeft,
 }
 
 /// A row that a request writes.
 ///
-/// Versions of one key must grow in the order in which its writes take effect. The simplest way is
-/// to let only one session write a key and to count its writes.
+/// The versions of a key must increase in the order in which its writes take effect. The simplest
+/// way is to let only one session write a key and to number its writes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RowWritten {
-    /// Names the row in the whole history.
+    /// Identifies the row in the whole history.
     pub key: String,
     /// The version written.
     pub version: u64,
@@ -80,13 +81,13 @@
 /// A row that a request read.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RowSeen {
-    /// Names the row in the whole history.
+    /// Identifies the row in the whole history.
     pub key: String,
-    /// The version seen; 0 when the row was not there.
+    /// The version read; 0 if the row did not exist.
     pub version: u64,
 }
 
-/// Something that happened in a run.
+/// An event of a run.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum HistoryEvent {
@@ -109,28 +110,29 @@
         /// What it writes.
         writes: Vec<RowWritten>,
     },
-    /// A proxy forwarded a request to the owner of a back end. Recorded where it can be observed.
+    /// A proxy forwarded a request to the owner of a back end. Recorded only where the run can
+    /// observe it.
     RequestForwarded {
         /// The request.
         request: RequestId,
         /// The owner.
         owner: NodeId,
     },
-    /// A request ended for its caller.
+    /// A request ended, as seen by its caller.
     RequestEnded {
         /// The request.
         request: RequestId,
-        /// How.
+        /// The outcome.
         outcome: Outcome,
         /// The number of stairward's result code, when one was given.
         code: Option<u16>,
-        /// The request number that the answer itself carries, when the statement asked for it.
+        /// The request number that the answer contains, if the statement returns it.
         echo: Option<RequestId>,
-        /// How many rows the whole answer must have, when known beforehand.
+        /// How many rows the complete answer has, if known in advance.
         rows_expected: Option<u64>,
-        /// How many rows came.
+        /// How many rows were received.
         rows_received: u64,
-        /// Rows whose version was seen.
+        /// The rows whose version the answer contained.
         reads: Vec<RowSeen>,
     },
     /// A back end ran a statement of a request.
@@ -141,11 +143,11 @@
         backend: BackendId,
         /// The back end's connection.
         connection: u64,
-        /// The back end's transaction, implicit ones included.
+        /// The back end's transaction, which may be an implicit one.
         transaction: TransactionId,
-        /// Whether the transaction is the statement's own and ends with it.
+        /// Whether the statement runs in an implicit transaction of its own, which ends with it.
         autocommit: bool,
-        /// The request named in the statement's comment; none for the proxies' own statements.
+        /// The request named in the statement's comment; none for the proxies' internal statements.
         request: Option<RequestId>,
     },
     /// A back end committed a transaction that wrote.
@@ -176,20 +178,21 @@
         term: Term,
         /// The new primary.
         backend: BackendId,
-        /// Last position of the log it continues. Later positions of older terms are lost.
+        /// Last position of the log that the new term continues. Later positions of older terms are
+        /// lost.
         log_start: LogPosition,
-        /// The term whose log it continues; none for the term elected before it.
+        /// The term whose log it continues; if none, the term elected before it.
         continues: Option<Term>,
     },
-    /// An operator's mark on a back end was accepted.
+    /// An operator's change of a back end's admin state was accepted.
     BackendMarked {
         /// The back end.
         backend: BackendId,
-        /// The mark.
+        /// The new admin state.
         #[serde(with = "admin_state")]
         state: AdminState,
     },
-    /// A process of a proxy started.
+    /// A proxy's process started.
     ProxyStarted {
         /// The proxy.
         proxy: NodeId,
@@ -209,12 +212,13 @@
         /// The proxy.
         proxy: NodeId,
     },
-    /// A fault begins to keep a proxy from its peers: it is paused or cut off.
+    /// A fault that isolates a proxy from its peers began: the proxy is paused or its network is
+    /// cut off.
     ProxyFaultBegan {
         /// The proxy.
         proxy: NodeId,
     },
-    /// Such a fault of a proxy ended.
+    /// A fault that isolated a proxy from its peers ended.
     ProxyFaultEnded {
         /// The proxy.
         proxy: NodeId,
@@ -228,7 +232,7 @@
         /// The revision.
         revision: Revision,
     },
-    /// A revision came into force on a proxy.
+    /// A revision of the settings came into force on a proxy.
     SettingsApplied {
         /// The proxy.
         proxy: NodeId,
--- a/crates/stairward-checker/src/index.rs
+++ b/crates/stairward-checker/src/index.rs
@@ -1,4 +1,4 @@
-//! Look-ups over a history that several checkers need.
+//! Lookup tables over a history that several checkers share.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,7 +10,7 @@
 };
 use crate::recorder::History;
 
-/// All that is known of one request.
+/// What the history records about one request.
 pub(crate) struct Request<'a> {
     pub session: SessionId,
     pub proxy: NodeId,
@@ -20,14 +20,18 @@
     pub request_key: Option<&'a str>,
     pub writes: &'a [RowWritten],
     pub sent_at: Time,
+    /// Index in the history of the record that sent the request.
     pub sent_index: usize,
+    /// The owner to which the request was last forwarded.
     pub last_owner: Option<NodeId>,
+    /// How it ended. More than one end is a violation.
     pub ends: Vec<RequestEnd<'a>>,
 }
 
 /// How a request ended.
 pub(crate) struct RequestEnd<'a> {
     pub at: Time,
+    /// Index in the history of the record.
     pub index: usize,
     pub outcome: Outcome,
     pub code: Option<u16>,
@@ -37,7 +41,7 @@
     pub reads: &'a [RowSeen],
 }
 
-/// A transaction of a back end.
+/// A back-end transaction in which statements of requests ran.
 #[derive(Default)]
 pub(crate) struct BackendTransaction {
     pub requests: BTreeSet<RequestId>,
@@ -47,7 +51,7 @@
     pub rolled_back: bool,
 }
 
-/// A commit of a back end.
+/// A transaction's commit on a back end.
 #[derive(Clone)]
 pub(crate) struct Commit {
     pub group: GroupId,
@@ -56,30 +60,33 @@
     pub position: LogPosition,
 }
 
-/// An election of a group.
+/// The election of a group's primary.
 pub(crate) struct Election {
     pub at: Time,
     pub term: Term,
+    /// Last position of the log it continues.
     pub log_start: LogPosition,
+    /// The term whose log it continues; if none, the term elected before it.
     pub continues: Option<Term>,
 }
 
 pub(crate) type TransactionKey<'a> = (&'a BackendId, TransactionId);
 
-/// The look-ups.
+/// Requests, transactions and elections of a history by their keys.
 #[derive(Default)]
 pub(crate) struct Index<'a> {
     pub requests: BTreeMap<RequestId, Request<'a>>,
     pub transactions: BTreeMap<TransactionKey<'a>, BackendTransaction>,
     pub transactions_of: BTreeMap<RequestId, BTreeSet<TransactionKey<'a>>>,
+    /// Each group's elections, sorted by term.
     pub elections: BTreeMap<&'a GroupId, Vec<Election>>,
 }
 
 impl<'a> Index<'a> {
     pub(crate) fn build(history: &'a History) -> Self {
         let mut index = Self::default();
-        for (position, record) in history.records.iter().enumerate() {
-            index.add(position, record.at, &record.event);
+        for (record_index, record) in history.records.iter().enumerate() {
+            index.add(record_index, record.at, &record.event);
         }
         for elections in index.elections.values_mut() {
             elections.sort_by_key(|election| election.term);
@@ -87,11 +94,11 @@
         index
     }
 
-    fn add(&mut self, record: usize, at: Time, event: &'a HistoryEvent) {
+    fn add(&mut self, record_index: usize, at: Time, event: &'a HistoryEvent) {
         match event {
             HistoryEvent::RequestSent { .. }
             | HistoryEvent::RequestForwarded { .. }
-            | HistoryEvent::RequestEnded { .. } => self.add_request_event(record, at, event),
+            | HistoryEvent::RequestEnded { .. } => self.add_request_event(record_index, at, event),
             HistoryEvent::StatementRan {
                 backend,
                 transaction,
@@ -106,11 +113,11 @@
                 term,
                 position,
             } => {
-                let known = self
+                let transaction = self
                     .transactions
                     .entry((backend, *transaction))
                     .or_default();
-                known.commit = Some(Commit {
+                transaction.commit = Some(Commit {
                     group: group.clone(),
                     at,
                     term: *term,
@@ -121,11 +128,11 @@
                 backend,
                 transaction,
             } => {
-                let known = self
+                let transaction = self
                     .transactions
                     .entry((backend, *transaction))
                     .or_default();
-                known.rolled_back = true;
+                transaction.rolled_back = true;
             }
             HistoryEvent::Elected {
                 group,
@@ -143,7 +150,7 @@
         }
     }
 
-    fn add_request_event(&mut self, record: usize, at: Time, event: &'a HistoryEvent) {
+    fn add_request_event(&mut self, record_index: usize, at: Time, event: &'a HistoryEvent) {
         match event {
             HistoryEvent::RequestSent {
                 request,
@@ -164,15 +171,15 @@
                     request_key: request_key.as_deref(),
                     writes,
                     sent_at: at,
-                    sent_index: record,
+                    sent_index: record_index,
                     last_owner: None,
                     ends: Vec::new(),
                 };
                 self.requests.insert(*request, sent);
             }
             HistoryEvent::RequestForwarded { request, owner } => {
-                if let Some(known) = self.requests.get_mut(request) {
-                    known.last_owner = Some(*owner);
+                if let Some(request) = self.requests.get_mut(request) {
+                    request.last_owner = Some(*owner);
                 }
             }
             HistoryEvent::RequestEnded {
@@ -186,7 +193,7 @@
             } => {
                 let end = RequestEnd {
                     at,
-                    index: record,
+                    index: record_index,
                     outcome: *outcome,
                     code: *code,
                     echo: *echo,
@@ -194,8 +201,8 @@
                     rows_received: *rows_received,
                     reads,
                 };
-                if let Some(known) = self.requests.get_mut(request) {
-                    known.ends.push(end);
+                if let Some(request) = self.requests.get_mut(request) {
+                    request.ends.push(end);
                 }
             }
             _ => {}
@@ -209,12 +216,12 @@
         autocommit: bool,
         request: RequestId,
     ) {
-        let known = self.transactions.entry(key).or_default();
-        if known.requests.is_empty() {
-            known.started_at = at;
-            known.autocommit = autocommit;
+        let transaction = self.transactions.entry(key).or_default();
+        if transaction.requests.is_empty() {
+            transaction.started_at = at;
+            transaction.autocommit = autocommit;
         }
-        known.requests.insert(request);
+        transaction.requests.insert(request);
         self.transactions_of.entry(request).or_default().insert(key);
     }
 
@@ -236,27 +243,32 @@
             .filter_map(|transaction| transaction.commit.as_ref())
     }
 
-    /// Whether a commit is part of the log that its group ended up with: follows the newest term's
-    /// log back to the commit's term, where the commit must lie before the point of branching.
+    /// Whether a commit is part of its group's surviving log. Follows the latest term's log back to
+    /// the commit's term; the commit must not lie after the position at which a later log branched
+    /// off.
     pub(crate) fn survives(&self, commit: &Commit) -> bool {
         let Some(elections) = self.elections.get(&commit.group) else {
             return true;
         };
-        let mut bound = LogPosition(u64::MAX);
-        let mut reached = elections.last().map_or(commit.term, |newest| newest.term);
-        while reached > commit.term {
-            let Some(election) = elections.iter().find(|election| election.term == reached) else {
+        let mut branch_position = LogPosition(u64::MAX);
+        let mut current_term = elections.last().map_or(commit.term, |latest| latest.term);
+        while current_term > commit.term {
+            let Some(election) = elections
+                .iter()
+                .find(|election| election.term == current_term)
+            else {
                 return false;
             };
-            bound = bound.min(election.log_start);
-            reached = election
+            branch_position = branch_position.min(election.log_start);
+            current_term = election
                 .continues
-                .unwrap_or_else(|| term_before(elections, reached, commit.term));
+                .unwrap_or_else(|| term_before(elections, current_term, commit.term));
         }
-        reached == commit.term && commit.position <= bound
+        current_term == commit.term && commit.position <= branch_position
     }
 
-    /// Whether a term later than the commit's had been elected before the commit.
+    /// Whether the primary that made a commit had been replaced: a later term was elected before
+    /// it.
     pub(crate) fn was_replaced(&self, commit: &Commit) -> bool {
         self.elections
             .get(&commit.group)
@@ -266,8 +278,8 @@
     }
 }
 
-/// The term elected before `term`, or `first` when nobody elected one: a group's first term needs no
-/// election.
+/// The term elected before `term`, but at least `first`. `first` also stands for a missing
+/// election, since a group's first term needs none.
 fn term_before(elections: &[Election], term: Term, first: Term) -> Term {
     elections
         .iter()
--- a/crates/stairward-checker/src/lib.rs
+++ b/crates/stairward-checker/src/lib.rs
@@ -1,12 +1,12 @@
 //! Recorded histories and one checker per invariant.
 //!
-//! A run records what callers asked and saw, and what the back ends, the proxies and the operators
-//! did ([`HistoryEvent`]), into a [`Recorder`]. Afterwards [`check`] looks for violations of each of
-//! the nine [`Invariant`]s and counts the observations each was checked on, so that a zero means
-//! something.
+//! During a run, a [`Recorder`] collects [`HistoryEvent`]s: the requests of callers and their
+//! outcomes, and the actions of back ends, proxies and operators. Afterwards [`check`] looks for
+//! violations of each of the nine [`Invariant`]s. It also counts the observations on which each
+//! invariant was checked, because no violations in no observations would prove nothing.
 //!
-//! The crate neither reads a clock nor does I/O. It is used by the demo over real sockets and by
-//! the deterministic simulation alike.
+//! The crate reads no clock and does no I/O, so both the demo, which uses real sockets, and the
+//! deterministic simulation can use it.
 
 #![forbid(unsafe_code)]
 
--- a/crates/stairward-checker/src/recorder.rs
+++ b/crates/stairward-checker/src/recorder.rs
@@ -1,4 +1,4 @@
-//! Collects a history, from many threads at once.
+//! Collects a history from several threads.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
@@ -7,31 +7,31 @@
 
 use crate::event::HistoryEvent;
 
-/// Records kept when nothing else is said: about 1 GiB at the worst.
+/// Default maximum number of records. A full recorder takes about 1 GiB in the worst case.
 const DEFAULT_MAXIMUM_RECORDS: usize = 4_000_000;
 
 /// One event and when it happened.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HistoryRecord {
-    /// When, on the one clock of the run, in microseconds.
+    /// Time of the event on the run's single clock, in microseconds.
     pub at: Time,
     /// What happened.
     #[serde(flatten)]
     pub event: HistoryEvent,
 }
 
-/// All that was recorded in a run, in the order of time.
+/// The records of a run, ordered by time.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct History {
     /// The records.
     pub records: Vec<HistoryRecord>,
-    /// How many more were dropped because the recorder was full. A history with dropped records
-    /// proves nothing.
+    /// Number of records dropped because the recorder was full. Checks on an incomplete history
+    /// prove nothing.
     pub dropped: u64,
 }
 
-/// Collects records. Cheap to clone; all clones write into the same history. Bounded: what comes
-/// after the maximum is counted and dropped.
+/// Collects records. Cheap to clone; all clones write to the same history. Once the maximum number
+/// of records is reached, further records are dropped and only counted.
 #[derive(Debug, Clone)]
 pub struct Recorder {
     history: Arc<Mutex<History>>,
@@ -51,7 +51,7 @@
         Self::default()
     }
 
-    /// A recorder that keeps at most so many records.
+    /// A recorder that keeps at most `maximum_records` records.
     #[must_use]
     pub fn with_maximum_records(maximum_records: usize) -> Self {
         Self {
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Adds an event. The time must come from the one clock of the run.
+    /// Adds an event. All times of a run must come from the same clock.
     pub fn record(&self, at: Time, event: HistoryEvent) {
         let mut history = self.history.lock().unwrap_or_else(PoisonError::into_inner);
         if history.records.len() < self.maximum_records {
@@ -70,7 +70,7 @@
         }
     }
 
-    /// A copy of the history so far, ordered by time; records of the same moment keep the order in
+    /// A copy of the history so far, ordered by time. Records with the same time keep the order in
     /// which they were added.
     #[must_use]
     pub fn history(&self) -> History {
--- a/crates/stairward-checker/src/report.rs
+++ b/crates/stairward-checker/src/report.rs
@@ -1,4 +1,4 @@
-//! What the checkers found.
+//! The checkers' findings.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -7,10 +7,10 @@
 
 use crate::event::RequestId;
 
-/// Examples kept of each invariant's violations.
+/// Maximum number of example violations kept for each invariant.
 const MAXIMUM_EXAMPLES: usize = 10;
 
-/// What must always hold. The names are those of the JSON reports.
+/// A property that every history must have. JSON reports use the names in snake case.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Invariant {
@@ -18,19 +18,19 @@
     OwnReads,
     /// No write is acknowledged by a primary that has been replaced.
     ReplacedPrimaryAck,
-    /// Statements of two transactions never run inside one transaction.
+    /// Statements of two requests never run in one back-end transaction.
     MixedTransactions,
-    /// Each caller gets the whole answer to its own request.
+    /// Each caller gets the complete answer to its own request, once.
     ForeignAnswer,
-    /// What is refused as not run did not run.
+    /// A request refused as not run did not take effect.
     NotRunRan,
-    /// What is not repeatable runs at most once.
+    /// A request that is not repeatable, or a request key, is committed at most once.
     RanTwice,
-    /// A leaving back end gets no new work after a few seconds.
+    /// A leaving back end gets no new work after the grace period.
     LeavingGotWork,
-    /// A planned stop cuts no request in flight.
+    /// A planned stop of a proxy interrupts no request in flight.
     StopCutRequest,
-    /// An accepted configuration is soon in force on every proxy and never reverts.
+    /// An accepted settings revision is in force on every proxy within the limit and never reverts.
     ConfigurationReverted,
 }
 
@@ -48,7 +48,7 @@
         Self::ConfigurationReverted,
     ];
 
-    /// Its name in reports.
+    /// The invariant's name in reports.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -71,33 +71,38 @@
     }
 }
 
-/// One violation, told for people.
+/// One violation of an invariant.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Violation {
-    /// What was violated.
+    /// The invariant violated.
     pub invariant: Invariant,
-    /// The requests concerned.
+    /// The requests involved.
     pub requests: Vec<RequestId>,
-    /// What happened.
+    /// Description of the violation.
     pub text: String,
 }
 
 /// How often each invariant was violated, and on how many observations it was checked.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// Violations by invariant; every invariant is present.
+    /// Number of violations by invariant; contains every invariant.
     pub violations: BTreeMap<Invariant, u64>,
-    /// Observations by invariant; every invariant is present.
+    /// Number of observations checked by invariant; contains every invariant.
     pub checked: BTreeMap<Invariant, u64>,
-    /// The first violations of each invariant.
+    /// The first few violations of each invariant.
     pub examples: Vec<Violation>,
-    /// Records missing from the history. Unless 0, the report proves nothing.
+    /// Number of records missing from the history. Unless it is 0, the report proves nothing.
     pub dropped: u64,
 }
 
 impl Default for Report {
     fn default() -> Self {
-        let zeroes = || Invariant::ALL.iter().map(|&name| (name, 0)).collect();
+        let zeroes = || {
+            Invariant::ALL
+                .iter()
+                .map(|&invariant| (invariant, 0))
+                .collect()
+        };
         Self {
             violations: zeroes(),
             checked: zeroes(),
@@ -108,25 +113,25 @@
 }
 
 impl Report {
-    /// Whether nothing was violated and no record is missing.
+    /// Whether no invariant was violated and no record is missing.
     #[must_use]
     pub fn is_clean(&self) -> bool {
         self.dropped == 0 && self.violations.values().all(|&count| count == 0)
     }
 
-    /// How often an invariant was violated.
+    /// Number of violations of an invariant.
     #[must_use]
     pub fn violation_count(&self, invariant: Invariant) -> u64 {
         self.violations.get(&invariant).copied().unwrap_or(0)
     }
 
-    /// On how many observations an invariant was checked.
+    /// Number of observations on which an invariant was checked.
     #[must_use]
     pub fn observation_count(&self, invariant: Invariant) -> u64 {
         self.checked.get(&invariant).copied().unwrap_or(0)
     }
 
-    /// Adds the figures and examples of another report.
+    /// Adds the counts and examples of another report.
     pub fn merge(&mut self, other: Self) {
         for (invariant, count) in other.violations {
             *self.violations.entry(invariant).or_default() += count;
@@ -154,12 +159,12 @@
     }
 
     fn keep_example(&mut self, example: Violation) {
-        let kept = self
+        let kept_count = self
             .examples
             .iter()
-            .filter(|known| known.invariant == example.invariant)
+            .filter(|kept| kept.invariant == example.invariant)
             .count();
-        if kept < MAXIMUM_EXAMPLES {
+        if kept_count < MAXIMUM_EXAMPLES {
             self.examples.push(example);
         }
     }
