--- a/crates/stairward-checker/tests/checkers.rs
+++ b/crates/stairward-checker/tests/checkers.rs
@@ -1,4 +1,4 @@
-//! Each checker passes a small good history and catches a small bad one.
+//! Each checker accepts a small valid history and reports a violation in a small invalid one.
 
 use stairward_checker::{
     CallerTransactionKind, History, HistoryEvent, HistoryRecord, Invariant, Outcome, Recorder,
@@ -11,14 +11,14 @@
 const PROXY: NodeId = NodeId(1);
 const OTHER_PROXY: NodeId = NodeId(2);
 
-/// Builds a history one event a millisecond.
+/// Builds a history with one event per millisecond.
 #[derive(Default)]
-struct Script {
+struct HistoryBuilder {
     records: Vec<HistoryRecord>,
     milliseconds: u64,
 }
 
-impl Script {
+impl HistoryBuilder {
     fn then(mut self, event: HistoryEvent) -> Self {
         self.milliseconds += 1;
         self.records.push(HistoryRecord {
@@ -118,7 +118,7 @@
         })
     }
 
-    /// A whole write: sent, run, committed and acknowledged.
+    /// A complete write: sent, run, committed and acknowledged.
     fn write(self, request: u64, term: u64, position: u64) -> Self {
         self.sent(request, CallerTransactionKind::Write)
             .ran(request, request)
@@ -150,15 +150,15 @@
 }
 
 #[track_caller]
-fn assert_good(invariant: Invariant, script: Script) {
-    let report = check(&script.history());
+fn assert_clean(invariant: Invariant, builder: HistoryBuilder) {
+    let report = check(&builder.history());
     assert!(report.is_clean(), "{:?}", report.examples);
     assert_ne!(report.observation_count(invariant), 0);
 }
 
 #[track_caller]
-fn assert_bad(invariant: Invariant, script: Script) {
-    let report = check(&script.history());
+fn assert_violated(invariant: Invariant, builder: HistoryBuilder) {
+    let report = check(&builder.history());
     assert_ne!(report.violation_count(invariant), 0);
     let example = report
         .examples
@@ -168,15 +168,15 @@
 }
 
 #[test]
-fn own_reads_compares_with_the_newest_acknowledged_write() {
-    let written = || Script::default().write(5, 1, 10);
-    assert_good(Invariant::OwnReads, written().read(6, 5));
-    assert_bad(Invariant::OwnReads, written().read(6, 4));
+fn own_reads_catches_a_read_older_than_an_acknowledged_write() {
+    let written = || HistoryBuilder::default().write(5, 1, 10);
+    assert_clean(Invariant::OwnReads, written().read(6, 5));
+    assert_violated(Invariant::OwnReads, written().read(6, 4));
 }
 
 #[test]
 fn own_reads_ignores_a_write_acknowledged_after_the_read_was_sent() {
-    let script = Script::default()
+    let builder = HistoryBuilder::default()
         .sent(5, CallerTransactionKind::Write)
         .ran(5, 5)
         .committed(5, 1, 10)
@@ -184,24 +184,24 @@
         .ended(5, Outcome::Answered)
         .ended_with(6, Outcome::Answered, None, 4, Some(6))
         .read(7, 5);
-    assert_good(Invariant::OwnReads, script);
+    assert_clean(Invariant::OwnReads, builder);
 }
 
 #[test]
-fn replaced_primary_ack_follows_the_surviving_log() {
-    let written = || Script::default().elected(1, 0).write(5, 1, 10);
-    assert_good(Invariant::ReplacedPrimaryAck, written().elected(2, 10));
-    assert_bad(Invariant::ReplacedPrimaryAck, written().elected(2, 9));
+fn replaced_primary_ack_catches_a_write_outside_the_surviving_log() {
+    let written = || HistoryBuilder::default().elected(1, 0).write(5, 1, 10);
+    assert_clean(Invariant::ReplacedPrimaryAck, written().elected(2, 10));
+    assert_violated(Invariant::ReplacedPrimaryAck, written().elected(2, 9));
 }
 
 #[test]
 fn replaced_primary_ack_catches_a_commit_after_the_next_election() {
-    let before = || Script::default().elected(1, 0);
-    assert_good(
+    let before = || HistoryBuilder::default().elected(1, 0);
+    assert_clean(
         Invariant::ReplacedPrimaryAck,
         before().elected(2, 20).write(5, 2, 25),
     );
-    assert_bad(
+    assert_violated(
         Invariant::ReplacedPrimaryAck,
         before().elected(2, 20).write(5, 1, 10),
     );
@@ -209,14 +209,14 @@
 
 #[test]
 fn replaced_primary_ack_catches_an_acknowledgement_without_commit() {
-    let script = Script::default()
+    let builder = HistoryBuilder::default()
         .sent(5, CallerTransactionKind::Write)
         .ended(5, Outcome::Answered);
-    assert_bad(Invariant::ReplacedPrimaryAck, script);
+    assert_violated(Invariant::ReplacedPrimaryAck, builder);
 }
 
 #[test]
-fn replaced_primary_ack_follows_the_log_that_an_election_names() {
+fn replaced_primary_ack_catches_a_write_outside_the_log_that_an_election_continues() {
     let elected = |continues| HistoryEvent::Elected {
         group: group(),
         term: Term(3),
@@ -225,33 +225,33 @@
         continues,
     };
     let written = || {
-        Script::default()
+        HistoryBuilder::default()
             .elected(1, 0)
             .write(5, 1, 10)
             .elected(2, 9)
     };
-    assert_good(
+    assert_clean(
         Invariant::ReplacedPrimaryAck,
         written().then(elected(Some(Term(1)))),
     );
-    assert_bad(
+    assert_violated(
         Invariant::ReplacedPrimaryAck,
         written().then(elected(Some(Term(2)))),
     );
 }
 
 #[test]
-fn mixed_transactions_wants_one_request_a_transaction() {
-    let first = || Script::default().ran(5, 1).ran(5, 1);
-    assert_good(Invariant::MixedTransactions, first().ran(6, 2));
-    assert_bad(Invariant::MixedTransactions, first().ran(6, 1));
+fn mixed_transactions_catches_two_requests_in_one_transaction() {
+    let first = || HistoryBuilder::default().ran(5, 1).ran(5, 1);
+    assert_clean(Invariant::MixedTransactions, first().ran(6, 2));
+    assert_violated(Invariant::MixedTransactions, first().ran(6, 1));
 }
 
 #[test]
-fn foreign_answer_compares_echo_and_rows() {
-    let sent = || Script::default().sent(5, CallerTransactionKind::Read);
-    assert_good(Invariant::ForeignAnswer, sent().ended(5, Outcome::Answered));
-    assert_bad(
+fn foreign_answer_catches_a_wrong_echo_and_missing_rows() {
+    let sent = || HistoryBuilder::default().sent(5, CallerTransactionKind::Read);
+    assert_clean(Invariant::ForeignAnswer, sent().ended(5, Outcome::Answered));
+    assert_violated(
         Invariant::ForeignAnswer,
         sent().ended_with(5, Outcome::Answered, None, 0, Some(6)),
     );
@@ -264,30 +264,30 @@
         rows_received: 4,
         reads: Vec::new(),
     };
-    assert_bad(Invariant::ForeignAnswer, sent().then(half));
+    assert_violated(Invariant::ForeignAnswer, sent().then(half));
 }
 
 #[test]
 fn foreign_answer_catches_a_second_answer() {
-    let script = Script::default()
+    let builder = HistoryBuilder::default()
         .sent(5, CallerTransactionKind::Read)
         .ended(5, Outcome::Answered)
         .ended(5, Outcome::Answered);
-    assert_bad(Invariant::ForeignAnswer, script);
+    assert_violated(Invariant::ForeignAnswer, builder);
 }
 
 #[test]
 fn not_run_ran_catches_a_commit_of_a_refused_request() {
-    let sent = || Script::default().sent(5, CallerTransactionKind::Write);
+    let sent = || HistoryBuilder::default().sent(5, CallerTransactionKind::Write);
     let rolled_back = HistoryEvent::RolledBack {
         backend: backend(),
         transaction: TransactionId(1),
     };
-    assert_good(
+    assert_clean(
         Invariant::NotRunRan,
         sent().ran(5, 1).then(rolled_back).ended(5, Outcome::NotRun),
     );
-    assert_bad(
+    assert_violated(
         Invariant::NotRunRan,
         sent()
             .ran(5, 1)
@@ -298,52 +298,52 @@
 
 #[test]
 fn not_run_ran_catches_a_read_that_ran() {
-    let sent = || Script::default().sent(5, CallerTransactionKind::Read);
-    assert_good(Invariant::NotRunRan, sent().ended(5, Outcome::NotRun));
-    assert_bad(
+    let sent = || HistoryBuilder::default().sent(5, CallerTransactionKind::Read);
+    assert_clean(Invariant::NotRunRan, sent().ended(5, Outcome::NotRun));
+    assert_violated(
         Invariant::NotRunRan,
         sent().ran(5, 1).ended(5, Outcome::NotRun),
     );
 }
 
 #[test]
-fn ran_twice_counts_commits_of_a_request() {
-    let once = || Script::default().write(5, 1, 10);
-    assert_good(Invariant::RanTwice, once());
-    assert_bad(Invariant::RanTwice, once().ran(5, 9).committed(9, 1, 11));
+fn ran_twice_catches_a_second_commit_of_a_request() {
+    let once = || HistoryBuilder::default().write(5, 1, 10);
+    assert_clean(Invariant::RanTwice, once());
+    assert_violated(Invariant::RanTwice, once().ran(5, 9).committed(9, 1, 11));
 }
 
 #[test]
-fn ran_twice_counts_surviving_commits_of_a_key() {
+fn ran_twice_catches_a_second_surviving_commit_of_a_key() {
     let kind = CallerTransactionKind::Write;
     let twice = || {
-        Script::default()
+        HistoryBuilder::default()
             .sent_with(5, kind, Some("booking-1"))
             .ran(5, 5)
             .committed(5, 1, 10)
             .sent_with(6, kind, Some("booking-1"))
     };
     let lost_first = twice().elected(2, 9).ran(6, 6).committed(6, 2, 10);
-    assert_good(Invariant::RanTwice, lost_first);
-    assert_bad(Invariant::RanTwice, twice().ran(6, 6).committed(6, 1, 11));
+    assert_clean(Invariant::RanTwice, lost_first);
+    assert_violated(Invariant::RanTwice, twice().ran(6, 6).committed(6, 1, 11));
 }
 
 #[test]
-fn leaving_got_work_allows_three_seconds() {
+fn leaving_got_work_catches_a_transaction_begun_after_three_seconds() {
     let marked = |state| HistoryEvent::BackendMarked {
         backend: backend(),
         state,
     };
-    let leaving = || Script::default().then(marked(AdminState::Leaving));
-    assert_good(Invariant::LeavingGotWork, leaving().wait(2_900).ran(5, 1));
-    assert_bad(Invariant::LeavingGotWork, leaving().wait(3_100).ran(5, 1));
+    let leaving = || HistoryBuilder::default().then(marked(AdminState::Leaving));
+    assert_clean(Invariant::LeavingGotWork, leaving().wait(2_900).ran(5, 1));
+    assert_violated(Invariant::LeavingGotWork, leaving().wait(3_100).ran(5, 1));
     let back = leaving().wait(3_100).then(marked(AdminState::Active));
-    assert_good(Invariant::LeavingGotWork, back.ran(5, 1));
+    assert_clean(Invariant::LeavingGotWork, back.ran(5, 1));
 }
 
 #[test]
-fn leaving_got_work_lets_a_transaction_finish() {
-    let script = Script::default()
+fn leaving_got_work_allows_a_running_transaction_to_finish() {
+    let builder = HistoryBuilder::default()
         .then(HistoryEvent::BackendMarked {
             backend: backend(),
             state: AdminState::Leaving,
@@ -351,36 +351,36 @@
         .ran(5, 1)
         .wait(10_000)
         .ran(5, 1);
-    assert_good(Invariant::LeavingGotWork, script);
+    assert_clean(Invariant::LeavingGotWork, builder);
 }
 
 #[test]
-fn stop_cut_request_wants_an_answer_to_what_was_in_flight() {
+fn stop_cut_request_catches_an_unanswered_request_in_flight() {
     let stopping = || {
-        Script::default()
+        HistoryBuilder::default()
             .sent(5, CallerTransactionKind::Read)
             .then(HistoryEvent::StopBegan { proxy: PROXY })
     };
     let stopped = || HistoryEvent::StopEnded { proxy: PROXY };
-    assert_good(
+    assert_clean(
         Invariant::StopCutRequest,
         stopping().ended(5, Outcome::Answered).then(stopped()),
     );
-    assert_bad(Invariant::StopCutRequest, stopping().then(stopped()));
-    assert_bad(
+    assert_violated(Invariant::StopCutRequest, stopping().then(stopped()));
+    assert_violated(
         Invariant::StopCutRequest,
         stopping().ended(5, Outcome::ConnectionLost),
     );
-    assert_good(
+    assert_clean(
         Invariant::StopCutRequest,
         stopping().ended(5, Outcome::CallerLeft).then(stopped()),
     );
 }
 
 #[test]
-fn stop_cut_request_covers_requests_forwarded_to_the_stopping_owner() {
+fn stop_cut_request_catches_a_request_lost_by_its_stopping_owner() {
     let stopping = || {
-        Script::default()
+        HistoryBuilder::default()
             .sent(5, CallerTransactionKind::Read)
             .then(HistoryEvent::RequestForwarded {
                 request: RequestId(5),
@@ -388,12 +388,12 @@
             })
             .then(HistoryEvent::StopBegan { proxy: OTHER_PROXY })
     };
-    assert_good(
+    assert_clean(
         Invariant::StopCutRequest,
         stopping().ended(5, Outcome::Answered),
     );
     let lost = Some(ResultCode::OwnerLostAfterSend);
-    assert_bad(
+    assert_violated(
         Invariant::StopCutRequest,
         stopping().ended_with(5, Outcome::OutcomeUnknown, lost, 0, None),
     );
@@ -414,48 +414,52 @@
 
 #[test]
 fn configuration_reverted_catches_an_older_revision() {
-    let two = || Script::default().then(accepted(1)).then(accepted(2));
-    assert_good(
+    let two = || {
+        HistoryBuilder::default()
+            .then(accepted(1))
+            .then(accepted(2))
+    };
+    assert_clean(
         Invariant::ConfigurationReverted,
         two().then(applied(1)).then(applied(2)),
     );
-    assert_bad(
+    assert_violated(
         Invariant::ConfigurationReverted,
         two().then(applied(2)).then(applied(1)),
     );
 }
 
 #[test]
-fn configuration_reverted_catches_a_revision_nobody_accepted() {
-    let script = Script::default().then(accepted(1)).then(applied(7));
-    assert_bad(Invariant::ConfigurationReverted, script);
+fn configuration_reverted_catches_a_revision_that_was_never_accepted() {
+    let builder = HistoryBuilder::default().then(accepted(1)).then(applied(7));
+    assert_violated(Invariant::ConfigurationReverted, builder);
 }
 
 #[test]
-fn configuration_reverted_catches_a_revision_that_never_arrives() {
+fn configuration_reverted_catches_a_revision_that_is_not_applied_in_time() {
     let started = || {
-        Script::default()
+        HistoryBuilder::default()
             .then(HistoryEvent::ProxyStarted { proxy: PROXY })
             .then(accepted(1))
     };
-    let late = |script: Script| script.wait(7_000).then(accepted(2));
-    assert_good(
+    let late = |builder: HistoryBuilder| builder.wait(7_000).then(accepted(2));
+    assert_clean(
         Invariant::ConfigurationReverted,
         late(started().then(applied(1))),
     );
-    assert_bad(Invariant::ConfigurationReverted, late(started()));
+    assert_violated(Invariant::ConfigurationReverted, late(started()));
 }
 
 #[test]
-fn configuration_reverted_excuses_a_proxy_that_is_cut_off() {
-    let script = Script::default()
+fn configuration_reverted_ignores_a_proxy_that_is_cut_off() {
+    let builder = HistoryBuilder::default()
         .then(HistoryEvent::ProxyStarted { proxy: PROXY })
         .then(accepted(1))
         .then(HistoryEvent::ProxyFaultBegan { proxy: PROXY })
         .wait(7_000)
         .then(accepted(2))
         .then(applied(1));
-    assert_good(Invariant::ConfigurationReverted, script);
+    assert_clean(Invariant::ConfigurationReverted, builder);
 }
 
 #[test]
@@ -469,7 +473,7 @@
 }
 
 #[test]
-fn reports_name_every_invariant() {
+fn report_contains_every_invariant() {
     let report = serde_json::to_value(check(&History::default())).unwrap();
     for invariant in Invariant::ALL {
         assert_eq!(report["violations"][invariant.name()], 0);
@@ -478,8 +482,11 @@
 }
 
 #[test]
-fn histories_survive_json() {
-    let history = Script::default().write(5, 1, 10).read(6, 5).history();
+fn history_round_trips_through_json() {
+    let history = HistoryBuilder::default()
+        .write(5, 1, 10)
+        .read(6, 5)
+        .history();
     let text = serde_json::to_string(&history).unwrap();
     let back: History = serde_json::from_str(&text).unwrap();
     assert_eq!(back, history);
