--- a/crates/stairward/src/admin_client.rs
+++ b/crates/stairward/src/admin_client.rs
@@ -1,4 +1,4 @@
-//! Talks to a node's admin interface over HTTP.
+//! HTTP client of a node's admin interface.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -10,25 +10,25 @@
 use crate::arguments::Arguments;
 use crate::failure::{Failure, FileSnafu, RefusedSnafu};
 
-/// Where a node's admin interface listens unless `--admin` says otherwise.
+/// Address of the admin interface if `--admin` is not given.
 const DEFAULT_ADDRESS: &str = "127.0.0.1:6480";
 
-/// Help text for the options that [`AdminOptions::take`] reads.
+/// Help text of the options that [`AdminOptions::parse_option`] accepts.
 pub const OPTIONS_HELP: &str = "  --admin IP:PORT     a node's admin interface [127.0.0.1:6480]
   --token-file FILE   file with the admin token, needed away from loopback
   --json              print JSON
 ";
 
-/// The options that every command of the admin interface takes.
+/// The options common to all commands that use the admin interface.
 pub struct AdminOptions {
     address: SocketAddr,
     token_file: Option<PathBuf>,
-    /// Print JSON.
+    /// Whether to print JSON.
     pub json: bool,
 }
 
 impl AdminOptions {
-    /// The defaults.
+    /// The default options.
     pub fn new() -> Self {
         let address = DEFAULT_ADDRESS
             .parse()
@@ -40,8 +40,12 @@
         }
     }
 
-    /// Takes an option if it is one of these; false when it isn't.
-    pub fn take(&mut self, option: &str, arguments: &mut Arguments) -> Result<bool, Failure> {
+    /// Parses an option if it is one of the common options; returns whether it is.
+    pub fn parse_option(
+        &mut self,
+        option: &str,
+        arguments: &mut Arguments,
+    ) -> Result<bool, Failure> {
         match option {
             "admin" => self.address = arguments.parsed()?,
             "token-file" => self.token_file = Some(arguments.value()?.into()),
@@ -51,7 +55,7 @@
         Ok(true)
     }
 
-    /// A client for these options.
+    /// Creates a client with these options; reads the token file.
     pub fn client(&self) -> Result<AdminClient, Failure> {
         let token = match &self.token_file {
             None => None,
@@ -76,12 +80,12 @@
 }
 
 impl AdminClient {
-    /// Reads a page.
+    /// Sends a GET request.
     pub async fn get(&self, path: &str) -> Result<Value, Failure> {
         self.send(Method::GET, path, None).await
     }
 
-    /// Sends a document to a page.
+    /// Sends a POST request with a JSON document.
     pub async fn post(&self, path: &str, document: &Value) -> Result<Value, Failure> {
         self.send(Method::POST, path, Some(document)).await
     }
@@ -103,11 +107,11 @@
         let response = request.send().await?;
         let status = response.status();
         let text = response.text().await?;
-        accept(status, &text)
+        parse_response(status, &text)
     }
 }
 
-fn accept(status: StatusCode, text: &str) -> Result<Value, Failure> {
+fn parse_response(status: StatusCode, text: &str) -> Result<Value, Failure> {
     let document = serde_json::from_str(text).unwrap_or_else(|_| Value::String(text.to_owned()));
     if status.is_success() {
         return Ok(document);
--- a/crates/stairward/src/arguments.rs
+++ b/crates/stairward/src/arguments.rs
@@ -1,4 +1,4 @@
-//! Reading the command line with `lexopt`.
+//! Parses the command line with `lexopt`.
 
 use std::ffi::OsString;
 use std::str::FromStr;
@@ -7,28 +7,28 @@
 
 use crate::failure::{Failure, UsageSnafu};
 
-/// What is left of the command line.
+/// The arguments that have not been read yet.
 pub struct Arguments {
     parser: Parser,
 }
 
-/// One thing found on the command line.
+/// An argument of the command line.
 pub enum Argument {
     /// An option, without its dashes.
     Option(String),
-    /// A value that belongs to no option.
+    /// A positional value.
     Value(String),
 }
 
 impl Arguments {
-    /// Reads the words of a command line, without the program's name.
-    pub fn new(words: impl IntoIterator<Item = OsString>) -> Self {
+    /// Parses the arguments of a command line, without the program's name.
+    pub fn new(arguments: impl IntoIterator<Item = OsString>) -> Self {
         Self {
-            parser: Parser::from_args(words),
+            parser: Parser::from_args(arguments),
         }
     }
 
-    /// The command's name; `None` when help is asked for or nothing is given.
+    /// The command's name; `None` if help is requested or there are no arguments.
     pub fn command(&mut self) -> Result<Option<String>, Failure> {
         match self.parser.next()? {
             None | Some(Arg::Long("help") | Arg::Short('h')) => Ok(None),
@@ -37,7 +37,7 @@
         }
     }
 
-    /// The next option or value.
+    /// The next option or positional value.
     pub fn next(&mut self) -> Result<Option<Argument>, Failure> {
         Ok(match self.parser.next()? {
             None => None,
@@ -48,12 +48,12 @@
         })
     }
 
-    /// The text that belongs to the option just read.
+    /// The value of the option just read, as text.
     pub fn value(&mut self) -> Result<String, Failure> {
         Ok(self.parser.value()?.string()?)
     }
 
-    /// The value that belongs to the option just read.
+    /// The value of the option just read, parsed.
     pub fn parsed<T>(&mut self) -> Result<T, Failure>
     where
         T: FromStr,
@@ -63,11 +63,11 @@
     }
 }
 
-/// The failure for an option or value that the command does not take.
+/// Fails because the command does not accept an option or value.
 pub fn unexpected<T>(argument: &Argument) -> Result<T, Failure> {
     let message = match argument {
-        Argument::Option(name) => format!("there is no option --{name}"),
-        Argument::Value(value) => format!("{value:?} is not expected here"),
+        Argument::Option(name) => format!("unknown option --{name}"),
+        Argument::Value(value) => format!("unexpected argument {value:?}"),
     };
     UsageSnafu { message }.fail()
 }
--- a/crates/stairward/src/command/backend.rs
+++ b/crates/stairward/src/command/backend.rs
@@ -1,4 +1,4 @@
-//! `stairward backend`: list back ends, or mark them as joining or leaving.
+//! `stairward backend`: lists back ends and changes their admin state.
 
 use serde_json::{Value, json};
 
@@ -25,44 +25,44 @@
 /// Runs the command.
 pub fn run(mut arguments: Arguments, output: &mut Output<'_>) -> Result<u8, Failure> {
     let mut admin = AdminOptions::new();
-    let mut words = Vec::new();
+    let mut operands = Vec::new();
     while let Some(argument) = arguments.next()? {
         match &argument {
             Argument::Option(name) if name == "help" => {
                 output.text(&format!("{HELP}{OPTIONS_HELP}"));
                 return Ok(EXIT_SUCCESS);
             }
-            Argument::Option(name) if admin.take(name, &mut arguments)? => {}
-            Argument::Value(word) => words.push(word.clone()),
+            Argument::Option(name) if admin.parse_option(name, &mut arguments)? => {}
+            Argument::Value(operand) => operands.push(operand.clone()),
             Argument::Option(_) => return unexpected(&argument),
         }
     }
     let client = admin.client()?;
-    let words: Vec<&str> = words.iter().map(String::as_str).collect();
-    match words.as_slice() {
+    let operands: Vec<&str> = operands.iter().map(String::as_str).collect();
+    match operands.as_slice() {
         ["list"] => list(&client, admin.json, output),
-        ["join", backend] => mark(&client, (backend, "joining"), admin.json, output),
-        ["activate", backend] => mark(&client, (backend, "active"), admin.json, output),
-        ["leave", backend] => mark(&client, (backend, "leaving"), admin.json, output),
+        ["join", backend] => set_admin_state(&client, (backend, "joining"), admin.json, output),
+        ["activate", backend] => set_admin_state(&client, (backend, "active"), admin.json, output),
+        ["leave", backend] => set_admin_state(&client, (backend, "leaving"), admin.json, output),
         _ => UsageSnafu {
-            message: "say list, or join, activate or leave with a name",
+            message: "expected list, or join, activate or leave with the name of a back end",
         }
         .fail(),
     }
 }
 
-fn mark(
+fn set_admin_state(
     client: &AdminClient,
     (backend, admin_state): (&str, &str),
     as_json: bool,
     output: &mut Output<'_>,
 ) -> Result<u8, Failure> {
     let document = json!({ "admin_state": admin_state });
-    let accepted = block_on(client.post(&format!("/backends/{backend}"), &document))?;
+    let response = block_on(client.post(&format!("/backends/{backend}"), &document))?;
     if as_json {
-        output.json(&accepted);
+        output.json(&response);
     } else {
-        let revision = &accepted["revision"];
+        let revision = &response["revision"];
         output.line(&format!(
             "{backend} is {admin_state} from revision {revision}"
         ));
@@ -79,16 +79,16 @@
     for backend in backends.as_array().into_iter().flatten() {
         output.line(&format!(
             "{:<28} {:<20} {:<12} {:<10} {}",
-            text(&backend["backend"]),
-            text(&backend["group"]),
-            text(&backend["zone"]),
-            text(&backend["admin_state"]),
-            text(&backend["address"]),
+            str_or_empty(&backend["backend"]),
+            str_or_empty(&backend["group"]),
+            str_or_empty(&backend["zone"]),
+            str_or_empty(&backend["admin_state"]),
+            str_or_empty(&backend["address"]),
         ));
     }
     Ok(EXIT_SUCCESS)
 }
 
-fn text(value: &Value) -> &str {
+fn str_or_empty(value: &Value) -> &str {
     value.as_str().unwrap_or_default()
 }
--- a/crates/stairward/src/command/check.rs
+++ b/crates/stairward/src/command/check.rs
@@ -1,4 +1,4 @@
-//! `stairward check`: validate a process file or a settings tree.
+//! `stairward check`: validates process files and settings trees.
 
 use std::path::PathBuf;
 
@@ -41,7 +41,7 @@
     }
     if files.is_empty() {
         return UsageSnafu {
-            message: "name the file to check",
+            message: "FILE is missing",
         }
         .fail();
     }
@@ -60,6 +60,7 @@
     Ok(if all_valid { 0 } else { EXIT_FAULT_FOUND })
 }
 
+/// Checks a file; with `with_named_files`, also the files that a process file names.
 fn check(file: PathBuf, with_named_files: bool) -> CheckReport {
     let mut report = check_file(&file);
     if with_named_files
--- a/crates/stairward/src/command/demo.rs
+++ b/crates/stairward/src/command/demo.rs
@@ -1,4 +1,4 @@
-//! `stairward demo`: run a whole site on loopback addresses and check every answer.
+//! `stairward demo`: runs a whole site on loopback addresses and checks every answer.
 
 use std::io::IsTerminal as _;
 use std::net::SocketAddr;
@@ -40,7 +40,7 @@
   --log FILTER      log level or filter, on standard error [error]
 ";
 
-/// Longest load accepted, in seconds.
+/// Maximum duration of the load, in seconds.
 const MAXIMUM_SECONDS: u64 = 24 * 60 * 60;
 
 struct DemoArguments {
@@ -55,7 +55,7 @@
     log: String,
 }
 
-fn usage(error: impl std::fmt::Display) -> Failure {
+fn usage_error(error: impl std::fmt::Display) -> Failure {
     UsageSnafu {
         message: error.to_string(),
     }
@@ -64,11 +64,11 @@
 
 /// Runs the command.
 pub fn run(arguments: Arguments, output: &mut Output<'_>) -> Result<u8, Failure> {
-    let Some(demo) = read(arguments)? else {
+    let Some(demo) = parse_arguments(arguments)? else {
         output.text(HELP);
         return Ok(EXIT_SUCCESS);
     };
-    logging::start(&demo.log, LogFormat::Text);
+    logging::initialize(&demo.log, LogFormat::Text);
     if demo.serve {
         return block_on(serve(demo, output));
     }
@@ -94,10 +94,10 @@
     })
 }
 
-/// The options; none when help is asked for.
-fn read(mut arguments: Arguments) -> Result<Option<DemoArguments>, Failure> {
+/// Parses the options; `None` if help is requested.
+fn parse_arguments(mut arguments: Arguments) -> Result<Option<DemoArguments>, Failure> {
     let mut demo = DemoArguments {
-        site: Site::named("lintas").map_err(usage)?,
+        site: Site::named("lintas").map_err(usage_error)?,
         seconds: 10,
         seed: 1,
         faults: Vec::new(),
@@ -113,12 +113,12 @@
         };
         match name.as_str() {
             "help" => return Ok(None),
-            "site" => demo.site = Site::named(&arguments.value()?).map_err(usage)?,
+            "site" => demo.site = Site::named(&arguments.value()?).map_err(usage_error)?,
             "seconds" => demo.seconds = arguments.parsed()?,
             "seed" => demo.seed = arguments.parsed()?,
             "fault" => {
                 let name = arguments.value()?;
-                let kinds = FaultKind::parse_list([name.as_str()]).map_err(usage)?;
+                let kinds = FaultKind::parse_list([name.as_str()]).map_err(usage_error)?;
                 demo.faults.extend(kinds);
             }
             "lag-ms" => demo.replica_lag = Duration::from_millis(arguments.parsed()?),
@@ -130,7 +130,9 @@
         }
     }
     if demo.seconds == 0 || demo.seconds > MAXIMUM_SECONDS {
-        return Err(usage(format!("--seconds takes 1 to {MAXIMUM_SECONDS}")));
+        return Err(usage_error(format!(
+            "--seconds must be between 1 and {MAXIMUM_SECONDS}"
+        )));
     }
     Ok(Some(demo))
 }
@@ -176,6 +178,8 @@
     Box::new(error)
 }
 
+/// Runs the demo cluster without load until SIGTERM or SIGINT. Prints a line with the
+/// addresses of all proxies once the cluster is ready.
 async fn serve(demo: DemoArguments, output: &mut Output<'_>) -> Result<u8, Failure> {
     let mut terminate = signal(SignalKind::terminate())
         .map_err(boxed)
--- a/crates/stairward/src/command/mod.rs
+++ b/crates/stairward/src/command/mod.rs
@@ -1,4 +1,4 @@
-//! One module a command.
+//! The commands, one module each.
 
 pub mod backend;
 pub mod check;
@@ -13,12 +13,12 @@
 
 use crate::failure::{Failure, StartSnafu};
 
-/// Runs a command's asynchronous part on a runtime with a thread a core.
-fn block_on<T>(work: impl Future<Output = Result<T, Failure>>) -> Result<T, Failure> {
+/// Runs a command's asynchronous part on a runtime with one worker thread per core.
+fn block_on<T>(future: impl Future<Output = Result<T, Failure>>) -> Result<T, Failure> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build()
         .map_err(|error| Box::new(error) as Box<dyn std::error::Error + Send + Sync>)
         .context(StartSnafu)?;
-    runtime.block_on(work)
+    runtime.block_on(future)
 }
--- a/crates/stairward/src/command/serve.rs
+++ b/crates/stairward/src/command/serve.rs
@@ -46,17 +46,18 @@
         }
         .fail();
     };
-    let settings = load(&file)?;
+    let settings = load_process_file(&file)?;
     let format = match settings.log.format {
         SettingsLogFormat::Text => LogFormat::Text,
         SettingsLogFormat::Json => LogFormat::Json,
     };
-    logging::start(settings.log.level, format);
+    logging::initialize(settings.log.level, format);
     block_on(serve(settings, file))?;
     Ok(EXIT_SUCCESS)
 }
 
-fn load(file: &PathBuf) -> Result<ProcessSettings, Failure> {
+/// Loads a process file; prints its problems to standard error if it is invalid.
+fn load_process_file(file: &PathBuf) -> Result<ProcessSettings, Failure> {
     ProcessSettings::load(file).map_err(|problems| {
         for problem in &problems {
             let line = problem
@@ -73,16 +74,16 @@
     Box::new(error)
 }
 
-fn on_signal(kind: SignalKind) -> Result<Signal, Failure> {
+fn listen_for_signal(kind: SignalKind) -> Result<Signal, Failure> {
     signal(kind)
         .map_err(|error| Box::new(error) as Box<dyn std::error::Error + Send + Sync>)
         .context(StartSnafu)
 }
 
 async fn serve(settings: ProcessSettings, file: PathBuf) -> Result<(), Failure> {
-    let mut terminate = on_signal(SignalKind::terminate())?;
-    let mut interrupt = on_signal(SignalKind::interrupt())?;
-    let mut hang_up = on_signal(SignalKind::hangup())?;
+    let mut terminate = listen_for_signal(SignalKind::terminate())?;
+    let mut interrupt = listen_for_signal(SignalKind::interrupt())?;
+    let mut hang_up = listen_for_signal(SignalKind::hangup())?;
     let listeners = NodeListeners::bind(&settings)
         .await
         .map_err(boxed)
@@ -102,19 +103,15 @@
     Ok(())
 }
 
-/// Reads the files again. What can't be read leaves those in use.
+/// Reloads the files that the process file names. If that fails, the files in use stay in use.
 fn reload(node: &Node, file: &PathBuf) {
-    let renewed = load(file).map_err(|failure| failure.to_string());
-    let result = renewed.and_then(|settings| {
+    let reloaded = load_process_file(file).map_err(|failure| failure.to_string());
+    let result = reloaded.and_then(|settings| {
         node.reload_files(&settings)
             .map_err(|error| error.to_string())
     });
     if let Err(reason) = result {
         let event = stairward_types::LogEvent::ConfigurationRefused.number();
-        tracing::warn!(
-            event,
-            reason,
-            "files could not be read again; those in use stay"
-        );
+        tracing::warn!(event, reason, "cannot reload files; keeping those in use");
     }
 }
--- a/crates/stairward/src/command/settings.rs
+++ b/crates/stairward/src/command/settings.rs
@@ -1,4 +1,4 @@
-//! `stairward settings`: read and edit the settings tree through a node's admin interface.
+//! `stairward settings`: reads and edits the settings tree through a node's admin interface.
 
 use std::path::Path;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -47,7 +47,7 @@
 pub fn run(mut arguments: Arguments, output: &mut Output<'_>) -> Result<u8, Failure> {
     let mut admin = AdminOptions::new();
     let mut edit = EditOptions::default();
-    let mut words = Vec::new();
+    let mut operands = Vec::new();
     while let Some(argument) = arguments.next()? {
         match &argument {
             Argument::Option(name) if name == "help" => {
@@ -60,14 +60,14 @@
             Argument::Option(name) if name == "change-id" => {
                 edit.change_id = Some(arguments.parsed()?);
             }
-            Argument::Option(name) if admin.take(name, &mut arguments)? => {}
-            Argument::Value(word) => words.push(word.clone()),
+            Argument::Option(name) if admin.parse_option(name, &mut arguments)? => {}
+            Argument::Value(operand) => operands.push(operand.clone()),
             Argument::Option(_) => return unexpected(&argument),
         }
     }
     let client = admin.client()?;
-    let words: Vec<&str> = words.iter().map(String::as_str).collect();
-    let answer = match words.as_slice() {
+    let operands: Vec<&str> = operands.iter().map(String::as_str).collect();
+    let response = match operands.as_slice() {
         ["tree"] => block_on(client.get("/settings"))?,
         ["history"] => block_on(client.get("/settings/history"))?,
         ["get", path] => block_on(client.get(&format!("/settings?path={path}")))?,
@@ -83,15 +83,15 @@
         ["import", file] => block_on(import(&client, &edit, Path::new(file)))?,
         _ => {
             let message =
-                "say get, set, unset, import, tree or history; see stairward settings --help";
+                "expected get, set, unset, import, tree or history; see stairward settings --help";
             return UsageSnafu { message }.fail();
         }
     };
-    output.document(&answer, admin.json);
+    output.document(&response, admin.json);
     Ok(EXIT_SUCCESS)
 }
 
-/// Numbers and truth values are sent as such, everything else as text.
+/// Parses numbers and Booleans as JSON; everything else is text.
 fn parse_value(text: &str) -> Value {
     match serde_json::from_str::<Value>(text) {
         Ok(value @ (Value::Number(_) | Value::Bool(_))) => value,
@@ -128,32 +128,33 @@
     client.post("/settings/edits", &edit).await
 }
 
-/// What `GET /settings` tells.
+/// The response of `GET /settings`.
 #[derive(Deserialize)]
 struct HeldSettings {
     revision: Revision,
     tree: SettingsTree,
 }
 
-/// Makes the tree equal to a file's. Sends nothing when it is already.
+/// Makes the settings tree equal to the tree in a file. Sends no edit if they are equal already.
 async fn import(
     client: &AdminClient,
     options: &EditOptions,
     file: &Path,
 ) -> Result<Value, Failure> {
     let text = std::fs::read_to_string(file).context(FileSnafu { path: file })?;
-    let wanted = SettingsTree::from_toml(&text).map_err(|_| refused_file(file, &text))?;
-    let held = held_settings(client, options).await?;
-    let changes = held.tree.changes_to(&wanted);
+    let target = SettingsTree::from_toml(&text).map_err(|_| invalid_settings_file(file, &text))?;
+    let current = current_settings(client, options).await?;
+    let changes = current.tree.changes_to(&target);
     if changes.is_empty() {
-        return Ok(json!({ "revision": held.revision, "changes": 0 }));
+        return Ok(json!({ "revision": current.revision, "changes": 0 }));
     }
-    let based_on = options.based_on.map_or(held.revision, Revision);
+    let based_on = options.based_on.map_or(current.revision, Revision);
     send_edit(client, options, &json!(based_on), &json!(changes)).await
 }
 
-/// The settings in force; empty ones when the operator says that there are none.
-async fn held_settings(
+/// The node's settings; empty without asking the node if the edit is based on revision 0, that is,
+/// if the store holds no settings yet.
+async fn current_settings(
     client: &AdminClient,
     options: &EditOptions,
 ) -> Result<HeldSettings, Failure> {
@@ -163,14 +164,14 @@
             tree: SettingsTree::new(),
         });
     }
-    let answer = client.get("/settings").await?;
-    serde_json::from_value(answer).map_err(|error| {
-        let message = format!("the node's settings cannot be read: {error}");
+    let response = client.get("/settings").await?;
+    serde_json::from_value(response).map_err(|error| {
+        let message = format!("cannot parse the node's settings: {error}");
         RefusedSnafu { message }.build()
     })
 }
 
-fn refused_file(file: &Path, text: &str) -> Failure {
+fn invalid_settings_file(file: &Path, text: &str) -> Failure {
     let report = check_text(file, text).to_string();
     RefusedSnafu {
         message: report.trim_end(),
@@ -178,7 +179,8 @@
     .build()
 }
 
-/// Microseconds since 1970: unique enough among operators, and the store refuses a clash.
+/// Microseconds since 1970. Two operators are unlikely to use the same number, and the store
+/// refuses a duplicate.
 fn change_id_from_clock() -> u64 {
     let since_epoch = SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/crates/stairward/src/command/status.rs
+++ b/crates/stairward/src/command/status.rs
@@ -1,4 +1,4 @@
-//! `stairward status`: show what a node knows and does.
+//! `stairward status`: shows a node's state.
 
 use super::block_on;
 use crate::admin_client::{AdminOptions, OPTIONS_HELP};
@@ -23,7 +23,7 @@
                 output.text(&format!("{HELP}{OPTIONS_HELP}"));
                 return Ok(EXIT_SUCCESS);
             }
-            Argument::Option(name) if admin.take(name, &mut arguments)? => {}
+            Argument::Option(name) if admin.parse_option(name, &mut arguments)? => {}
             _ => return unexpected(&argument),
         }
     }
--- a/crates/stairward/src/failure.rs
+++ b/crates/stairward/src/failure.rs
@@ -1,83 +1,83 @@
-//! Why a command could not do its work, and the exit code that says so.
+//! The errors of commands and their exit codes.
 
 use std::path::PathBuf;
 
 use snafu::Snafu;
 use stairward_types::ResultCode;
 
-/// The command did its work.
+/// The command succeeded.
 pub const EXIT_SUCCESS: u8 = 0;
-/// The command ran and found a fault.
+/// The command ran and found a fault, or a node refused its request.
 pub const EXIT_FAULT_FOUND: u8 = 1;
-/// The command line is wrong.
+/// The command line is invalid.
 pub const EXIT_USAGE: u8 = 2;
-/// Something that the command needs cannot be reached.
+/// A file, node or other resource that the command needs is unavailable.
 pub const EXIT_UNREACHABLE: u8 = 3;
 
-/// Why a command could not do its work.
+/// An error of a command.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum Failure {
-    /// An option is unknown or lacks its value.
+    /// The command-line parser rejected an option or its value.
     #[snafu(display("SW{}: {source}", ResultCode::InvalidCommandLine.number()), context(false))]
     Option {
-        /// What the parser said.
+        /// The parser's error.
         source: lexopt::Error,
     },
-    /// There is no such command.
+    /// The command does not exist.
     #[snafu(display(
-        "SW{}: there is no command {name:?}; see stairward --help",
+        "SW{}: unknown command {name:?}; see stairward --help",
         ResultCode::InvalidCommandLine.number()
     ))]
     UnknownCommand {
         /// The name given.
         name: String,
     },
-    /// The options don't fit together, or one is missing.
+    /// An argument is missing, unexpected or out of range.
     #[snafu(display("SW{}: {message}", ResultCode::InvalidCommandLine.number()))]
     Usage {
-        /// What is wrong.
+        /// Description of the problem.
         message: String,
     },
-    /// A file can't be read.
+    /// A file cannot be read.
     #[snafu(display("{}: {source}", path.display()))]
     File {
-        /// Which file.
+        /// The file.
         path: PathBuf,
-        /// What the system said.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// The process file is not valid; the problems have been printed.
+    /// The process file is invalid; its problems have already been printed.
     #[snafu(display("{}: {}", ResultCode::InvalidProcessFile, path.display()))]
     InvalidProcessFile {
-        /// Which file.
+        /// The file.
         path: PathBuf,
     },
-    /// A node could not be started.
+    /// A node, a demo or the runtime of a command could not be started.
     #[snafu(display("the node cannot start: {source}"))]
     Start {
-        /// Why.
+        /// The cause.
         source: Box<dyn std::error::Error + Send + Sync>,
     },
-    /// The node's admin interface does not answer.
+    /// The request to the node's admin interface failed.
     #[snafu(
-        display("the admin interface does not answer: {source}"),
+        display("request to the admin interface failed: {source}"),
         context(false)
     )]
     Admin {
-        /// What the HTTP client said.
+        /// The HTTP client's error.
         source: reqwest::Error,
     },
-    /// The node's admin interface refused.
+    /// The node's admin interface refused a request, or a settings file is invalid.
     #[snafu(display("{message}"))]
     Refused {
-        /// What it said, with its number.
+        /// The reason, including any result code.
         message: String,
     },
 }
 
 impl Failure {
-    /// The exit code for this failure.
+    /// The exit code of this error.
     pub fn exit_code(&self) -> u8 {
         match self {
             Self::Option { .. } | Self::UnknownCommand { .. } | Self::Usage { .. } => EXIT_USAGE,
--- a/crates/stairward/src/lib.rs
+++ b/crates/stairward/src/lib.rs
@@ -1,8 +1,8 @@
 //! The `stairward` command line.
 //!
-//! Each command is a module in `command`; [`run`] only picks one and turns its result into an exit
-//! code. The codes are listed in docs/RESULT_CODES.md. What a command prints goes to the output it is
-//! given, so that it can be tested without a process.
+//! Each command is a module of `command`; [`run`] selects one and turns its result into an exit
+//! code. The codes are listed in docs/RESULT_CODES.md. Commands print to a writer that the caller
+//! passes, so that tests can run them without starting a process.
 
 #![forbid(unsafe_code)]
 
@@ -36,22 +36,22 @@
 `stairward COMMAND --help` describes a command.
 ";
 
-/// Runs the command line given, without the program's name. What it prints goes to `output`, errors
-/// to standard error. Returns the exit code.
+/// Runs a command line, given without the program's name. Prints results to `output` and errors to
+/// standard error. Returns the exit code.
 pub fn run(
-    words: impl IntoIterator<Item = OsString>,
+    arguments: impl IntoIterator<Item = OsString>,
     output: &mut (dyn std::io::Write + Send),
 ) -> ExitCode {
-    ExitCode::from(run_to_code(words, output))
+    ExitCode::from(run_to_exit_code(arguments, output))
 }
 
-/// The same, with the exit code as a number.
-pub fn run_to_code(
-    words: impl IntoIterator<Item = OsString>,
+/// Like [`run`], but returns the exit code as a number.
+pub fn run_to_exit_code(
+    arguments: impl IntoIterator<Item = OsString>,
     output: &mut (dyn std::io::Write + Send),
 ) -> u8 {
     let mut output = Output::new(output);
-    run_command(Arguments::new(words), &mut output).unwrap_or_else(|failure| {
+    run_command(Arguments::new(arguments), &mut output).unwrap_or_else(|failure| {
         eprintln!("stairward: {failure}");
         failure.exit_code()
     })
--- a/crates/stairward/src/main.rs
+++ b/crates/stairward/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs the command line of this process.
+//! Entry point of the `stairward` program.
 
 #![forbid(unsafe_code)]
 
--- a/crates/stairward/tests/command_line.rs
+++ b/crates/stairward/tests/command_line.rs
@@ -1,33 +1,33 @@
-//! What the command line prints and which exit codes it gives.
+//! The output and exit codes of the command line.
 
 use std::ffi::OsString;
 use std::path::{Path, PathBuf};
 
 const COMMANDS: [&str; 6] = ["serve", "check", "demo", "settings", "backend", "status"];
 
-/// Runs a command line; gives its exit code and what it printed.
-fn run(words: &[&str]) -> (u8, String) {
-    let words: Vec<OsString> = words.iter().map(OsString::from).collect();
+/// Runs a command line; returns its exit code and what it printed.
+fn run(arguments: &[&str]) -> (u8, String) {
+    let arguments: Vec<OsString> = arguments.iter().map(OsString::from).collect();
     let mut printed = Vec::new();
-    let code = stairward::run_to_code(words, &mut printed);
+    let code = stairward::run_to_exit_code(arguments, &mut printed);
     (
         code,
-        String::from_utf8(printed).expect("commands print UTF-8"),
+        String::from_utf8(printed).expect("output is not UTF-8"),
     )
 }
 
-fn repository() -> PathBuf {
+fn repository_root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-fn file_with(name: &str, text: &str) -> PathBuf {
+fn write_file(name: &str, text: &str) -> PathBuf {
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
-    std::fs::write(&path, text).expect("the file can be written");
+    std::fs::write(&path, text).expect("cannot write the file");
     path
 }
 
 #[test]
-fn help_lists_every_command_and_each_command_has_its_own() {
+fn help_lists_every_command_and_each_command_has_help() {
     let (code, help) = run(&["--help"]);
     assert_eq!(code, 0);
     for command in COMMANDS {
@@ -45,8 +45,8 @@
 }
 
 #[test]
-fn a_wrong_command_line_ends_with_2() {
-    for words in [
+fn an_invalid_command_line_exits_with_2() {
+    for arguments in [
         &["fly"][..],
         &["serve"],
         &["check"],
@@ -58,19 +58,19 @@
         &["backend", "join"],
         &["status", "surplus"],
     ] {
-        assert_eq!(run(words).0, 2, "{words:?}");
+        assert_eq!(run(arguments).0, 2, "{arguments:?}");
     }
 }
 
 #[test]
-fn the_examples_are_valid() {
+fn check_accepts_the_example_files() {
     for (name, kind) in [
         ("lintas.toml", "settings tree"),
         ("krvny-most.toml", "settings tree"),
         ("node.toml", "process file"),
     ] {
-        let path = repository().join("examples").join(name);
-        let (code, printed) = run(&["check", path.to_str().expect("a UTF-8 path")]);
+        let path = repository_root().join("examples").join(name);
+        let (code, printed) = run(&["check", path.to_str().expect("path is not UTF-8")]);
         assert_eq!(code, 0, "{printed}");
         assert!(printed.contains(kind), "{printed}");
     }
@@ -80,8 +80,8 @@
 fn check_prints_every_problem_with_its_line_and_code() {
     let text =
         "[node]\nregion = \"south\"\nzone = \"Kul A\"\nflavour = 3\n\n[listen]\nclient = 5\n";
-    let path = file_with("bad-node.toml", text);
-    let (code, printed) = run(&["check", path.to_str().expect("a UTF-8 path")]);
+    let path = write_file("bad-node.toml", text);
+    let (code, printed) = run(&["check", path.to_str().expect("path is not UTF-8")]);
     assert_eq!(code, 1);
     for line in [3, 4, 7] {
         let place = format!("bad-node.toml:{line}: ");
@@ -97,9 +97,9 @@
 }
 
 #[test]
-fn check_prints_json_for_programs() {
-    let path = file_with("bad-tree.toml", "[root]\nslots = \"many\"\n");
-    let (code, printed) = run(&["check", "--json", path.to_str().expect("a UTF-8 path")]);
+fn check_prints_json() {
+    let path = write_file("bad-tree.toml", "[root]\nslots = \"many\"\n");
+    let (code, printed) = run(&["check", "--json", path.to_str().expect("path is not UTF-8")]);
     assert_eq!(code, 1);
     let reports: serde_json::Value = serde_json::from_str(&printed).expect("JSON");
     assert_eq!(reports[0]["valid"], false);
@@ -108,17 +108,22 @@
 }
 
 #[test]
-fn a_node_that_does_not_answer_ends_with_3() {
-    // Port 1 on loopback is not listened on.
+fn an_unreachable_node_exits_with_3() {
+    // Nothing listens on port 1 of the loopback address.
     let (code, _) = run(&["status", "--admin", "127.0.0.1:1"]);
     assert_eq!(code, 3);
 }
 
 #[test]
-fn serve_refuses_a_bad_process_file() {
-    let path = file_with("no-node.toml", "[listen]\n");
+fn serve_rejects_an_invalid_process_file() {
+    let path = write_file("no-node.toml", "[listen]\n");
     assert_eq!(
-        run(&["serve", "--config", path.to_str().expect("a UTF-8 path")]).0,
+        run(&[
+            "serve",
+            "--config",
+            path.to_str().expect("path is not UTF-8")
+        ])
+        .0,
         1
     );
 }
--- a/crates/stairward/tests/settings_commands.rs
+++ b/crates/stairward/tests/settings_commands.rs
@@ -1,4 +1,5 @@
-//! The settings commands against a node and the platform's stand-in, from an empty store on.
+//! The settings commands, run against a node and a stand-in for the platform's store that is empty
+//! at first.
 
 use std::ffi::OsString;
 use std::net::SocketAddr;
@@ -16,10 +17,10 @@
 /// A service of the Lintas example.
 const SERVICE: &str = "region/malaysia/service/reader-core";
 
-/// Gives up on a node that never takes settings over.
+/// Fails the test if a node never applies the settings.
 const HANG_GUARD: Duration = Duration::from_secs(60);
 
-/// A node on a store, and the runtime that the store runs on.
+/// A node, its store and the runtime on which the store runs.
 struct Fixture {
     runtime: Runtime,
     store: PlatformStandin,
@@ -30,14 +31,14 @@
     fn start() -> Self {
         let runtime = Runtime::new().expect("threads");
         let store = PlatformStandin::start(PlatformStandinConfig::default());
-        let store = runtime.block_on(store).expect("a free port");
+        let store = runtime.block_on(store).expect("cannot start the store");
         let settings = ProcessSettings::embedded(
-            RegionName::new("malaysia").expect("a name"),
-            ZoneName::new("kul-a").expect("a name"),
+            RegionName::new("malaysia").expect("invalid name"),
+            ZoneName::new("kul-a").expect("invalid name"),
             vec![store.address()],
             Secret::new("a key for this test only"),
         );
-        let node = EmbeddedNode::start(&settings).expect("a node");
+        let node = EmbeddedNode::start(&settings).expect("cannot start the node");
         Self {
             runtime,
             store,
@@ -49,24 +50,24 @@
         self.node.addresses().admin
     }
 
-    /// Runs `settings` with these words; gives the exit code and the JSON that it printed.
-    fn run(&self, words: &[&str]) -> (u8, Value) {
+    /// Runs `stairward settings`; returns the exit code and the JSON that it printed.
+    fn run(&self, arguments: &[&str]) -> (u8, Value) {
         let admin = self.admin().to_string();
-        let words: Vec<OsString> = ["settings", "--json", "--admin", &admin]
+        let arguments: Vec<OsString> = ["settings", "--json", "--admin", &admin]
             .iter()
-            .chain(words)
+            .chain(arguments)
             .map(OsString::from)
             .collect();
         let mut printed = Vec::new();
-        let code = stairward::run_to_code(words, &mut printed);
+        let code = stairward::run_to_exit_code(arguments, &mut printed);
         (code, serde_json::from_slice(&printed).unwrap_or_default())
     }
 
-    /// Runs a command until the node answers with this revision.
-    fn run_until(&self, revision: u64, words: &[&str]) -> Value {
+    /// Repeats a command until the node answers with this revision.
+    fn run_until(&self, revision: u64, arguments: &[&str]) -> Value {
         let started = Instant::now();
         loop {
-            let (_, answer) = self.run(words);
+            let (_, answer) = self.run(arguments);
             if answer["revision"] == revision {
                 return answer;
             }
@@ -75,32 +76,32 @@
         }
     }
 
-    fn end(self) {
+    fn shut_down(self) {
         self.node.kill();
         self.runtime.block_on(self.store.shutdown());
     }
 }
 
-fn example(name: &str) -> PathBuf {
+fn example_path(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("../../examples")
         .join(name)
 }
 
 #[test]
-fn an_operator_brings_settings_into_an_empty_store_and_changes_them() {
+fn settings_are_imported_into_an_empty_store_and_edited() {
     let fixture = Fixture::start();
-    let lintas = example("lintas.toml");
-    let lintas = lintas.to_str().expect("a path in UTF-8");
-    let (code, made) = fixture.run(&["import", lintas, "--based-on", "0"]);
-    assert_eq!((code, &made["revision"]), (0, &json!(1)), "{made}");
+    let lintas = example_path("lintas.toml");
+    let lintas = lintas.to_str().expect("path is not UTF-8");
+    let (code, response) = fixture.run(&["import", lintas, "--based-on", "0"]);
+    assert_eq!((code, &response["revision"]), (0, &json!(1)), "{response}");
     let tree = fixture.run_until(1, &["tree"]);
     assert_eq!(tree["tree"][SERVICE]["slots"], 5);
     let (code, unchanged) = fixture.run(&["import", lintas]);
     assert_eq!((code, &unchanged["changes"]), (0, &json!(0)));
 
-    let (code, made) = fixture.run(&["set", SERVICE, "slots", "6", "--change-id", "7"]);
-    assert_eq!((code, &made["revision"]), (0, &json!(2)), "{made}");
+    let (code, response) = fixture.run(&["set", SERVICE, "slots", "6", "--change-id", "7"]);
+    assert_eq!((code, &response["revision"]), (0, &json!(2)), "{response}");
     let group = format!("{SERVICE}/group/reader-core-1");
     let explained = fixture.run_until(2, &["get", &group, "slots"]);
     let expected = json!([{
@@ -110,7 +111,7 @@
     }]);
     assert_eq!(explained["options"], expected);
 
-    let again = [
+    let repetition = [
         "set",
         SERVICE,
         "slots",
@@ -120,40 +121,40 @@
         "--based-on",
         "1",
     ];
-    let (code, repeated) = fixture.run(&again);
+    let (code, repeated) = fixture.run(&repetition);
     assert_eq!((code, &repeated["revision"]), (0, &json!(2)), "{repeated}");
-    let late = ["set", SERVICE, "slots", "7", "--based-on", "1"];
-    assert_eq!(fixture.run(&late).0, 1, "based on an old revision");
+    let outdated = ["set", SERVICE, "slots", "7", "--based-on", "1"];
+    assert_eq!(fixture.run(&outdated).0, 1, "based on an old revision");
     assert_eq!(fixture.run(&["set", SERVICE, "slots", "41"]).0, 1);
     assert_eq!(fixture.run(&["set", SERVICE, "slot", "4"]).0, 1);
 
-    let (code, made) = fixture.run(&["unset", SERVICE, "slots"]);
-    assert_eq!((code, &made["revision"]), (0, &json!(3)), "{made}");
+    let (code, response) = fixture.run(&["unset", SERVICE, "slots"]);
+    assert_eq!((code, &response["revision"]), (0, &json!(3)), "{response}");
     let history = fixture.run_until(3, &["history"]);
     assert_eq!(history["edits"].as_array().map(Vec::len), Some(3));
-    fixture.end();
+    fixture.shut_down();
 }
 
 #[test]
 fn an_import_whose_reply_is_lost_takes_effect_once() {
     let fixture = Fixture::start();
     fixture.store.inject(StoreFault::LoseNextReply);
-    let file = example("krvny-most.toml");
-    let file = file.to_str().expect("a path in UTF-8");
-    let (code, made) = fixture.run(&["import", file, "--based-on", "0"]);
-    assert_eq!((code, &made["revision"]), (0, &json!(1)), "{made}");
+    let file = example_path("krvny-most.toml");
+    let file = file.to_str().expect("path is not UTF-8");
+    let (code, response) = fixture.run(&["import", file, "--based-on", "0"]);
+    assert_eq!((code, &response["revision"]), (0, &json!(1)), "{response}");
     let history = fixture.run_until(1, &["history"]);
     assert_eq!(history["edits"].as_array().map(Vec::len), Some(1));
-    fixture.end();
+    fixture.shut_down();
 }
 
 #[test]
-fn a_file_that_is_not_valid_is_refused_before_anything_is_sent() {
+fn an_import_of_an_invalid_file_changes_nothing() {
     let fixture = Fixture::start();
-    let node_file = example("node.toml");
-    let node_file = node_file.to_str().expect("a path in UTF-8");
+    let node_file = example_path("node.toml");
+    let node_file = node_file.to_str().expect("path is not UTF-8");
     let (code, _) = fixture.run(&["import", node_file, "--based-on", "0"]);
     assert_eq!(code, 1);
     assert_ne!(fixture.run(&["tree"]).0, 0, "there are still no settings");
-    fixture.end();
+    fixture.shut_down();
 }
