--- a/crates/stairward-checker/src/checks/configuration_reverted.rs
+++ b/crates/stairward-checker/src/checks/configuration_reverted.rs
@@ -43,8 +43,8 @@
     }
 }
 
-/// Since when each proxy has been running without a fault of its own or of the store. A proxy is
-/// only expected to apply a revision in time when neither was disturbed meanwhile.
+/// Since when each proxy has been running without a fault of its own or of the store. Only a proxy
+/// without such a fault since a revision's acceptance must apply the revision within the limit.
 #[derive(Default)]
 struct ProxyHealth {
     store_is_faulty: bool,
--- a/crates/stairward-checker/src/checks/replaced_primary_ack.rs
+++ b/crates/stairward-checker/src/checks/replaced_primary_ack.rs
@@ -21,6 +21,7 @@
     }
 }
 
+/// Requests grouped by request key.
 type RequestsByKey<'a> = BTreeMap<&'a str, Vec<RequestId>>;
 
 fn requests_by_key<'a>(index: &Index<'a>) -> RequestsByKey<'a> {
--- a/crates/stairward-checker/src/checks/stop_cut_request.rs
+++ b/crates/stairward-checker/src/checks/stop_cut_request.rs
@@ -7,7 +7,7 @@
 use crate::recorder::History;
 use crate::report::{Invariant, Report};
 
-/// A planned stop of a proxy.
+/// A planned stop of a proxy; `ended_at` is [`Time::NEVER`] if the history does not record its end.
 struct Stop {
     proxy: NodeId,
     began_at: Time,
@@ -27,22 +27,22 @@
 
 fn planned_stops(history: &History) -> Vec<Stop> {
     let mut stops = Vec::new();
-    for (position, record) in history.records.iter().enumerate() {
+    for (record_index, record) in history.records.iter().enumerate() {
         if let HistoryEvent::StopBegan { proxy } = record.event {
-            stops.push(planned_stop(history, position, proxy, record.at));
+            stops.push(planned_stop(history, record_index, proxy, record.at));
         }
     }
     stops
 }
 
-fn planned_stop(history: &History, position: usize, proxy: NodeId, began_at: Time) -> Stop {
+fn planned_stop(history: &History, record_index: usize, proxy: NodeId, began_at: Time) -> Stop {
     let mut stop = Stop {
         proxy,
         began_at,
         ended_at: Time::NEVER,
-        undisturbed: !is_faulty_at(history, position, proxy),
+        undisturbed: !is_faulty_at(history, record_index, proxy),
     };
-    for record in &history.records[position..] {
+    for record in &history.records[record_index..] {
         match record.event {
             HistoryEvent::StopEnded { proxy: ended } if ended == proxy => {
                 stop.ended_at = record.at;
@@ -60,8 +60,9 @@
     stop
 }
 
-fn is_faulty_at(history: &History, position: usize, proxy: NodeId) -> bool {
-    let last = history.records[..position]
+/// Whether a fault isolates the proxy from its peers at this place in the history.
+fn is_faulty_at(history: &History, record_index: usize, proxy: NodeId) -> bool {
+    let last = history.records[..record_index]
         .iter()
         .rev()
         .find_map(|record| match record.event {
@@ -90,6 +91,9 @@
     }
 }
 
+/// How the stop interrupted a request, if it did. The caller's own proxy must not leave the request
+/// without an end, close its connection or refuse it because of the stop; an owner must not leave it
+/// without an answer.
 fn interruption_reason(
     stop: &Stop,
     request: &Request<'_>,
--- a/crates/stairward-checker/src/event.rs
+++ b/crates/stairward-checker/src/event.rs
@@ -110,8 +110,8 @@
         /// What it writes.
         writes: Vec<RowWritten>,
     },
-    /// A proxy forwarded a request to the owner of a back end. Recorded only where the run can
-    /// observe it.
+    /// A proxy forwarded a request to the owner of a back end. Recorded only where it can be
+    /// observed.
     RequestForwarded {
         /// The request.
         request: RequestId,
--- a/crates/stairward-checker/src/index.rs
+++ b/crates/stairward-checker/src/index.rs
@@ -41,7 +41,7 @@
     pub reads: &'a [RowSeen],
 }
 
-/// A back-end transaction in which statements of requests ran.
+/// A transaction of a back end. `requests` is empty if none of its statements belongs to a request.
 #[derive(Default)]
 pub(crate) struct BackendTransaction {
     pub requests: BTreeSet<RequestId>,
@@ -237,7 +237,7 @@
             .filter_map(|key| self.transactions.get(key))
     }
 
-    /// The commits of a request.
+    /// The commits of the back-end transactions in which statements of a request ran.
     pub(crate) fn commits_of(&self, request: RequestId) -> impl Iterator<Item = &Commit> {
         self.transactions_of(request)
             .filter_map(|transaction| transaction.commit.as_ref())
