--- a/crates/stairward-proxy/src/cluster.rs
+++ b/crates/stairward-proxy/src/cluster.rs
@@ -164,7 +164,7 @@
     }
 
     /// Sets until when the settings may be taken for the newest.
-    pub fn trust_settings_until(&self, moment: Time) {
+    pub fn set_settings_trusted_until(&self, moment: Time) {
         self.settings_trusted_until
             .store(moment.0, Ordering::Release);
     }
--- a/crates/stairward-proxy/src/control/configuration/driver.rs
+++ b/crates/stairward-proxy/src/control/configuration/driver.rs
@@ -358,7 +358,7 @@
         let now = self.cluster.clock.now();
         metrics::record(&self.spreader, now);
         self.cluster
-            .trust_settings_until(self.spreader.trusted_until(now));
+            .set_settings_trusted_until(self.spreader.trusted_until(now));
         self.outputs.status.send_replace(PublishedStatus {
             readiness: self.spreader.readiness(),
             source: self.spreader.source_status(now),
--- a/crates/stairward-proxy/src/control/configuration/handle.rs
+++ b/crates/stairward-proxy/src/control/configuration/handle.rs
@@ -117,7 +117,7 @@
     ///
     /// # Errors
     /// [`DriverStopped`] when it never will.
-    pub async fn ready(&self) -> Result<(), DriverStopped> {
+    pub async fn wait_until_ready(&self) -> Result<(), DriverStopped> {
         self.status
             .clone()
             .wait_for(|status| status.readiness == Readiness::Ready)
@@ -134,12 +134,12 @@
 
     /// Tells of a peer's revision learnt from a membership datagram. Dropped when the driver is
     /// busy, since the next datagram will tell it again.
-    pub fn heard(&self, from: NodeId, revision: Revision) {
+    pub fn note_peer_revision(&self, from: NodeId, revision: Revision) {
         let _ = self.inputs.try_send(Input::Heard { from, revision });
     }
 
     /// Answers a peer's [`stairward_protocol::call::CallRequest::ExchangeSettings`].
-    pub async fn answer(&self, from: NodeId, exchange: SettingsExchange) -> CallReply {
+    pub async fn handle_exchange(&self, from: NodeId, exchange: SettingsExchange) -> CallReply {
         let (reply, answer) = oneshot::channel();
         let input = Input::Asked {
             from,
--- a/crates/stairward-proxy/src/control/configuration/mod.rs
+++ b/crates/stairward-proxy/src/control/configuration/mod.rs
@@ -33,7 +33,7 @@
     platform: Arc<PlatformClient>,
     parameters: DisseminationParameters,
 ) -> (ConfigurationHandle, ConfigurationDriver) {
-    cluster.trust_settings_until(Time::ZERO);
+    cluster.set_settings_trusted_until(Time::ZERO);
     let (handle, inputs, outputs) = handle::connect(cluster.clone(), Arc::clone(&platform));
     let driver = ConfigurationDriver::new(cluster, network, platform, parameters, inputs, outputs);
     (handle, driver)
--- a/crates/stairward-proxy/src/control/membership/driver.rs
+++ b/crates/stairward-proxy/src/control/membership/driver.rs
@@ -74,7 +74,7 @@
         digests: broadcast::Sender<PeerDigest>,
         traffic: Arc<TrafficCounters>,
     ) -> std::io::Result<Self> {
-        let address = match options.advertised {
+        let address = match options.advertised_address {
             Some(address) => address,
             None => socket.local_addr()?,
         };
--- a/crates/stairward-proxy/src/control/membership/handle.rs
+++ b/crates/stairward-proxy/src/control/membership/handle.rs
@@ -20,9 +20,9 @@
 /// A request to the driver.
 #[derive(Debug)]
 pub(super) enum Request {
-    /// See [`MembershipHandle::list_machines`].
+    /// See [`MembershipHandle::set_machine_addresses`].
     ListMachines(Vec<SocketAddr>),
-    /// See [`MembershipHandle::peer_lost`].
+    /// See [`MembershipHandle::report_connection_lost`].
     PeerLost(NodeId),
     /// See [`MembershipHandle::announce_leaving`].
     AnnounceLeaving,
@@ -66,13 +66,13 @@
 
     /// Gives the addresses on the platform's list of machines, in place of those given before. They
     /// are only places to look for nodes at.
-    pub async fn list_machines(&self, addresses: Vec<SocketAddr>) {
+    pub async fn set_machine_addresses(&self, addresses: Vec<SocketAddr>) {
         self.request(Request::ListMachines(addresses)).await;
     }
 
     /// Tells that a connection to a peer was lost, so that it is probed at once. Dropped when the
     /// driver is busy, since it is only a hint.
-    pub fn peer_lost(&self, peer: NodeId) {
+    pub fn report_connection_lost(&self, peer: NodeId) {
         let _ = self.requests.try_send(Request::PeerLost(peer));
     }
 
--- a/crates/stairward-proxy/src/control/membership/mod.rs
+++ b/crates/stairward-proxy/src/control/membership/mod.rs
@@ -32,7 +32,7 @@
     /// Addresses at which other nodes may be found.
     pub seeds: Vec<SocketAddr>,
     /// The address others reach this node at, when it differs from the socket's own.
-    pub advertised: Option<SocketAddr>,
+    pub advertised_address: Option<SocketAddr>,
     /// Times and sizes of the protocol.
     pub config: SwimConfig,
 }
@@ -43,7 +43,7 @@
     pub fn with_seeds(seeds: Vec<SocketAddr>) -> Self {
         Self {
             seeds,
-            advertised: None,
+            advertised_address: None,
             config: SwimConfig::default(),
         }
     }
@@ -60,14 +60,14 @@
     key: ClusterKey,
     seeds: Vec<SocketAddr>,
 ) -> std::io::Result<MembershipHandle> {
-    run_with(cluster, socket, key, &MembershipOptions::with_seeds(seeds))
+    run_with_options(cluster, socket, key, &MembershipOptions::with_seeds(seeds))
 }
 
 /// The same with all options.
 ///
 /// # Errors
 /// From the socket, when it cannot name its address.
-pub fn run_with(
+pub fn run_with_options(
     cluster: Cluster,
     socket: UdpSocket,
     key: ClusterKey,
--- a/crates/stairward-proxy/src/node/mod.rs
+++ b/crates/stairward-proxy/src/node/mod.rs
@@ -329,7 +329,7 @@
     listener: tokio::net::TcpListener,
     configuration: ConfigurationHandle,
 ) {
-    if configuration.ready().await.is_ok() {
+    if configuration.wait_until_ready().await.is_ok() {
         tracing::info!(
             event = LogEvent::NodeReady.number(),
             "the node serves clients"
@@ -343,7 +343,7 @@
     let mut digests = membership.peer_digests();
     loop {
         match digests.recv().await {
-            Ok(digest) => configuration.heard(digest.node, digest.settings_revision),
+            Ok(digest) => configuration.note_peer_revision(digest.node, digest.settings_revision),
             // The next datagram tells it again.
             Err(RecvError::Lagged(_)) => {}
             Err(RecvError::Closed) => return,
@@ -376,6 +376,6 @@
             .iter()
             .map(|machine| machine.address)
             .collect();
-        membership.list_machines(addresses).await;
+        membership.set_machine_addresses(addresses).await;
     }
 }
--- a/crates/stairward-proxy/src/node/service.rs
+++ b/crates/stairward-proxy/src/node/service.rs
@@ -32,20 +32,20 @@
                 let owner = Arc::clone(&self.owner);
                 Box::pin(async move {
                     match BackendId::new(backend.as_str()) {
-                        Ok(backend) => owner.ask_backend(&backend).await,
+                        Ok(backend) => owner.probe_backend(&backend).await,
                         Err(_) => refuse(ResultCode::ProtocolViolation),
                     }
                 })
             }
             CallRequest::HandOver { backend } => {
                 if let Ok(backend) = BackendId::new(backend.as_str()) {
-                    self.owner.handed_over(&backend);
+                    self.owner.handle_handover(&backend);
                 }
                 Box::pin(std::future::ready(CallReply::Done))
             }
             CallRequest::ExchangeSettings(exchange) => {
                 let configuration = self.configuration.clone();
-                Box::pin(async move { configuration.answer(from, exchange).await })
+                Box::pin(async move { configuration.handle_exchange(from, exchange).await })
             }
             CallRequest::AnnounceTerm {
                 group,
@@ -65,8 +65,8 @@
         }
     }
 
-    fn peer_lost(&self, peer: NodeId) {
-        self.membership.peer_lost(peer);
+    fn peer_connection_lost(&self, peer: NodeId) {
+        self.membership.report_connection_lost(peer);
     }
 }
 
--- a/crates/stairward-proxy/src/node/status.rs
+++ b/crates/stairward-proxy/src/node/status.rs
@@ -38,8 +38,8 @@
         reachable: report.freshness.is_some(),
         primary: report.is_primary,
         connections: report.connections,
-        running: report.lent,
-        queued: report.waiting,
+        running: report.in_use,
+        queued: report.queued,
     }
 }
 
--- a/crates/stairward-proxy/src/owner/report.rs
+++ b/crates/stairward-proxy/src/owner/report.rs
@@ -22,9 +22,9 @@
     /// Connections that exist for work, in any state.
     pub connections: usize,
     /// Connections lent to streams.
-    pub lent: usize,
+    pub in_use: usize,
     /// Requests that wait.
-    pub waiting: usize,
+    pub queued: usize,
 }
 
 /// What the owner side does at a moment.
@@ -45,7 +45,7 @@
         freshness: state.map(|state| state.freshness),
         is_primary: backend.is_primary(),
         connections: load.connections,
-        lent: load.lent,
-        waiting: load.waiting,
+        in_use: load.lent,
+        queued: load.waiting,
     }
 }
--- a/crates/stairward-proxy/src/owner/service.rs
+++ b/crates/stairward-proxy/src/owner/service.rs
@@ -98,7 +98,7 @@
     }
 
     /// Asks a back end, now, for its term, position and role.
-    pub async fn ask_backend(&self, backend: &BackendId) -> CallReply {
+    pub async fn probe_backend(&self, backend: &BackendId) -> CallReply {
         let refused = |code: ResultCode| CallReply::Refused {
             code: code.number(),
         };
@@ -119,7 +119,7 @@
     }
 
     /// Hears that another node has given a back end up, so that it may be taken at once.
-    pub fn handed_over(&self, backend: &BackendId) {
+    pub fn handle_handover(&self, backend: &BackendId) {
         for backend in self.all_of(backend) {
             backend.lease_event(LeaseEvent::ReleasedByPredecessor);
         }
--- a/crates/stairward-proxy/src/peer/connection.rs
+++ b/crates/stairward-proxy/src/peer/connection.rs
@@ -179,7 +179,7 @@
             self.dispatch(message, peer, &service);
         }
         self.work.close();
-        service.peer_lost(peer);
+        service.peer_connection_lost(peer);
     }
 
     fn dispatch(&self, message: PeerMessage, peer: NodeId, service: &Arc<dyn PeerService>) {
--- a/crates/stairward-proxy/src/peer/network.rs
+++ b/crates/stairward-proxy/src/peer/network.rs
@@ -83,7 +83,7 @@
     fn answer_call(&self, from: NodeId, request: CallRequest) -> CallFuture;
 
     /// Hears that a connection to a peer was lost, a hint that the peer may have failed.
-    fn peer_lost(&self, _peer: NodeId) {}
+    fn peer_connection_lost(&self, _peer: NodeId) {}
 }
 
 /// All of a node's connections to its peers. Cheap to clone.
--- a/crates/stairward-proxy/tests/configuration_support/mod.rs
+++ b/crates/stairward-proxy/tests/configuration_support/mod.rs
@@ -57,7 +57,7 @@
         Box::pin(async move {
             match request {
                 CallRequest::ExchangeSettings(exchange) => {
-                    configuration.answer(from, exchange).await
+                    configuration.handle_exchange(from, exchange).await
                 }
                 _ => CallReply::Done,
             }
@@ -121,7 +121,7 @@
 impl TestNode {
     /// Waits until the node may serve.
     pub async fn ready(&self) {
-        let ready = tokio::time::timeout(GUARD, self.configuration.ready());
+        let ready = tokio::time::timeout(GUARD, self.configuration.wait_until_ready());
         ready.await.expect("in time").expect("the driver runs");
     }
 
--- a/crates/stairward-proxy/tests/edge_support/mod.rs
+++ b/crates/stairward-proxy/tests/edge_support/mod.rs
@@ -112,7 +112,7 @@
             match request {
                 CallRequest::AskBackend { backend } => {
                     let backend = BackendId::new(backend.as_str()).unwrap();
-                    owner.ask_backend(&backend).await
+                    owner.probe_backend(&backend).await
                 }
                 _ => CallReply::Done,
             }
--- a/crates/stairward-proxy/tests/owner_streams.rs
+++ b/crates/stairward-proxy/tests/owner_streams.rs
@@ -258,12 +258,12 @@
         let site = Site::with_table().await;
         let node = &site.nodes[0];
         // Nothing here tells the owner service; only the moment in the cluster's state has passed.
-        node.cluster.trust_settings_until(Time::ZERO);
+        node.cluster.set_settings_trusted_until(Time::ZERO);
         let refused = node.read(REPLICA, "SELECT 1").await;
         assert_eq!(refused, Outcome::Refused(ResultCode::ConfigurationTooOld));
         let refused = node.write("INSERT INTO books VALUES (1, 'x')").await;
         assert_eq!(refused, Outcome::Refused(ResultCode::ConfigurationTooOld));
-        node.cluster.trust_settings_until(Time::NEVER);
+        node.cluster.set_settings_trusted_until(Time::NEVER);
         assert_eq!(node.rows().await, 0);
     })
     .await;
@@ -285,10 +285,10 @@
         read.floor = Some(freshness).into();
         read.freshness_wait_milliseconds = 9_000;
         let mut stream = node.stream(read).await;
-        while node.owner.status().backends[&backend(REPLICA)].waiting == 0 {
+        while node.owner.status().backends[&backend(REPLICA)].queued == 0 {
             tokio::task::yield_now().await;
         }
-        node.cluster.trust_settings_until(Time::ZERO);
+        node.cluster.set_settings_trusted_until(Time::ZERO);
         let refused = outcome(&mut stream).await;
         assert_eq!(refused, Outcome::Refused(ResultCode::ConfigurationTooOld));
     })
--- a/crates/stairward-proxy/tests/owner_support/mod.rs
+++ b/crates/stairward-proxy/tests/owner_support/mod.rs
@@ -58,10 +58,10 @@
             match request {
                 CallRequest::AskBackend { backend } => {
                     let backend = BackendId::new(backend.as_str()).unwrap();
-                    owner.ask_backend(&backend).await
+                    owner.probe_backend(&backend).await
                 }
                 CallRequest::HandOver { backend } => {
-                    owner.handed_over(&BackendId::new(backend.as_str()).unwrap());
+                    owner.handle_handover(&BackendId::new(backend.as_str()).unwrap());
                     CallReply::Done
                 }
                 _ => CallReply::Done,
