--- a/crates/stairward-proxy/src/owner/admission.rs
+++ b/crates/stairward-proxy/src/owner/admission.rs
@@ -1,4 +1,4 @@
-//! The first part of a stream: from `Open` to a lent connection, or to a refusal.
+//! Admission of a stream: from `Open` to a granted connection or a refusal.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,34 +10,35 @@
 use super::backend::{Backend, Grant, Refusal};
 use crate::peer::OwnerStream;
 
-/// What an edge said besides granting credit while its request waited.
-pub(super) enum Waited {
-    /// A connection was lent.
+/// How the wait for a connection ended.
+pub(super) enum AdmissionOutcome {
+    /// A connection was granted.
     Admitted(Grant),
     /// The request was refused, or cancelled by the caller.
     Refused(Refusal),
-    /// The edge is gone or has let go.
-    EdgeGone,
+    /// The edge disconnected or abandoned the stream.
+    EdgeClosed,
 }
 
-/// Waits for a connection while listening to the edge. `credit` grows by what the edge grants.
+/// Waits for a connection while receiving messages from the edge. Credit granted meanwhile is added
+/// to `credit`.
 pub(super) async fn wait_for_connection(
     backend: &Arc<Backend>,
     stream: &mut OwnerStream,
     open: &Open,
     credit: &mut i64,
-) -> Waited {
-    if !backend.context.trusts_settings() {
-        return Waited::Refused(Refusal::new(ResultCode::ConfigurationTooOld));
+) -> AdmissionOutcome {
+    if !backend.context.has_trusted_settings() {
+        return AdmissionOutcome::Refused(Refusal::new(ResultCode::ConfigurationTooOld));
     }
     let Some(request) = connection_request(backend, open) else {
-        return Waited::Refused(Refusal::new(ResultCode::ProtocolViolation));
+        return AdmissionOutcome::Refused(Refusal::new(ResultCode::ProtocolViolation));
     };
     let number = request.request;
     let mut answer = backend.request(request);
     loop {
         let message = tokio::select! {
-            granted = &mut answer => return granted_or_refused(backend, granted),
+            granted = &mut answer => return verify_grant(backend, granted),
             message = stream.receive() => message,
         };
         let end = match message {
@@ -46,43 +47,43 @@
                 continue;
             }
             Some(EdgeMessage::Cancel) => {
-                Waited::Refused(Refusal::new(ResultCode::CancelledBeforeSend))
+                AdmissionOutcome::Refused(Refusal::new(ResultCode::CancelledBeforeSend))
             }
-            // A second batch before the first was admitted is against the protocol.
+            // An edge must not send a second batch before the first is admitted.
             Some(EdgeMessage::Open(_) | EdgeMessage::Batch(_)) => {
-                Waited::Refused(Refusal::new(ResultCode::ProtocolViolation))
+                AdmissionOutcome::Refused(Refusal::new(ResultCode::ProtocolViolation))
             }
-            Some(EdgeMessage::Abandon) | None => Waited::EdgeGone,
+            Some(EdgeMessage::Abandon) | None => AdmissionOutcome::EdgeClosed,
         };
-        backend.withdraw(number, &mut answer);
+        backend.cancel_request(number, &mut answer);
         return end;
     }
 }
 
-fn granted_or_refused(
+fn verify_grant(
     backend: &Arc<Backend>,
     granted: Result<Result<Grant, Refusal>, tokio::sync::oneshot::error::RecvError>,
-) -> Waited {
+) -> AdmissionOutcome {
     let grant = match granted {
         Ok(Ok(grant)) => grant,
-        Ok(Err(refusal)) => return Waited::Refused(refusal),
-        Err(_) => return Waited::Refused(Refusal::new(ResultCode::NotOwner)),
+        Ok(Err(refusal)) => return AdmissionOutcome::Refused(refusal),
+        Err(_) => return AdmissionOutcome::Refused(Refusal::new(ResultCode::NotOwner)),
     };
-    match objection(backend) {
-        None => Waited::Admitted(grant),
+    match admission_refusal(backend) {
+        None => AdmissionOutcome::Admitted(grant),
         Some(code) => {
-            backend.give_back(grant, stairward_pool::pool::ReturnedState::Idle);
-            Waited::Refused(Refusal::new(code))
+            backend.return_connection(grant, stairward_pool::pool::ReturnedState::Idle);
+            AdmissionOutcome::Refused(Refusal::new(code))
         }
     }
 }
 
-/// Why a connection just lent must not be used after all. The node may have been paused since the
-/// pool decided, so what depends on the clock is checked once more.
-fn objection(backend: &Backend) -> Option<ResultCode> {
+/// Why a connection just granted must not be used. The process may have been paused since the pool
+/// decided, so the checks that depend on the clock are repeated.
+fn admission_refusal(backend: &Backend) -> Option<ResultCode> {
     if !backend.lease_is_held() {
         Some(backend.refusal_without_lease())
-    } else if !backend.context.trusts_settings() {
+    } else if !backend.context.has_trusted_settings() {
         Some(ResultCode::ConfigurationTooOld)
     } else {
         None
--- a/crates/stairward-proxy/src/owner/backend/effects.rs
+++ b/crates/stairward-proxy/src/owner/backend/effects.rs
@@ -1,4 +1,4 @@
-//! Carrying out what the pool and the lease of one back end decide.
+//! Executes the effects that the pool and the lease of one back end return.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -14,11 +14,11 @@
 use crate::owner::control::ControlCommand;
 use crate::owner::error::BackendError;
 
-/// How long a reset of an idle connection may take before it is closed instead.
+/// Time limit for resetting an idle connection; on expiry it is closed instead.
 const RESET_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long a connection in doubt is listened to for the end of what runs on it.
-const DISPOSE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time limit for cancelling the statement on a connection of uncertain state before it is closed.
+const CANCEL_TIMEOUT: Duration = Duration::from_secs(1);
 
 impl Backend {
     pub(super) fn lease_event_locked(self: &Arc<Self>, state: &mut State, event: LeaseEvent) {
@@ -47,12 +47,12 @@
             event = LogEvent::LeaseLapsed.number(),
             backend = %self.identity.name,
             role = self.identity.role.name(),
-            "the lease lapsed before it was renewed"
+            "the lease expired before it was renewed"
         );
     }
 
     pub(super) fn pool_event(self: &Arc<Self>, state: &mut State, event: PoolEvent) {
-        // This node may have been paused: let the lease lapse before anything is decided on it.
+        // The process may have been paused: expire the lease before the pool acts on the event.
         self.lease_event_locked(state, LeaseEvent::Tick);
         self.apply(state, event);
         self.arm_timer(state);
@@ -62,12 +62,12 @@
         let mut events = VecDeque::from([event]);
         while let Some(event) = events.pop_front() {
             for effect in state.pool.handle(self.now(), event) {
-                self.carry_out(state, effect, &mut events);
+                self.execute_effect(state, effect, &mut events);
             }
         }
     }
 
-    fn carry_out(
+    fn execute_effect(
         self: &Arc<Self>,
         state: &mut State,
         effect: PoolEffect,
@@ -106,8 +106,8 @@
                 events.push_back(PoolEvent::ConnectionClosed(connection));
             }
             PoolEffect::EndStream(request) => {
-                if let Some(ending) = state.endings.get(&request) {
-                    ending.cancel();
+                if let Some(cancellation) = state.cancellations.get(&request) {
+                    cancellation.cancel();
                 }
             }
             PoolEffect::Drained => {
@@ -134,25 +134,26 @@
             return;
         };
         if lent.is_stale() {
-            // The back end closed it while it was idle; nothing was sent, so the request waits on.
+            // The back end closed the connection while it was idle. Nothing was sent, so the
+            // request is queued again.
             events.push_back(return_as(ReturnedState::InDoubt));
             events.push_back(PoolEvent::ConnectionClosed(connection));
             events.push_back(PoolEvent::Requested(waiter.request.clone()));
             state.waiters.insert(request, waiter);
             return;
         }
-        let ending = CancellationToken::new();
+        let cancellation = CancellationToken::new();
         let term = state.pool.state().map(|state| state.freshness.term);
         let grant = Grant {
             request,
             connection: lent,
             term: term.unwrap_or_default(),
-            ending: ending.clone(),
+            cancellation: cancellation.clone(),
         };
-        state.endings.insert(request, ending);
+        state.cancellations.insert(request, cancellation);
         state.lent.insert(request, connection);
         if let Err(Ok(grant)) = waiter.reply.send(Ok(grant)) {
-            state.endings.remove(&request);
+            state.cancellations.remove(&request);
             state.lent.remove(&request);
             state.idle.insert(connection, grant.connection);
             events.push_back(return_as(ReturnedState::Idle));
@@ -160,9 +161,9 @@
     }
 
     async fn open(self: Arc<Self>, connection: ConnectionId) {
-        // The answer proves that the lock is still held, so that the limit is kept even when this
-        // node was paused since it decided to open the connection.
-        let opened = match self.ask().await {
+        // A response proves that the lock is still held. Without this check a node that was paused
+        // after deciding to open the connection could exceed the back end's connection limit.
+        let opened = match self.query_status().await {
             Ok(_) if self.lease_is_held() => self.identity.login.open().await,
             Ok(_) => Err(BackendError::Closed),
             Err(error) => Err(error),
@@ -175,7 +176,7 @@
             }
             Err(error) => {
                 tracing::debug!(
-                    backend = %self.identity.name, %error, "a connection could not be opened"
+                    backend = %self.identity.name, %error, "failed to open a connection"
                 );
                 self.handle(PoolEvent::OpeningFailed(connection));
             }
@@ -194,14 +195,14 @@
         }
     }
 
-    /// Stops what runs on a connection in doubt and closes it.
-    pub(super) async fn dispose(
+    /// Cancels the statement running on a connection of uncertain state and closes the connection.
+    pub(super) async fn cancel_and_close(
         self: Arc<Self>,
         connection: ConnectionId,
-        mut doubtful: BackendConnection,
+        mut uncertain: BackendConnection,
     ) {
-        let _ = tokio::time::timeout(DISPOSE_TIMEOUT, doubtful.stop()).await;
-        drop(doubtful);
+        let _ = tokio::time::timeout(CANCEL_TIMEOUT, uncertain.stop()).await;
+        drop(uncertain);
         self.handle(PoolEvent::ConnectionClosed(connection));
     }
 }
--- a/crates/stairward-proxy/src/owner/backend/mod.rs
+++ b/crates/stairward-proxy/src/owner/backend/mod.rs
@@ -1,4 +1,5 @@
-//! One back end that this node serves in one role: carries out what the pool and the lease decide.
+//! A back end that this node serves in one role: connects the pool and lease state machines to
+//! sockets and the clock.
 
 mod effects;
 mod timer;
@@ -22,71 +23,71 @@
 
 use crate::owner::connection::BackendConnection;
 use crate::owner::context::OwnerContext;
-use crate::owner::control::{AskReply, ControlCommand, run_control};
+use crate::owner::control::{ControlCommand, StatusReply, run_control};
 use crate::owner::error::BackendError;
 use crate::owner::fence::FenceDriver;
 use crate::owner::login::Login;
 use crate::owner::status::BackendStatus;
 
-/// How much longer than allowed work may take to end before the back end is given up regardless. The
-/// successor ends the sessions that are left.
+/// Extra time after the drain limit before the back end is released regardless of running work. The
+/// successor terminates the remaining sessions.
 const STOP_GRACE: Duration = Duration::from_secs(3);
 
-/// Pause between looks at whether commits still wait for their proof when the back end is given up.
+/// Poll interval, while the back end is released, for commits that still wait for the fence.
 const FENCE_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Who a back end is and how it is reached.
+/// Name, group, role and login of a served back end.
 pub(super) struct BackendIdentity {
     /// Its name.
     pub name: BackendId,
     /// Its group.
     pub group: GroupId,
-    /// In which role this node serves it.
+    /// The role in which this node serves it.
     pub role: OwnerRole,
-    /// How its working connections log in.
+    /// The login of its working connections.
     pub login: Login,
 }
 
 /// A back end served by this node.
 pub(super) struct Backend {
-    /// Who it is.
+    /// Its name, group, role and login.
     pub identity: BackendIdentity,
-    /// What the node's owner side shares.
+    /// State shared by the node's owner side.
     pub context: Arc<OwnerContext>,
-    /// Proves its commits.
+    /// Verifies commits before they are acknowledged.
     pub fence: FenceDriver,
     state: Mutex<State>,
     control: mpsc::UnboundedSender<ControlCommand>,
     timer: Notify,
     drained: watch::Sender<bool>,
     next_request: std::sync::atomic::AtomicU64,
-    /// Fires when the back end is served no longer.
+    /// Cancelled when the back end is no longer served.
     pub ended: CancellationToken,
 }
 
 /// A connection lent to one stream.
 pub(super) struct Grant {
-    /// The request it was lent for.
+    /// The request that holds the connection.
     pub request: RequestId,
     /// The connection.
     pub connection: BackendConnection,
-    /// The back end's term when it was last asked before the grant.
+    /// The back end's term according to the last probe before the grant.
     pub term: Term,
-    /// Fires when the stream's time is over.
-    pub ending: CancellationToken,
+    /// Cancelled when the stream must end because the drain limit has passed.
+    pub cancellation: CancellationToken,
 }
 
 /// Why a request was not admitted.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Refusal {
-    /// A code of the class *not run*.
+    /// A result code of the class *not run*.
     pub code: ResultCode,
-    /// When it may be worth asking again.
+    /// How long the caller should wait before it retries.
     pub retry_after: Option<Duration>,
 }
 
 impl Refusal {
-    /// A refusal without advice on when to ask again.
+    /// A refusal without a retry delay.
     pub(super) const fn new(code: ResultCode) -> Self {
         Self {
             code,
@@ -95,14 +96,14 @@
     }
 }
 
-/// What is held and what waits at one back end.
+/// Connection and request counts of one back end.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct BackendLoad {
-    /// Connections for work, in any state.
+    /// Working connections in any state.
     pub connections: usize,
-    /// Connections lent to streams.
+    /// Connections in use by streams.
     pub lent: usize,
-    /// Requests that wait.
+    /// Queued requests.
     pub waiting: usize,
 }
 
@@ -114,17 +115,17 @@
 struct State {
     pool: BackendPool,
     lease: Lease,
-    /// Idle connections, held for the pool.
+    /// The sockets of the pool's idle connections.
     idle: BTreeMap<ConnectionId, BackendConnection>,
     waiters: BTreeMap<RequestId, Waiter>,
     slot_waiters: BTreeMap<RequestId, oneshot::Sender<()>>,
-    endings: BTreeMap<RequestId, CancellationToken>,
+    cancellations: BTreeMap<RequestId, CancellationToken>,
     lent: BTreeMap<RequestId, ConnectionId>,
     timer_due: Option<Time>,
 }
 
 impl Backend {
-    /// Starts to serve a back end. The lease is wanted at once.
+    /// Starts serving a back end and requests its lease.
     pub(super) fn start(
         identity: BackendIdentity,
         context: Arc<OwnerContext>,
@@ -137,7 +138,7 @@
             idle: BTreeMap::new(),
             waiters: BTreeMap::new(),
             slot_waiters: BTreeMap::new(),
-            endings: BTreeMap::new(),
+            cancellations: BTreeMap::new(),
             lent: BTreeMap::new(),
             timer_due: None,
         };
@@ -159,49 +160,49 @@
         backend
     }
 
-    /// Sends a command to the task that holds the control connection.
+    /// Sends a command to the control task.
     pub(super) fn command(&self, command: ControlCommand) {
         let _ = self.control.send(command);
     }
 
-    /// Asks the back end now, on the control connection. Questions that arrive while one is under
-    /// way are answered together by the next.
-    pub(super) async fn ask(&self) -> Result<BackendStatus, BackendError> {
-        let (reply, answer) = oneshot::channel::<AskReply>();
-        self.command(ControlCommand::Ask(reply));
+    /// Queries the back end's status on the control connection. Queries that arrive while one is in
+    /// progress share the next one.
+    pub(super) async fn query_status(&self) -> Result<BackendStatus, BackendError> {
+        let (reply, answer) = oneshot::channel::<StatusReply>();
+        self.command(ControlCommand::QueryStatus(reply));
         match answer.await {
             Ok(Some(status)) => Ok(status),
             Ok(None) | Err(_) => Err(BackendError::Closed),
         }
     }
 
-    /// The refusal for a request that finds no lease held.
+    /// The result code for requests while the lease is not held.
     pub(super) fn refusal_without_lease(&self) -> ResultCode {
         self.lock().pool.refusal_without_lease()
     }
 
-    /// Whether the lease is held at this moment. Asked again just before the first byte is sent.
+    /// Whether the lease is held now. Checked again just before the first byte is sent.
     pub(super) fn lease_is_held(&self) -> bool {
         self.lock().lease.is_held(self.now())
     }
 
-    /// Whether operators marked the back end as leaving.
+    /// Whether an operator marked the back end as leaving.
     pub(super) fn is_leaving(&self) -> bool {
         self.lock().pool.settings().admin_state == AdminState::Leaving
     }
 
-    /// What the back end last said.
+    /// The state found by the last successful probe.
     pub(super) fn state(&self) -> Option<BackendState> {
         self.lock().pool.state()
     }
 
-    /// Whether the back end believed to be the primary when last asked.
+    /// Whether the back end reported itself as primary in the last probe.
     pub(super) fn is_primary(&self) -> bool {
         self.state()
             .is_some_and(|state| state.role == BackendRole::Primary)
     }
 
-    /// What is held and what waits.
+    /// Current connection and request counts.
     pub(super) fn load(&self) -> BackendLoad {
         let state = self.lock();
         BackendLoad {
@@ -211,7 +212,7 @@
         }
     }
 
-    /// The state when last asked, for the edge.
+    /// The last probed state, as sent to edges.
     pub(super) fn hint(&self) -> BackendHint {
         let state = self.lock();
         let waiting = u16::try_from(state.pool.waiting()).unwrap_or(u16::MAX);
@@ -223,14 +224,14 @@
         }
     }
 
-    /// A number for a new request.
+    /// Allocates the id of a new request.
     pub(super) fn next_request(&self) -> RequestId {
         let number = &self.next_request;
         RequestId(number.fetch_add(1, std::sync::atomic::Ordering::Relaxed))
     }
 
-    /// Asks for a connection and a slot. Dropping the receiver does not withdraw the request; see
-    /// [`Backend::withdraw`].
+    /// Requests a connection and a slot. Dropping the receiver does not cancel the request; see
+    /// [`Backend::cancel_request`].
     pub(super) fn request(
         self: &Arc<Self>,
         request: ConnectionRequest,
@@ -246,8 +247,8 @@
         answer
     }
 
-    /// Gives a waiting request up. A grant that crossed the withdrawal is taken back.
-    pub(super) fn withdraw(
+    /// Cancels a queued request. A connection granted concurrently is returned to the pool.
+    pub(super) fn cancel_request(
         self: &Arc<Self>,
         request: RequestId,
         answer: &mut oneshot::Receiver<Result<Grant, Refusal>>,
@@ -257,12 +258,12 @@
         self.pool_event(&mut state, PoolEvent::Cancelled(request));
         drop(state);
         if let Ok(Ok(grant)) = answer.try_recv() {
-            self.give_back(grant, ReturnedState::Idle);
+            self.return_connection(grant, ReturnedState::Idle);
         }
     }
 
-    /// Asks for a slot for a further batch of a stream that holds a connection.
-    pub(super) fn want_slot(self: &Arc<Self>, request: RequestId) -> oneshot::Receiver<()> {
+    /// Requests a slot for another batch of a stream that holds a connection.
+    pub(super) fn request_slot(self: &Arc<Self>, request: RequestId) -> oneshot::Receiver<()> {
         let (reply, answer) = oneshot::channel();
         let mut state = self.lock();
         state.slot_waiters.insert(request, reply);
@@ -270,21 +271,21 @@
         answer
     }
 
-    /// Gives the slot back while the stream's transaction goes on.
+    /// Releases the slot while the stream's transaction stays open.
     pub(super) fn release_slot(self: &Arc<Self>, request: RequestId) {
         self.handle(PoolEvent::SlotReleased(request));
     }
 
-    /// Takes a lent connection back.
-    pub(super) fn give_back(self: &Arc<Self>, grant: Grant, returned: ReturnedState) {
+    /// Returns a connection to the pool.
+    pub(super) fn return_connection(self: &Arc<Self>, grant: Grant, returned: ReturnedState) {
         let mut state = self.lock();
-        state.endings.remove(&grant.request);
+        state.cancellations.remove(&grant.request);
         state.slot_waiters.remove(&grant.request);
         let Some(connection) = state.lent.remove(&grant.request) else {
             return;
         };
         if returned == ReturnedState::InDoubt {
-            tokio::spawn(Arc::clone(self).dispose(connection, grant.connection));
+            tokio::spawn(Arc::clone(self).cancel_and_close(connection, grant.connection));
         } else {
             state.idle.insert(connection, grant.connection);
         }
@@ -295,8 +296,8 @@
         self.pool_event(&mut state, event);
     }
 
-    /// Gives the back end up: takes no new work, lets what runs go on until the limit, then frees the
-    /// lock and tells the successor. Returns once nothing is held any more.
+    /// Releases the back end: admits no new work, lets running work finish within `limit`, then
+    /// releases the lock and notifies the successor. Returns when nothing is held any more.
     pub(super) async fn stop(self: &Arc<Self>, limit: Duration) {
         let mut drained = self.drained.subscribe();
         self.handle(PoolEvent::DrainUntil(self.now() + limit));
@@ -309,7 +310,7 @@
             tracing::warn!(
                 event = LogEvent::OwnershipReleased.number(),
                 backend = %self.identity.name,
-                "work did not end in time; the back end will end it"
+                "work did not finish within the drain limit; its sessions will be terminated at the back end"
             );
         }
         while self.fence.is_busy() {
@@ -318,25 +319,25 @@
         self.lease_event(LeaseEvent::Wanted(false));
         self.lease_event(LeaseEvent::ConnectionsClosed);
         let (reply, ended) = oneshot::channel();
-        self.command(ControlCommand::End(reply));
+        self.command(ControlCommand::Stop(reply));
         let _ = ended.await;
         self.ended.cancel();
     }
 
-    /// Tells the pool something.
+    /// Passes an event to the pool.
     pub(super) fn handle(self: &Arc<Self>, event: PoolEvent) {
         let mut state = self.lock();
         self.pool_event(&mut state, event);
     }
 
-    /// Tells the lease something.
+    /// Passes an event to the lease.
     pub(super) fn lease_event(self: &Arc<Self>, event: LeaseEvent) {
         let mut state = self.lock();
         self.lease_event_locked(&mut state, event);
         self.arm_timer(&mut state);
     }
 
-    /// This node's clock.
+    /// The current time of this node's clock.
     pub(super) fn now(&self) -> Time {
         self.context.cluster.clock.now()
     }
--- a/crates/stairward-proxy/src/owner/backend/timer.rs
+++ b/crates/stairward-proxy/src/owner/backend/timer.rs
@@ -1,4 +1,4 @@
-//! Waking the pool and the lease of one back end when something is due.
+//! The timer that ticks the pool and the lease of one back end at their next deadline.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/stairward-proxy/src/owner/batch.rs
+++ b/crates/stairward-proxy/src/owner/batch.rs
@@ -1,4 +1,4 @@
-//! What can be told of a batch by looking at its messages, before and after it ran.
+//! Inspection of a batch's frontend messages before it runs and of its responses afterwards.
 
 use bytes::Buf;
 use pgwire::messages::extendedquery::{
@@ -15,20 +15,20 @@
 /// Type byte and length field of a frontend message.
 const HEADER_BYTES: usize = 5;
 
-/// Words without which no statement can commit a transaction block.
-const COMMIT_WORDS: [&[u8]; 3] = [b"commit", b"end", b"prepare"];
+/// Keywords of which at least one occurs in every statement that commits a transaction block.
+const COMMIT_KEYWORDS: [&[u8]; 3] = [b"commit", b"end", b"prepare"];
 
-/// The frontend messages of a batch, seen from outside.
+/// What the frontend messages of a batch imply, derived without parsing SQL.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub(super) struct BatchShape {
-    /// How many `ReadyForQuery` the back end will answer with.
+    /// Number of `ReadyForQuery` messages the back end will send.
     pub ready_count: u32,
-    /// Whether a transaction block that is open before could be committed by it. True when unsure.
+    /// Whether the batch could commit a transaction block that is already open. True when unsure.
     pub may_commit: bool,
 }
 
 impl BatchShape {
-    /// Looks at whole frontend messages; `None` when they are not whole.
+    /// Inspects complete frontend messages; `None` when one is incomplete.
     pub(super) fn of(mut messages: &[u8]) -> Option<Self> {
         let mut shape = Self::default();
         while !messages.is_empty() {
@@ -36,10 +36,10 @@
             match type_byte {
                 MESSAGE_TYPE_BYTE_QUERY => {
                     shape.ready_count += 1;
-                    shape.may_commit |= holds_commit_word(body);
+                    shape.may_commit |= contains_commit_keyword(body);
                 }
                 MESSAGE_TYPE_BYTE_SYNC => shape.ready_count += 1,
-                MESSAGE_TYPE_BYTE_PARSE => shape.may_commit |= holds_commit_word(body),
+                MESSAGE_TYPE_BYTE_PARSE => shape.may_commit |= contains_commit_keyword(body),
                 MESSAGE_TYPE_BYTE_BIND => shape.may_commit |= binds_named_statement(body),
                 _ => {}
             }
@@ -60,34 +60,35 @@
     Some((type_byte, body))
 }
 
-fn holds_commit_word(text: &[u8]) -> bool {
-    COMMIT_WORDS.iter().any(|word| {
+fn contains_commit_keyword(text: &[u8]) -> bool {
+    COMMIT_KEYWORDS.iter().any(|word| {
         text.windows(word.len())
             .any(|window| window.eq_ignore_ascii_case(word))
     })
 }
 
-/// A named statement was parsed in an earlier batch; what it does is not known here.
+/// Whether a `Bind` refers to a named statement, whose SQL was parsed in an earlier batch and is
+/// therefore unknown here.
 fn binds_named_statement(bind_body: &[u8]) -> bool {
     let statement_name = bind_body.iter().position(|byte| *byte == 0);
     let first_byte = statement_name.and_then(|end| bind_body.get(end + 1));
     first_byte.is_none_or(|byte| *byte != 0)
 }
 
-/// What the answers of a batch tell of its effect.
+/// What the responses to a batch say about its effect.
 #[derive(Debug, Clone, Default)]
-pub(super) struct AnswerEvidence {
-    /// The command tag of the last statement that completed.
+pub(super) struct ResponseSummary {
+    /// Command tag of the last completed statement.
     pub last_tag: String,
-    /// The SQLSTATE of the first error.
+    /// SQLSTATE of the first error.
     pub first_error: Option<String>,
     completed_any: bool,
     committed_block: bool,
 }
 
-impl AnswerEvidence {
-    /// Notes one message of the answer.
-    pub(super) fn note(&mut self, message: &RawMessage) {
+impl ResponseSummary {
+    /// Takes one response message into account.
+    pub(super) fn observe(&mut self, message: &RawMessage) {
         match message.type_byte() {
             MESSAGE_TYPE_BYTE_COMMAND_COMPLETE => {
                 self.completed_any = true;
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Whether passing the answer on would tell the caller that something was committed.
+    /// Whether forwarding the responses would acknowledge a commit to the caller.
     pub(super) fn acknowledges_commit(&self) -> bool {
         let ended_in_rollback = self.last_tag == "ROLLBACK";
         let completed = self.completed_any && self.first_error.is_none() && !ended_in_rollback;
@@ -112,7 +113,7 @@
 
     /// Whether something may have been committed, acknowledged or not.
     pub(super) fn may_have_committed(&self) -> bool {
-        // A procedure may commit on its way to an error.
+        // A procedure may commit before it fails.
         self.acknowledges_commit() || self.first_error.is_some()
     }
 }
--- a/crates/stairward-proxy/src/owner/connection.rs
+++ b/crates/stairward-proxy/src/owner/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a back end: whole messages out and in, and small queries of the proxy's own.
+//! A connection to a back end: message-level I/O, and simple queries issued by the proxy itself.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,56 +21,56 @@
 
 const READ_BUFFER_BYTES: usize = 32 * 1024;
 
-/// The socket of a connection: plain TCP or TLS over it.
+/// The transport of a connection: plain TCP or TLS.
 pub(super) trait Transport: AsyncRead + AsyncWrite + Send + Sync + Unpin {}
 
 impl<T: AsyncRead + AsyncWrite + Send + Sync + Unpin> Transport for T {}
 
-/// What a `CancelRequest` must show to reach the right session.
+/// The credentials of a `CancelRequest`.
 #[derive(Debug, Clone)]
 pub(super) struct CancelKey {
     /// Where the back end listens.
     pub address: SocketAddr,
-    /// The session's process number at the back end.
+    /// Process ID of the session's server process.
     pub process: i32,
-    /// The session's secret.
+    /// The session's secret key.
     pub secret: SecretKey,
 }
 
 impl CancelKey {
-    /// Asks the back end to cancel what the session runs. Opens a connection of its own, as the
-    /// protocol wants.
+    /// Asks the back end to cancel the session's current statement, on a separate connection as the
+    /// protocol requires.
     pub(super) async fn cancel(&self) -> Result<(), BackendError> {
         let mut buffer = BytesMut::new();
         CancelRequest::new(self.process, self.secret.clone()).encode(&mut buffer)?;
         let mut socket = TcpStream::connect(self.address).await?;
         socket.write_all(&buffer).await?;
-        // The back end closes once it has passed the request on.
+        // The back end closes the connection once it has signalled the session.
         let mut nothing = [0_u8; 1];
         let _ = socket.read(&mut nothing).await;
         Ok(())
     }
 }
 
-/// Text columns of one row; `None` is SQL's NULL.
+/// Text columns of one row; `None` is SQL NULL.
 pub(super) type TextRow = Vec<Option<String>>;
 
-/// A logged-in connection.
+/// An authenticated connection.
 pub(super) struct BackendConnection {
     reader: MessageReader,
     writer: WriteHalf<Box<dyn Transport>>,
-    /// How to cancel what runs on it; `None` when the back end gave no key.
+    /// Credentials for cancelling a statement; `None` when the back end sent none.
     pub cancel_key: Option<Arc<CancelKey>>,
 }
 
-/// The receiving half: splits what arrives into whole messages.
+/// The receiving half, which splits the byte stream into messages.
 pub(super) struct MessageReader {
     half: ReadHalf<Box<dyn Transport>>,
     buffer: BytesMut,
 }
 
 impl MessageReader {
-    /// Reads more bytes. Safe to cancel.
+    /// Reads more bytes. Cancel safe.
     pub(super) async fn fill(&mut self) -> Result<(), BackendError> {
         self.buffer.reserve(READ_BUFFER_BYTES);
         let count = self.half.read_buf(&mut self.buffer).await?;
@@ -80,12 +80,12 @@
         Ok(())
     }
 
-    /// The next whole message among the bytes already read.
+    /// The next complete message among the bytes already read.
     pub(super) fn take_buffered(&mut self) -> Result<Option<RawMessage>, BackendError> {
         take_message(&mut self.buffer)
     }
 
-    /// The next whole message.
+    /// The next complete message.
     pub(super) async fn next(&mut self) -> Result<RawMessage, BackendError> {
         loop {
             if let Some(message) = self.take_buffered()? {
@@ -110,12 +110,13 @@
         }
     }
 
-    /// Both halves, to be used at the same time.
+    /// Both halves, for concurrent use.
     pub(super) fn halves(&mut self) -> (&mut MessageReader, &mut WriteHalf<Box<dyn Transport>>) {
         (&mut self.reader, &mut self.writer)
     }
 
-    /// Cancels what runs and waits until the back end has ended it or closes the connection.
+    /// Cancels the current statement, waits until the back end is ready, and terminates the
+    /// session.
     pub(super) async fn stop(&mut self) -> Result<(), BackendError> {
         if let Some(key) = self.cancel_key.clone() {
             key.cancel().await?;
@@ -126,20 +127,19 @@
         self.send(&terminate).await
     }
 
-    /// Writes whole messages.
+    /// Writes complete messages and flushes.
     pub(super) async fn send(&mut self, messages: &[u8]) -> Result<(), BackendError> {
         self.writer.write_all(messages).await?;
         self.writer.flush().await?;
         Ok(())
     }
 
-    /// The next whole message.
+    /// The next complete message.
     pub(super) async fn next(&mut self) -> Result<RawMessage, BackendError> {
         self.reader.next().await
     }
 
-    /// Whether an idle connection is no longer good: it was closed, or something arrived that
-    /// nobody asked for.
+    /// Whether an idle connection is unusable: it was closed, or unsolicited data arrived.
     pub(super) fn is_stale(&mut self) -> bool {
         let mut byte = [0_u8; 1];
         let mut buffer = tokio::io::ReadBuf::new(&mut byte);
@@ -149,17 +149,17 @@
         !nothing_to_read || !self.reader.buffer.is_empty()
     }
 
-    /// Runs a simple query of the proxy's own and returns its rows. The connection must be idle
-    /// before, and the query must leave it idle.
+    /// Runs a simple query issued by the proxy and returns its rows. The connection must be idle
+    /// before and after the query.
     pub(super) async fn query(&mut self, sql: &str) -> Result<Vec<TextRow>, BackendError> {
         self.send(&encode_query(sql)?).await?;
         self.read_rows(READY_STATUS_IDLE).await
     }
 
-    /// Reads the answers up to `ReadyForQuery`, which must tell of `expected_status`.
+    /// Reads responses up to `ReadyForQuery`, which must report `expected_status`.
     ///
     /// # Errors
-    /// [`BackendError::Server`] with the first error among the answers.
+    /// [`BackendError::Server`] with the first error response.
     pub(super) async fn read_rows(
         &mut self,
         expected_status: u8,
@@ -193,12 +193,12 @@
     Ok(buffer.freeze())
 }
 
-/// The context in which messages of a logged-in protocol 3.0 session are decoded.
+/// The decode context of an authenticated protocol 3.0 session.
 pub(super) fn decode_context() -> DecodeContext {
     DecodeContext::new(ProtocolVersion::PROTOCOL3_0)
 }
 
-/// Reads an `ErrorResponse`.
+/// Decodes an `ErrorResponse`.
 pub(super) fn server_error(message: &RawMessage) -> Result<BackendError, BackendError> {
     let mut bytes = BytesMut::from(message.bytes.as_ref());
     let response = ErrorResponse::decode(&mut bytes, &decode_context())?;
--- a/crates/stairward-proxy/src/owner/context.rs
+++ b/crates/stairward-proxy/src/owner/context.rs
@@ -1,4 +1,4 @@
-//! What the parts of the owner side share.
+//! State shared by the modules of the owner side.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,24 +10,24 @@
 use crate::cluster::Cluster;
 use crate::peer::PeerNetwork;
 
-/// How this node logs in at back ends.
+/// How this node authenticates to back ends.
 #[derive(Clone, Default)]
 pub struct OwnerSettings {
-    /// The password of every group's back-end user; none where back ends trust their network.
+    /// The password of every group's back-end user; none where back ends require no password.
     pub backend_password: Option<String>,
-    /// TLS towards back ends; none for plain TCP.
+    /// TLS configuration for back-end connections; none for plain TCP.
     pub backend_tls: Option<Arc<rustls::ClientConfig>>,
 }
 
-/// What the parts of the owner side share.
+/// State shared by the modules of the owner side.
 pub(super) struct OwnerContext {
-    /// What is known of the cluster.
+    /// This node's view of the cluster.
     pub cluster: Cluster,
-    /// The way to other nodes.
+    /// Connections to other nodes.
     pub network: PeerNetwork,
-    /// How to log in at back ends.
+    /// How to authenticate to back ends.
     pub settings: OwnerSettings,
-    /// Fires when a role has been taken or given up, which may change what else is wanted.
+    /// Notified when a role was acquired or released, which may change the set of roles to serve.
     pub roles_changed: Notify,
 }
 
@@ -43,13 +43,13 @@
             .collect()
     }
 
-    /// Whether the settings in force may be taken for the newest at this moment. Read at each
-    /// admission: a check at intervals is late after the node was paused.
-    pub(super) fn trusts_settings(&self) -> bool {
+    /// Whether the current settings are trusted to be the newest. Checked at each admission,
+    /// because a periodic check would run late after the process was paused.
+    pub(super) fn has_trusted_settings(&self) -> bool {
         self.cluster.clock.now() <= self.cluster.settings_trusted_until()
     }
 
-    /// How long ledger rows of request keys are kept in a back end's group.
+    /// Retention of request-key ledger rows in a back end's group.
     pub(super) fn request_key_retention(&self, backend: &BackendIdentity) -> Duration {
         let settings = self.cluster.settings();
         let group = settings.groups.get(&backend.group);
--- a/crates/stairward-proxy/src/owner/control.rs
+++ b/crates/stairward-proxy/src/owner/control.rs
@@ -1,4 +1,5 @@
-//! The control connection of a back end: the lease's lock, health probes, and questions.
+//! The control connection of a back end: holds the lease's lock and runs health probes and status
+//! queries.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,48 +15,48 @@
 use super::backend::Backend;
 use super::connection::BackendConnection;
 use super::error::BackendError;
-use super::status::{BackendStatus, ask_status};
+use super::status::{BackendStatus, query_status};
 use super::{lease_lock, ledger, term_search};
 use crate::cluster::KnownPrimary;
 
-/// How often a back end is asked for its state while nobody else asks.
+/// Interval of health probes in the absence of other status queries.
 const PROBE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long an answer may take before the back end counts as unreachable.
+/// Time after which an unanswered query marks the back end as unreachable.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How long an answer may take before the control connection is given up, and the lease with it.
+/// Time after which an unanswered query closes the control connection, which releases the lease.
 const CONTROL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// How long the successor may take to answer that it heard of a hand-over.
-const HAND_OVER_TIMEOUT: Duration = Duration::from_millis(500);
+/// Time limit for notifying a successor of a handover.
+const HANDOVER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How often the ledger of request keys is looked at for old rows.
+/// Interval between searches for expired rows in the ledger of request keys.
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(60);
 
-/// The answer to a question; none when the back end did not answer.
-pub(super) type AskReply = Option<BackendStatus>;
+/// The reply to a status query; none when the back end did not respond.
+pub(super) type StatusReply = Option<BackendStatus>;
 
-/// What the control task is told.
+/// A command to the control task.
 pub(super) enum ControlCommand {
-    /// Ask the back end, and reply with what it says.
-    Ask(oneshot::Sender<AskReply>),
-    /// Carry out what the lease decided.
+    /// Query the back end's status.
+    QueryStatus(oneshot::Sender<StatusReply>),
+    /// Execute an effect of the lease.
     Lease(LeaseEffect),
-    /// Everything before has been carried out; reply and end.
-    End(oneshot::Sender<()>),
+    /// Reply and stop; all earlier commands have been executed by then.
+    Stop(oneshot::Sender<()>),
 }
 
 struct Control {
     backend: Arc<Backend>,
     connection: Option<BackendConnection>,
-    /// Whether the last question was answered, to log changes only.
+    /// Whether the last query was answered; only changes are logged.
     is_reachable: bool,
-    /// When the ledger is next looked at for old rows.
+    /// When to search the ledger for expired rows next.
     expiry_due: Instant,
 }
 
-/// Serves the commands of one back end until it is served no longer.
+/// Runs the control task of one back end until [`ControlCommand::Stop`].
 pub(super) async fn run_control(
     backend: Arc<Backend>,
     mut commands: mpsc::UnboundedReceiver<ControlCommand>,
@@ -71,20 +72,20 @@
         let command = tokio::select! {
             command = commands.recv() => command,
             () = tokio::time::sleep_until(probe_due), if control.connection.is_some() => {
-                control.answer(Vec::new()).await;
+                control.answer_queries(Vec::new()).await;
                 control.expire_ledger_when_due().await;
                 probe_due = Instant::now() + PROBE_INTERVAL;
                 continue;
             }
         };
         match command {
-            Some(ControlCommand::Ask(first)) => {
-                let questions = gather_questions(first, &mut commands, &control.backend);
-                control.answer(questions).await;
+            Some(ControlCommand::QueryStatus(first)) => {
+                let queries = collect_status_queries(first, &mut commands, &control.backend);
+                control.answer_queries(queries).await;
                 probe_due = Instant::now() + PROBE_INTERVAL;
             }
-            Some(ControlCommand::Lease(effect)) => control.carry_out(effect).await,
-            Some(ControlCommand::End(reply)) => {
+            Some(ControlCommand::Lease(effect)) => control.execute_effect(effect).await,
+            Some(ControlCommand::Stop(reply)) => {
                 let _ = reply.send(());
                 return;
             }
@@ -93,38 +94,38 @@
     }
 }
 
-/// Takes every question that already waits, so that one probe answers all of them. What else waits
-/// is put back in its order.
-fn gather_questions(
-    first: oneshot::Sender<AskReply>,
+/// Takes all queued status queries, so that one probe answers them together. Other queued commands
+/// are requeued in order.
+fn collect_status_queries(
+    first: oneshot::Sender<StatusReply>,
     commands: &mut mpsc::UnboundedReceiver<ControlCommand>,
     backend: &Backend,
-) -> Vec<oneshot::Sender<AskReply>> {
-    let mut questions = vec![first];
+) -> Vec<oneshot::Sender<StatusReply>> {
+    let mut queries = vec![first];
     for _ in 0..commands.len() {
         match commands.try_recv() {
-            Ok(ControlCommand::Ask(question)) => questions.push(question),
+            Ok(ControlCommand::QueryStatus(query)) => queries.push(query),
             Ok(other) => backend.command(other),
             Err(_) => break,
         }
     }
-    questions
+    queries
 }
 
 impl Control {
-    async fn carry_out(&mut self, effect: LeaseEffect) {
+    async fn execute_effect(&mut self, effect: LeaseEffect) {
         match effect {
-            LeaseEffect::AcquireLock => self.attempt().await,
-            LeaseEffect::EndStaleSessions => self.end_leftovers().await,
+            LeaseEffect::AcquireLock => self.try_acquire().await,
+            LeaseEffect::EndStaleSessions => self.terminate_stale_sessions().await,
             LeaseEffect::ReleaseLock => self.release(),
-            // The service stops the back end when it is wanted no longer.
+            // `Backend::stop` drains and closes the connections when the back end is released.
             LeaseEffect::CloseConnections | LeaseEffect::StartUse | LeaseEffect::StopUse => {}
         }
     }
 
-    async fn attempt(&mut self) {
+    async fn try_acquire(&mut self) {
         let sent_at = self.backend.now();
-        match self.lock().await {
+        match self.open_and_lock().await {
             Ok(Some(connection)) => {
                 self.connection = Some(connection);
                 self.backend
@@ -134,24 +135,25 @@
                 self.backend.handle(PoolEvent::LockHeldElsewhere);
                 self.backend.lease_event(LeaseEvent::LockNotAcquired);
             }
-            // Whoever got the lock first ends the other sessions of the role, also one that only asks for it. The
-            // next attempt finds out whether the back end itself is going down.
+            // The node that acquired the lock terminates all other sessions of the role, including
+            // one that was only trying to lock. The next attempt shows whether the back end is
+            // shutting down.
             Err(error) if error.is_termination() => {
                 tracing::debug!(
                     backend = %self.backend.identity.name,
                     %error,
-                    "an attempt at the lock was ended by the back end"
+                    "the back end terminated the session that tried to acquire the lock"
                 );
                 self.backend.lease_event(LeaseEvent::LockNotAcquired);
             }
             Err(error) => {
-                self.unreachable(&error);
+                self.mark_unreachable(&error);
                 self.backend.lease_event(LeaseEvent::LockNotAcquired);
             }
         }
     }
 
-    async fn lock(&self) -> Result<Option<BackendConnection>, BackendError> {
+    async fn open_and_lock(&self) -> Result<Option<BackendConnection>, BackendError> {
         let identity = &self.backend.identity;
         let login = lease_lock::control_login(&identity.login);
         let mut connection = login.open().await?;
@@ -159,15 +161,15 @@
         Ok(locked.then_some(connection))
     }
 
-    async fn end_leftovers(&mut self) {
+    async fn terminate_stale_sessions(&mut self) {
         let Some(connection) = &mut self.connection else {
             return;
         };
         let identity = &self.backend.identity;
         let own_name = &identity.login.application_name;
-        let ended = lease_lock::end_leftovers(connection, identity.role, own_name).await;
+        let ended = lease_lock::terminate_stale_sessions(connection, identity.role, own_name).await;
         let status = match ended {
-            Ok(()) => ask_status(connection).await,
+            Ok(()) => query_status(connection).await,
             Err(error) => Err(error),
         };
         match status {
@@ -176,12 +178,12 @@
                     event = LogEvent::OwnershipTaken.number(),
                     backend = %identity.name,
                     role = identity.role.name(),
-                    "took a back end"
+                    "acquired ownership of a back end"
                 );
-                self.learn(status);
+                self.record_status(status);
                 self.backend.lease_event(LeaseEvent::StaleSessionsEnded);
             }
-            Err(error) => self.lose_connection(&error),
+            Err(error) => self.drop_connection(&error),
         }
     }
 
@@ -192,39 +194,40 @@
             event = LogEvent::OwnershipReleased.number(),
             backend = %identity.name,
             role = identity.role.name(),
-            "gave a back end up"
+            "released ownership of a back end"
         );
-        tokio::spawn(hand_over(Arc::clone(&self.backend)));
+        tokio::spawn(notify_successors(Arc::clone(&self.backend)));
     }
 
-    /// Asks the back end and passes its answer on to everyone who asked.
-    async fn answer(&mut self, questions: Vec<oneshot::Sender<AskReply>>) {
+    /// Probes the back end and sends the result to all queries.
+    async fn answer_queries(&mut self, queries: Vec<oneshot::Sender<StatusReply>>) {
         let answer = self.probe().await;
-        for question in questions {
-            let _ = question.send(answer);
+        for query in queries {
+            let _ = query.send(answer);
         }
     }
 
-    async fn probe(&mut self) -> AskReply {
+    async fn probe(&mut self) -> StatusReply {
         let sent_at = self.backend.now();
         let connection = self.connection.as_mut()?;
-        match ask_in_time(connection, &self.backend).await {
+        match query_status_in_time(connection, &self.backend).await {
             Ok(status) => {
                 self.renewed(sent_at, status);
                 Some(status)
             }
             Err(error) => {
-                self.lose_connection(&error);
+                self.drop_connection(&error);
                 None
             }
         }
     }
 
-    /// Deletes one batch of old ledger rows, so that probes are not held up for long.
+    /// Deletes one batch of expired ledger rows. Larger deletions would delay the probes on this
+    /// connection.
     async fn expire_ledger_when_due(&mut self) {
         let backend = Arc::clone(&self.backend);
-        let leads = backend.identity.role == OwnerRole::Owner && backend.is_primary();
-        if !leads || Instant::now() < self.expiry_due {
+        let is_owned_primary = backend.identity.role == OwnerRole::Owner && backend.is_primary();
+        if !is_owned_primary || Instant::now() < self.expiry_due {
             return;
         }
         let Some(connection) = &mut self.connection else {
@@ -235,24 +238,24 @@
         match tokio::time::timeout(CONTROL_TIMEOUT, expired).await {
             Ok(Ok(true)) => {}
             Ok(Ok(false)) => self.expiry_due = Instant::now() + EXPIRY_INTERVAL,
-            Ok(Err(error)) => self.lose_connection(&error),
-            Err(_) => self.lose_connection(&BackendError::Timeout),
+            Ok(Err(error)) => self.drop_connection(&error),
+            Err(_) => self.drop_connection(&BackendError::Timeout),
         }
     }
 
     fn renewed(&mut self, sent_at: Time, status: BackendStatus) {
-        self.learn(status);
+        self.record_status(status);
         self.backend.lease_event(LeaseEvent::Renewed { sent_at });
     }
 
-    fn learn(&mut self, status: BackendStatus) {
+    fn record_status(&mut self, status: BackendStatus) {
         let identity = &self.backend.identity;
         if !self.is_reachable {
             self.is_reachable = true;
             tracing::info!(
                 event = LogEvent::BackendReachable.number(),
                 backend = %identity.name,
-                "the back end answers again"
+                "the back end is reachable again"
             );
         }
         if status.is_primary() {
@@ -267,7 +270,7 @@
                     group = %identity.group,
                     term = status.freshness.term.0,
                     primary = %identity.name,
-                    "a newer term was found"
+                    "discovered a newer term"
                 );
             }
         }
@@ -277,39 +280,39 @@
         }));
     }
 
-    fn lose_connection(&mut self, error: &BackendError) {
+    fn drop_connection(&mut self, error: &BackendError) {
         self.connection = None;
-        self.unreachable(error);
+        self.mark_unreachable(error);
         self.backend.lease_event(LeaseEvent::ControlConnectionLost);
     }
 
-    fn unreachable(&mut self, error: &BackendError) {
+    fn mark_unreachable(&mut self, error: &BackendError) {
         if self.is_reachable {
             self.is_reachable = false;
             tracing::warn!(
                 event = LogEvent::BackendUnreachable.number(),
                 backend = %self.backend.identity.name,
                 %error,
-                "the back end does not answer"
+                "the back end is unreachable"
             );
         }
-        term_search::primary_may_be_lost(&self.backend);
+        term_search::start_primary_search(&self.backend);
         self.backend.handle(PoolEvent::ProbeFailed);
     }
 }
 
-/// Asks with two limits: after the first the back end counts as unreachable, after the second the
-/// connection is given up.
-async fn ask_in_time(
+/// Queries the status with two timeouts: after [`ANSWER_TIMEOUT`] the back end is marked
+/// unreachable, after [`CONTROL_TIMEOUT`] the query fails and the connection is closed.
+async fn query_status_in_time(
     connection: &mut BackendConnection,
     backend: &Arc<Backend>,
 ) -> Result<BackendStatus, BackendError> {
-    let answer = ask_status(connection);
+    let answer = query_status(connection);
     tokio::pin!(answer);
     if let Ok(status) = tokio::time::timeout(ANSWER_TIMEOUT, &mut answer).await {
         return status;
     }
-    term_search::primary_may_be_lost(backend);
+    term_search::start_primary_search(backend);
     backend.handle(PoolEvent::ProbeFailed);
     let rest = CONTROL_TIMEOUT.saturating_sub(ANSWER_TIMEOUT);
     match tokio::time::timeout(rest, &mut answer).await {
@@ -318,9 +321,9 @@
     }
 }
 
-/// Tells the back end's present owner that it may take the back end now. Only a hint: the successor
-/// finds out by its own next attempt when this is lost.
-async fn hand_over(backend: Arc<Backend>) {
+/// Notifies the back end's current owner and standby that the lock is free. Best effort: a
+/// successor that misses it acquires the lock on its next periodic attempt.
+async fn notify_successors(backend: Arc<Backend>) {
     let cluster = &backend.context.cluster;
     let name = &backend.identity.name;
     let Some(owners) = cluster.owners(name) else {
@@ -333,7 +336,7 @@
     for successor in successors.filter(|node| *node != cluster.identity.node) {
         let network = &backend.context.network;
         let _ = network
-            .call(successor, request.clone(), HAND_OVER_TIMEOUT)
+            .call(successor, request.clone(), HANDOVER_TIMEOUT)
             .await;
     }
 }
--- a/crates/stairward-proxy/src/owner/error.rs
+++ b/crates/stairward-proxy/src/owner/error.rs
@@ -1,9 +1,9 @@
-//! What can go wrong with a connection to a back end.
+//! Errors of back-end connections.
 
 use pgwire::error::PgWireError;
 use snafu::Snafu;
 
-/// PostgreSQL's `admin_shutdown`: the session was ended on somebody's command.
+/// SQLSTATE `admin_shutdown`: an administrator or another session terminated the session.
 const ADMIN_SHUTDOWN: &str = "57P01";
 
 /// Why a connection to a back end failed.
@@ -13,62 +13,62 @@
     /// The socket failed.
     #[snafu(display("the socket to the back end failed"), context(false))]
     Socket {
-        /// What the system said.
+        /// The I/O error.
         source: std::io::Error,
     },
     /// The back end closed the connection.
     #[snafu(display("the back end closed the connection"))]
     Closed,
     /// The back end did not answer in time.
-    #[snafu(display("the back end did not answer in time"))]
+    #[snafu(display("the back end did not respond in time"))]
     Timeout,
-    /// The codec refused a message.
+    /// A message could not be encoded or decoded.
     #[snafu(
-        display("the back end sent a message the codec refuses"),
+        display("a message of the back-end protocol could not be encoded or decoded"),
         context(false)
     )]
     Codec {
-        /// What the codec said.
+        /// The codec's error.
         #[snafu(source(from(PgWireError, Box::new)))]
         source: Box<PgWireError>,
     },
-    /// A message out of place.
-    #[snafu(display("the back end broke the protocol"))]
+    /// An unexpected message.
+    #[snafu(display("the back end violated the protocol"))]
     Protocol,
-    /// A message longer than the proxy relays.
-    #[snafu(display("the back end sent a message of {length} bytes, more than is relayed"))]
+    /// A message exceeded the size limit.
+    #[snafu(display("the back end sent a message of {length} bytes, which exceeds the limit"))]
     MessageTooLarge {
         /// Its length in bytes.
         length: usize,
     },
-    /// The back end wants an authentication method that is not supported, or a password while none
-    /// is set.
+    /// The back end requires an unsupported authentication method, or a password while none is
+    /// configured.
     #[snafu(display("the back end's authentication method cannot be used: {method}"))]
     Authentication {
         /// The method.
         method: &'static str,
     },
-    /// The back end answered with an error.
-    #[snafu(display("the back end answered {sqlstate}: {message}"))]
+    /// The back end sent an error response.
+    #[snafu(display("the back end reported error {sqlstate}: {message}"))]
     Server {
         /// Its SQLSTATE.
         sqlstate: String,
         /// Its message.
         message: String,
     },
-    /// TLS is required and the back end refuses it.
-    #[snafu(display("the back end refuses TLS"))]
+    /// TLS is required but the back end does not support it.
+    #[snafu(display("the back end refused TLS"))]
     TlsRefused,
-    /// A status answer lacks a column or has one of another kind.
-    #[snafu(display("the back end's status cannot be read: {reason}"))]
+    /// A status row lacks a column or has one of an unexpected type.
+    #[snafu(display("invalid status row from the back end: {reason}"))]
     Status {
-        /// What is wrong.
+        /// What is invalid.
         reason: &'static str,
     },
 }
 
 impl BackendError {
-    /// Whether the back end ended the session on somebody's command.
+    /// Whether the back end reported that the session was terminated by an administrator command.
     pub(super) fn is_termination(&self) -> bool {
         matches!(self, Self::Server { sqlstate, .. } if sqlstate == ADMIN_SHUTDOWN)
     }
--- a/crates/stairward-proxy/src/owner/fence.rs
+++ b/crates/stairward-proxy/src/owner/fence.rs
@@ -1,5 +1,5 @@
-//! Drives the acknowledgement fence of one back end: asks the members, and tells streams whether
-//! their commits are proved.
+//! Drives the acknowledgement fence of one back end: queries the group's members and reports to
+//! streams whether their commits are proved.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -14,18 +14,19 @@
 
 use super::backend::Backend;
 use super::context::OwnerContext;
-use super::term_search::ask_member;
+use super::term_search::query_member;
 
-/// Pause before a member is asked again whose answer was not enough. About a replica's usual lag.
+/// Pause before a member whose status was insufficient is queried again. About a replica's usual
+/// lag.
 const RETRY_INTERVAL: Duration = Duration::from_millis(2);
 
-/// How long a proof may take when the group is no longer in the settings.
+/// Time limit of a proof when the group is no longer in the settings.
 const DEFAULT_FENCE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Commits of one back end that may wait for their proof at once.
+/// Maximum number of commits of one back end that wait for their proof.
 const WAITING_LIMIT: usize = 4_096;
 
-/// The fence of one back end, with those who wait for it.
+/// The fence of one back end and the streams that wait for it.
 pub(super) struct FenceDriver {
     state: Mutex<State>,
 }
@@ -53,15 +54,15 @@
         }
     }
 
-    /// Waits until a commit that the back end has just reported is proved. Gives a freshness at or
-    /// past the commit; none when its outcome is unknown.
+    /// Waits until a commit just reported by the back end is proved. Returns a freshness at or past
+    /// the commit; none when the outcome is unknown.
     ///
-    /// `term` is the back end's term when last asked before the commit was sent.
+    /// `term` is the back end's term in the last probe before the commit was sent.
     pub(super) async fn prove(&self, backend: &Arc<Backend>, term: Term) -> Option<Freshness> {
         let (reply, proved) = oneshot::channel();
         {
             let mut state = self.lock();
-            self.follow_settings(&mut state, backend);
+            self.refresh_settings(&mut state, backend);
             let commit = CommitId(state.next_commit);
             state.next_commit += 1;
             state.waiters.insert(commit, reply);
@@ -79,13 +80,13 @@
                 event = LogEvent::FenceFailed.number(),
                 backend = %backend.identity.name,
                 term = term.0,
-                "a commit could not be proved"
+                "the fence could not prove a commit; its outcome is unknown"
             );
         }
         proved
     }
 
-    /// Whether commits wait for their proof.
+    /// Whether any commit waits for its proof.
     pub(super) fn is_busy(&self) -> bool {
         self.lock().fence.waiting() > 0
     }
@@ -94,7 +95,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn follow_settings(&self, state: &mut State, backend: &Arc<Backend>) {
+    fn refresh_settings(&self, state: &mut State, backend: &Arc<Backend>) {
         let identity = &backend.identity;
         let settings = fence_settings(&identity.name, &identity.group, &backend.context);
         if settings != state.settings {
@@ -111,12 +112,12 @@
         for effect in state.fence.handle(backend.now(), event) {
             match effect {
                 FenceEffect::Ask { question, member } => {
-                    tokio::spawn(ask(Arc::clone(backend), question, member));
+                    tokio::spawn(query_and_report(Arc::clone(backend), question, member));
                 }
                 FenceEffect::Proved { commit, freshness } => {
-                    tell(state, commit, Some(freshness));
+                    notify_waiter(state, commit, Some(freshness));
                 }
-                FenceEffect::NotProved(commit) => tell(state, commit, None),
+                FenceEffect::NotProved(commit) => notify_waiter(state, commit, None),
             }
         }
         let due = state.fence.next_wake();
@@ -128,17 +129,17 @@
     }
 }
 
-fn tell(state: &mut State, commit: CommitId, proved: Option<Freshness>) {
+fn notify_waiter(state: &mut State, commit: CommitId, proved: Option<Freshness>) {
     if let Some(waiter) = state.waiters.remove(&commit) {
         let _ = waiter.send(proved);
     }
 }
 
-async fn ask(backend: Arc<Backend>, question: QuestionId, member: BackendId) {
+async fn query_and_report(backend: Arc<Backend>, question: QuestionId, member: BackendId) {
     let status = if member == backend.identity.name {
-        backend.ask().await.ok()
+        backend.query_status().await.ok()
     } else {
-        ask_member(&backend.context, &member, fence_timeout(&backend)).await
+        query_member(&backend.context, &member, fence_timeout(&backend)).await
     };
     let event = match status {
         Some(status) => FenceEvent::Answered {
--- a/crates/stairward-proxy/src/owner/lease_lock.rs
+++ b/crates/stairward-proxy/src/owner/lease_lock.rs
@@ -1,4 +1,5 @@
-//! The lease's lock at the back end, in SQL: taking it, and ending what earlier holders left.
+//! The SQL side of a lease: acquiring its advisory lock at the back end, and terminating the
+//! sessions of previous holders.
 
 use std::time::Duration;
 
@@ -15,25 +16,26 @@
 /// Prefix of every session's `application_name`.
 const APPLICATION_PREFIX: &str = "stairward/";
 
-/// How long leftover sessions are waited for to end.
-const LEFTOVERS_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time limit for terminating the stale sessions of previous holders.
+const STALE_SESSIONS_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Pause between looks at whether leftover sessions have ended.
-const LEFTOVERS_INTERVAL: Duration = Duration::from_millis(5);
+/// Pause between checks whether stale sessions have ended.
+const STALE_SESSIONS_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// The `application_name` of a node's sessions in one role.
 pub(super) fn application_name(node: u64, incarnation: u64, role: OwnerRole) -> String {
     format!("{APPLICATION_PREFIX}{node}/{incarnation}/{}", role.name())
 }
 
-/// The log-in of a control connection: the back end ends it after the lease's duration of silence.
+/// The login of a control connection. Its `idle_session_timeout` is the lease duration, so that the
+/// back end ends the session, and with it the lock, once the node stops renewing the lease.
 pub(super) fn control_login(working: &Login) -> Login {
     let mut login = working.clone();
     login.idle_session_timeout = LeaseSettings::default().duration;
     login
 }
 
-/// Tries to take the lock of a role; it is held until the session ends.
+/// Tries to acquire the advisory lock of a role, which is held until the session ends.
 pub(super) async fn try_lock(
     connection: &mut BackendConnection,
     role: OwnerRole,
@@ -46,45 +48,46 @@
     Ok(rows.first().and_then(first_column) == Some("t"))
 }
 
-/// Ends every session that another holder of the role left, and waits until none is left.
-pub(super) async fn end_leftovers(
+/// Terminates every session that a previous holder of the role left open, and waits until none
+/// remains.
+pub(super) async fn terminate_stale_sessions(
     connection: &mut BackendConnection,
     role: OwnerRole,
     own_name: &str,
 ) -> Result<(), BackendError> {
-    let ended = tokio::time::timeout(LEFTOVERS_TIMEOUT, async {
+    let ended = tokio::time::timeout(STALE_SESSIONS_TIMEOUT, async {
         loop {
-            let leftovers = find_leftovers(connection, role, own_name).await?;
-            if leftovers.is_empty() {
+            let stale_sessions = find_stale_sessions(connection, role, own_name).await?;
+            if stale_sessions.is_empty() {
                 return Ok(());
             }
-            for process in leftovers {
+            for process in stale_sessions {
                 let sql = format!("SELECT pg_terminate_backend({process})");
                 connection.query(&sql).await?;
             }
-            tokio::time::sleep(LEFTOVERS_INTERVAL).await;
+            tokio::time::sleep(STALE_SESSIONS_POLL_INTERVAL).await;
         }
     });
     ended.await.unwrap_or_else(|_| TimeoutSnafu.fail())
 }
 
-async fn find_leftovers(
+async fn find_stale_sessions(
     connection: &mut BackendConnection,
     role: OwnerRole,
     own_name: &str,
 ) -> Result<Vec<i64>, BackendError> {
     let sql = "SELECT pid, application_name FROM pg_stat_activity";
     let sessions = connection.query(sql).await?;
-    let leftovers = sessions.iter().filter(|session| {
+    let stale_sessions = sessions.iter().filter(|session| {
         let name = session.get(1).and_then(Option::as_deref);
-        name.is_some_and(|name| name != own_name && is_of_role(name, role))
+        name.is_some_and(|name| name != own_name && belongs_to_role(name, role))
     });
-    Ok(leftovers
+    Ok(stale_sessions
         .filter_map(|session| first_column(session)?.parse().ok())
         .collect())
 }
 
-fn is_of_role(application_name: &str, role: OwnerRole) -> bool {
+fn belongs_to_role(application_name: &str, role: OwnerRole) -> bool {
     let parts = application_name.strip_prefix(APPLICATION_PREFIX);
     let role_name = parts.and_then(|parts| parts.rsplit('/').next());
     role_name == Some(role.name())
--- a/crates/stairward-proxy/src/owner/ledger.rs
+++ b/crates/stairward-proxy/src/owner/ledger.rs
@@ -1,7 +1,9 @@
-//! Requests that carry a key run at most once: in one transaction with a row in a ledger table.
+//! Idempotency keys: a request with a key runs at most once, in one transaction with a row in a
+//! ledger table.
 //!
-//! The row's key is unique, so a second transaction with the same key waits for the first one's end
-//! and then finds the row. The database decides, whichever proxies the requests came through.
+//! The key is the table's primary key, so a second transaction with the same key waits for the
+//! first to end and then finds its row. The database enforces this regardless of which proxies the
+//! requests came through.
 
 use std::time::{Duration, SystemTime};
 
@@ -18,14 +20,14 @@
 /// Longest request key accepted, in bytes.
 const MAXIMUM_KEY_BYTES: usize = 200;
 
-/// How long the statements around the batch may take each when the request has no deadline. The first
-/// may wait for another request with the same key to end.
+/// Time limit of each ledger statement when the request has no deadline. The first one may wait for
+/// another request with the same key to end.
 const STATEMENT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Rows deleted by one statement when old ones expire.
+/// Maximum number of expired rows deleted by one statement.
 const EXPIRY_BATCH_ROWS: usize = 100;
 
-/// SQLSTATE of a table that does not exist.
+/// SQLSTATE `undefined_table`.
 const UNDEFINED_TABLE: &str = "42P01";
 
 const CREATE_TABLE: &str = "CREATE TABLE IF NOT EXISTS stairward_ledger (\
@@ -33,31 +35,31 @@
 
 /// How a keyed request ended.
 pub(super) enum KeyedOutcome {
-    /// The batch and its ledger row were committed; the answers are held.
+    /// The batch and its ledger row were committed; the responses are still buffered.
     Committed,
-    /// A request with this key had been committed before.
+    /// An earlier request with this key was committed.
     AlreadyRun {
-        /// The command tag that was recorded.
+        /// The recorded command tag.
         command_tag: String,
     },
-    /// The batch failed by itself and was rolled back; its error is held.
+    /// The batch failed and was rolled back; its error response is still buffered.
     RolledBack,
     /// The ledger could not be used; nothing of the batch was sent.
     LedgerFailed,
-    /// The connection was lost while the commit was under way.
+    /// The connection was lost after `COMMIT` was sent, before its response arrived.
     CommitUnknown,
-    /// Relaying ended before the commit was begun.
+    /// Relaying ended before `COMMIT` was sent.
     Ended(RelayEnd),
 }
 
-/// Runs the batch once for its key.
+/// Runs the batch unless a request with the same key was committed before.
 pub(super) async fn run_keyed(relay: &mut Relay, key: &str, batch: &Batch) -> KeyedOutcome {
     if key.len() > MAXIMUM_KEY_BYTES || key.contains('\0') {
         return KeyedOutcome::LedgerFailed;
     }
     let key = quote(key);
     let deadline = relay.deadline;
-    match in_time(deadline, reserve(&mut relay.grant.connection, &key)).await {
+    match with_deadline(deadline, reserve(&mut relay.grant.connection, &key)).await {
         Ok(Reservation::New) => run_reserved(relay, &key, batch).await,
         Ok(Reservation::Duplicate { command_tag }) => {
             relay.sequence = batch.sequence;
@@ -73,15 +75,15 @@
 async fn run_reserved(relay: &mut Relay, key: &str, batch: &Batch) -> KeyedOutcome {
     relay.begin_batch();
     relay.in_transaction = true;
-    relay.holds_all_ends = true;
+    relay.holds_all_completions = true;
     if !relay.accept(batch) {
-        return KeyedOutcome::Ended(RelayEnd::OutOfTurn);
+        return KeyedOutcome::Ended(RelayEnd::InvalidMessage);
     }
     match relay.run().await {
         Ok(WireTransactionStatus::InTransaction) => commit(relay, key).await,
         Ok(WireTransactionStatus::Failed) => roll_back(relay).await,
-        // The batch ended the transaction by itself, and the ledger row with it.
-        Ok(WireTransactionStatus::Idle) if relay.evidence.acknowledges_commit() => {
+        // The batch itself committed or rolled back the transaction, including the ledger row.
+        Ok(WireTransactionStatus::Idle) if relay.summary.acknowledges_commit() => {
             KeyedOutcome::Committed
         }
         Ok(WireTransactionStatus::Idle) => KeyedOutcome::RolledBack,
@@ -90,27 +92,27 @@
 }
 
 async fn commit(relay: &mut Relay, key: &str) -> KeyedOutcome {
-    let tag = quote(&relay.evidence.last_tag);
+    let tag = quote(&relay.summary.last_tag);
     let record = format!("UPDATE stairward_ledger SET outcome = {tag} WHERE request_key = {key}");
     let deadline = relay.deadline;
     let connection = &mut relay.grant.connection;
-    let recorded = in_time(deadline, query_in_transaction(connection, &record)).await;
+    let recorded = with_deadline(deadline, query_in_transaction(connection, &record)).await;
     if recorded.is_err() {
-        return lost_before_commit(relay);
+        return backend_lost_before_commit(relay);
     }
-    match in_time(deadline, connection.query("COMMIT")).await {
+    match with_deadline(deadline, connection.query("COMMIT")).await {
         Ok(_) => {
             relay.in_transaction = false;
             KeyedOutcome::Committed
         }
-        // The back end itself says that the commit failed.
-        Err(BackendError::Server { .. }) => lost_before_commit(relay),
+        // The back end reported that the commit failed.
+        Err(BackendError::Server { .. }) => backend_lost_before_commit(relay),
         Err(_) => KeyedOutcome::CommitUnknown,
     }
 }
 
-/// The transaction was open and no commit was sent, or the back end refused it.
-fn lost_before_commit(relay: &mut Relay) -> KeyedOutcome {
+/// Ends with the transaction open: `COMMIT` was not sent, or the back end rejected it.
+fn backend_lost_before_commit(relay: &mut Relay) -> KeyedOutcome {
     relay.begin_batch();
     relay.in_transaction = true;
     KeyedOutcome::Ended(RelayEnd::BackendLost)
@@ -118,19 +120,19 @@
 
 async fn roll_back(relay: &mut Relay) -> KeyedOutcome {
     let deadline = relay.deadline;
-    match in_time(deadline, relay.grant.connection.query("ROLLBACK")).await {
+    match with_deadline(deadline, relay.grant.connection.query("ROLLBACK")).await {
         Ok(_) => {
             relay.in_transaction = false;
             KeyedOutcome::RolledBack
         }
-        Err(_) => lost_before_commit(relay),
+        Err(_) => backend_lost_before_commit(relay),
     }
 }
 
 enum Reservation {
-    /// The row is written and the transaction open.
+    /// The row was inserted and the transaction is open.
     New,
-    /// The row was there; no transaction is open.
+    /// The row already existed; no transaction is open.
     Duplicate { command_tag: String },
 }
 
@@ -141,7 +143,7 @@
     match try_reserve(connection, key).await {
         Err(BackendError::Server { sqlstate, .. }) if sqlstate == UNDEFINED_TABLE => {
             connection.query("ROLLBACK").await?;
-            // Another session may create it at the same moment; the next attempt tells.
+            // Another session may create the table concurrently; the next attempt shows the result.
             let _ = connection.query(CREATE_TABLE).await;
             try_reserve(connection, key).await
         }
@@ -172,7 +174,8 @@
     })
 }
 
-/// Deletes one batch of rows older than `retention`. Returns whether more may be left.
+/// Deletes up to [`EXPIRY_BATCH_ROWS`] rows older than `retention`. Returns whether more may
+/// remain.
 pub(super) async fn expire(
     connection: &mut BackendConnection,
     retention: Duration,
@@ -201,7 +204,7 @@
     Ok(rows.len() == EXPIRY_BATCH_ROWS)
 }
 
-/// The `CommandComplete` that repeats a recorded outcome.
+/// Encodes a `CommandComplete` with a recorded command tag.
 pub(super) fn command_complete(tag: &str) -> Result<BytesMut, BackendError> {
     let mut buffer = BytesMut::new();
     CommandComplete::new(tag.to_owned()).encode(&mut buffer)?;
@@ -216,7 +219,7 @@
     connection.read_rows(READY_STATUS_TRANSACTION_BLOCK).await
 }
 
-async fn in_time<T>(
+async fn with_deadline<T>(
     deadline: Option<Instant>,
     work: impl Future<Output = Result<T, BackendError>>,
 ) -> Result<T, BackendError> {
@@ -226,7 +229,7 @@
         .unwrap_or(Err(BackendError::Timeout))
 }
 
-/// An SQL string literal.
+/// Quotes text as an SQL string literal.
 fn quote(text: &str) -> String {
     format!("'{}'", text.replace('\'', "''"))
 }
--- a/crates/stairward-proxy/src/owner/login.rs
+++ b/crates/stairward-proxy/src/owner/login.rs
@@ -1,4 +1,4 @@
-//! Opening a connection to a back end: TCP, TLS, and the protocol's start-up and authentication.
+//! Opening a connection to a back end: TCP, TLS, startup and authentication.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,30 +24,30 @@
 use super::error::{AuthenticationSnafu, BackendError, ProtocolSnafu, TimeoutSnafu};
 use super::wire::RawMessage;
 
-/// How long a new connection may take from TCP to the first `ReadyForQuery`.
+/// Time limit from the TCP connect to the first `ReadyForQuery`.
 pub(super) const LOGIN_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How to log in at one back end.
+/// Connection and authentication parameters of one back end.
 #[derive(Clone)]
 pub(super) struct Login {
     /// Where it listens.
     pub address: SocketAddr,
-    /// The user.
+    /// The database user.
     pub user: String,
     /// The database: the group's name.
     pub database: String,
-    /// What the back end's own views show of the session.
+    /// The session's `application_name`, shown in `pg_stat_activity`.
     pub application_name: String,
-    /// After how long without a statement the back end ends the session.
+    /// The session's `idle_session_timeout`.
     pub idle_session_timeout: Duration,
-    /// The password, when one is set.
+    /// The password, if configured.
     pub password: Option<String>,
-    /// TLS, when back ends must be reached by it.
+    /// The TLS configuration, if back ends require TLS.
     pub tls: Option<Arc<rustls::ClientConfig>>,
 }
 
 impl Login {
-    /// Opens a connection and logs in, within [`LOGIN_TIMEOUT`].
+    /// Opens and authenticates a connection within [`LOGIN_TIMEOUT`].
     pub(super) async fn open(&self) -> Result<BackendConnection, BackendError> {
         tokio::time::timeout(LOGIN_TIMEOUT, self.open_unbounded())
             .await
@@ -131,7 +131,7 @@
 
     fn password(&self) -> Result<&str, BackendError> {
         self.password.as_deref().context(AuthenticationSnafu {
-            method: "a password is asked for and none is set",
+            method: "a password is required but none is configured",
         })
     }
 
--- a/crates/stairward-proxy/src/owner/mod.rs
+++ b/crates/stairward-proxy/src/owner/mod.rs
@@ -1,10 +1,10 @@
-//! The owner side of a node: holds all connections of the back ends it owns and runs on them what
-//! edges ask for.
+//! The owner side of a node: holds all connections to the back ends it owns and runs the statements
+//! that edges send.
 //!
-//! [`OwnerService`] follows the cluster and keeps one `Backend` for each back end and role it serves.
-//! A `Backend` drives the pure [`stairward_pool::BackendPool`], [`stairward_pool::Lease`] and
-//! [`stairward_pool::AcknowledgementFence`] with sockets and the clock. Each stream is a task that
-//! borrows a connection from its `Backend`.
+//! [`OwnerService`] follows the cluster state and keeps a `Backend` for each back end and role it
+//! serves. A `Backend` drives the pure [`stairward_pool::BackendPool`], [`stairward_pool::Lease`]
+//! and [`stairward_pool::AcknowledgementFence`] with sockets and the clock. Each stream is a task
+//! that takes a connection from its `Backend`.
 
 mod admission;
 mod backend;
@@ -14,12 +14,12 @@
 mod control;
 mod error;
 mod fence;
-mod held;
 mod lease_lock;
 mod ledger;
 mod login;
 mod relay;
 mod report;
+mod response_buffer;
 mod service;
 mod status;
 mod stream;
--- a/crates/stairward-proxy/src/owner/relay.rs
+++ b/crates/stairward-proxy/src/owner/relay.rs
@@ -1,8 +1,8 @@
-//! Moves the bytes of one stream between its edge and the connection lent to it.
+//! Relays messages between the edge of one stream and the back-end connection granted to it.
 //!
-//! Answers are read only while the edge has window left. On a stream that may write, everything from
-//! the first `CommandComplete` on is held back, since it may acknowledge a commit that must be proved
-//! first; what is held is bounded by [`HELD_LIMIT_BYTES`].
+//! Responses are read only while the edge has granted credit. On a stream that may write,
+//! everything from the first `CommandComplete` on is buffered, because it may acknowledge a commit
+//! that the fence must prove first. The buffer is bounded by [`BUFFER_LIMIT_BYTES`].
 
 use std::future::pending;
 
@@ -20,80 +20,82 @@
 use tokio::time::Instant;
 
 use super::backend::Grant;
-use super::batch::{AnswerEvidence, BatchShape};
+use super::batch::{BatchShape, ResponseSummary};
 use super::error::BackendError;
-use super::held::HeldAnswers;
 use super::ledger::command_complete;
+use super::response_buffer::ResponseBuffer;
 use super::wire::RawMessage;
 use crate::peer::OwnerStream;
 
-/// Answers held back at most, in bytes.
-const HELD_LIMIT_BYTES: usize = 4 * 1024 * 1024;
+/// Maximum size of responses buffered until the end of a batch, in bytes.
+const BUFFER_LIMIT_BYTES: usize = 4 * 1024 * 1024;
 
-/// Answers of a stream that may write are passed on in pieces of this size while they acknowledge
-/// nothing.
-const WRITE_RELEASE_BYTES: usize = 64 * 1024;
+/// Minimum chunk size in which a stream that may write forwards responses that acknowledge nothing.
+const WRITE_CHUNK_BYTES: usize = 64 * 1024;
 
-/// Messages for the back end held in memory before the edge is listened to again, in bytes.
+/// Size of unsent messages for the back end above which no more are read from the edge, in bytes.
 const OUTBOX_LIMIT_BYTES: usize = 1024 * 1024;
 
 /// Why relaying ended before the back end was ready.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum RelayEnd {
-    /// The connection to the back end is lost or broke the protocol.
+    /// The connection to the back end was lost or violated the protocol.
     BackendLost,
-    /// The edge is gone or has let go.
-    EdgeGone,
+    /// The edge disconnected or abandoned the stream.
+    EdgeClosed,
     /// The caller's deadline has passed.
     DeadlinePassed,
-    /// The back end is leaving or moving, and the time for what runs is over.
-    TimeOver,
-    /// The edge sent a batch out of turn or messages that are not whole.
-    OutOfTurn,
-    /// More had to be held back than [`HELD_LIMIT_BYTES`].
-    TooMuchHeld,
+    /// The back end is leaving or moving to another node, and the drain limit has passed.
+    DrainTimeout,
+    /// The edge sent a batch with an unexpected sequence number, an incomplete message, or a second
+    /// `Open`.
+    InvalidMessage,
+    /// The responses to buffer exceeded [`BUFFER_LIMIT_BYTES`].
+    BufferFull,
 }
 
-/// One stream's relay.
+/// The relay of one stream.
 pub(super) struct Relay {
-    /// The edge.
+    /// The stream to the edge.
     pub stream: OwnerStream,
-    /// The connection.
+    /// The granted connection.
     pub grant: Grant,
-    /// What the present batch's answers tell.
-    pub evidence: AnswerEvidence,
-    /// The last batch accepted; 0 for none.
+    /// What the responses to the current batch say about its effect.
+    pub summary: ResponseSummary,
+    /// Sequence number of the last accepted batch; 0 for none.
     pub sequence: u32,
     /// Whether the connection must be reset before another session uses it.
-    pub altered: bool,
-    /// Whether a transaction block is open as far as the last `ReadyForQuery` told.
+    pub needs_reset: bool,
+    /// Whether a transaction block is open according to the last `ReadyForQuery`.
     pub in_transaction: bool,
-    /// Whether what is under way could commit that block.
+    /// Whether the current batch could commit that block.
     pub may_commit: bool,
-    /// Whether every end of a statement is held back, since the commit comes after the batch.
-    pub holds_all_ends: bool,
-    /// Whether any byte of the present batch was handed to the socket.
+    /// Whether every statement completion is held until the end, because the commit follows the
+    /// batch.
+    pub holds_all_completions: bool,
+    /// Whether any byte of the current batch was written to the socket.
     pub sent_any: bool,
-    /// Whether any answer of the present batch was passed on.
-    pub answered_any: bool,
-    /// Whether answers that acknowledge a commit are held back.
+    /// Whether any response to the current batch was forwarded.
+    pub forwarded_any: bool,
+    /// Whether the stream may write, so that responses that acknowledge a commit are held until the
+    /// end.
     pub may_write: bool,
-    /// When the caller gives up.
+    /// The caller's deadline.
     pub deadline: Option<Instant>,
     credit: i64,
     outbox: BytesMut,
     needs_flush: bool,
-    ready_expected: u32,
-    held: HeldAnswers,
+    pending_ready_count: u32,
+    buffer: ResponseBuffer,
     cancelling: Option<JoinHandle<Result<(), BackendError>>>,
 }
 
-enum Happened {
+enum RelayEvent {
     Edge(Option<EdgeMessage>),
     Wrote(std::io::Result<usize>),
     Flushed(std::io::Result<()>),
     Read(Result<(), BackendError>),
-    TimeOver,
+    DrainTimeout,
     DeadlinePassed,
 }
 
@@ -102,31 +104,32 @@
         Self {
             stream,
             grant,
-            evidence: AnswerEvidence::default(),
+            summary: ResponseSummary::default(),
             sequence: 0,
-            altered: false,
+            needs_reset: false,
             in_transaction: false,
             may_commit: false,
-            holds_all_ends: false,
+            holds_all_completions: false,
             sent_any: false,
-            answered_any: false,
+            forwarded_any: false,
             may_write: false,
             deadline: None,
             credit: i64::from(INITIAL_WINDOW_BYTES),
             outbox: BytesMut::new(),
             needs_flush: false,
-            ready_expected: 0,
-            held: HeldAnswers::default(),
+            pending_ready_count: 0,
+            buffer: ResponseBuffer::default(),
             cancelling: None,
         }
     }
 
-    /// Lets the edge's answers grow by so many bytes.
-    pub(super) fn grant_credit(&mut self, bytes: i64) {
+    /// Adds flow-control credit granted by the edge.
+    pub(super) fn add_credit(&mut self, bytes: i64) {
         self.credit += bytes;
     }
 
-    /// Takes a batch in, if it is in turn and whole; it is sent by [`Relay::run`].
+    /// Accepts a batch if it has the next sequence number and only complete messages.
+    /// [`Relay::run`] sends it.
     pub(super) fn accept(&mut self, batch: &Batch) -> bool {
         let Some(shape) = BatchShape::of(&batch.messages.bytes) else {
             return false;
@@ -135,35 +138,35 @@
             return false;
         }
         self.sequence = batch.sequence;
-        self.altered |= batch.alters_session != 0;
-        self.ready_expected += shape.ready_count;
+        self.needs_reset |= batch.alters_session != 0;
+        self.pending_ready_count += shape.ready_count;
         self.may_commit |= shape.may_commit;
         self.outbox.extend_from_slice(&batch.messages.bytes);
         true
     }
 
-    /// Forgets the batch before, so that the next one is judged by itself.
+    /// Resets the per-batch state.
     pub(super) fn begin_batch(&mut self) {
-        self.evidence = AnswerEvidence::default();
+        self.summary = ResponseSummary::default();
         self.may_commit = false;
         self.sent_any = false;
-        self.answered_any = false;
+        self.forwarded_any = false;
     }
 
-    /// Sends what was accepted and relays until the back end is ready.
+    /// Sends the accepted messages and relays until the last expected `ReadyForQuery`.
     pub(super) async fn run(&mut self) -> Result<WireTransactionStatus, RelayEnd> {
         loop {
-            if let Some(status) = self.take_answers()? {
+            if let Some(status) = self.read_responses()? {
                 return Ok(status);
             }
-            let happened = self.wait().await;
-            if let Some(end) = self.react(happened) {
+            let event = self.wait().await;
+            if let Some(end) = self.handle_event(event) {
                 return Err(end);
             }
         }
     }
 
-    /// Waits, between two batches, for the next one.
+    /// Waits for the next batch of an open transaction.
     pub(super) async fn next_batch(&mut self) -> Result<Batch, RelayEnd> {
         loop {
             let (reader, _) = self.grant.connection.halves();
@@ -172,43 +175,46 @@
                     Some(EdgeMessage::Batch(batch)) => return Ok(batch),
                     Some(EdgeMessage::Credit { bytes }) => self.credit += i64::from(bytes),
                     Some(EdgeMessage::Cancel) => {}
-                    Some(EdgeMessage::Open(_)) => return Err(RelayEnd::OutOfTurn),
-                    Some(EdgeMessage::Abandon) | None => return Err(RelayEnd::EdgeGone),
+                    Some(EdgeMessage::Open(_)) => return Err(RelayEnd::InvalidMessage),
+                    Some(EdgeMessage::Abandon) | None => return Err(RelayEnd::EdgeClosed),
                 },
-                // An idle back end says nothing but notices, parameter changes and its farewell.
-                read = reader.fill() => if read.is_err() || self.drop_asides().is_err() {
+                // An idle back end sends only notices, parameter changes, and an error before it
+                // closes the connection.
+                read = reader.fill() => if read.is_err() || self.discard_unsolicited().is_err() {
                     return Err(RelayEnd::BackendLost);
                 },
-                () = self.grant.ending.cancelled() => return Err(RelayEnd::TimeOver),
+                () = self.grant.cancellation.cancelled() => return Err(RelayEnd::DrainTimeout),
             }
         }
     }
 
-    /// Passes everything held on, as fast as the edge's window allows. False when the edge is gone.
-    pub(super) async fn release_held(&mut self) -> bool {
-        for piece in self.held.take_pieces(WRITE_RELEASE_BYTES) {
+    /// Forwards all buffered responses as credit allows. Returns false when the edge has closed the
+    /// stream or the stream was cancelled.
+    pub(super) async fn forward_buffered(&mut self) -> bool {
+        for chunk in self.buffer.take_chunks(WRITE_CHUNK_BYTES) {
             if !self.wait_for_credit().await {
                 return false;
             }
-            self.send_answer(piece);
+            self.forward(chunk);
         }
         true
     }
 
-    /// Waits for a cancel request under way, so that it cannot hit whoever uses the connection next.
+    /// Waits for a cancel request in progress. Otherwise it could cancel a statement of the next
+    /// session on the connection.
     pub(super) async fn finish_cancelling(&mut self) {
         if let Some(cancelling) = self.cancelling.take() {
-            self.altered = true;
+            self.needs_reset = true;
             let _ = cancelling.await;
         }
     }
 
-    /// False when the edge is gone or the stream's time is over.
+    /// Returns false when the edge has closed the stream or the stream was cancelled.
     async fn wait_for_credit(&mut self) -> bool {
         while self.credit <= 0 {
             let message = tokio::select! {
                 message = self.stream.receive() => message,
-                () = self.grant.ending.cancelled() => return false,
+                () = self.grant.cancellation.cancelled() => return false,
             };
             match message {
                 Some(EdgeMessage::Credit { bytes }) => self.credit += i64::from(bytes),
@@ -219,52 +225,54 @@
         true
     }
 
-    async fn wait(&mut self) -> Happened {
-        let may_read = self.credit > 0 || self.held.is_sealed;
-        let may_hear = self.outbox.len() < OUTBOX_LIMIT_BYTES;
+    async fn wait(&mut self) -> RelayEvent {
+        let may_read = self.credit > 0 || self.buffer.holds_until_end;
+        let may_receive = self.outbox.len() < OUTBOX_LIMIT_BYTES;
         let has_output = !self.outbox.is_empty();
         let must_flush = !has_output && self.needs_flush;
         let deadline = self.deadline;
         let Grant {
-            connection, ending, ..
+            connection,
+            cancellation,
+            ..
         } = &mut self.grant;
         let (reader, writer) = connection.halves();
         tokio::select! {
-            pushed = push(writer, &self.outbox), if has_output || must_flush => pushed,
-            read = reader.fill(), if may_read => Happened::Read(read),
-            message = self.stream.receive(), if may_hear => Happened::Edge(message),
-            () = ending.cancelled() => Happened::TimeOver,
-            () = sleep_until(deadline) => Happened::DeadlinePassed,
+            written = write_or_flush(writer, &self.outbox), if has_output || must_flush => written,
+            read = reader.fill(), if may_read => RelayEvent::Read(read),
+            message = self.stream.receive(), if may_receive => RelayEvent::Edge(message),
+            () = cancellation.cancelled() => RelayEvent::DrainTimeout,
+            () = sleep_until(deadline) => RelayEvent::DeadlinePassed,
         }
     }
 
-    fn react(&mut self, happened: Happened) -> Option<RelayEnd> {
-        match happened {
-            Happened::Wrote(Ok(count)) if count > 0 => {
+    fn handle_event(&mut self, event: RelayEvent) -> Option<RelayEnd> {
+        match event {
+            RelayEvent::Wrote(Ok(count)) if count > 0 => {
                 self.outbox.advance(count);
                 self.sent_any = true;
                 self.needs_flush = true;
                 None
             }
-            Happened::Flushed(Ok(())) => {
+            RelayEvent::Flushed(Ok(())) => {
                 self.needs_flush = false;
                 None
             }
-            Happened::Read(Ok(())) => None,
-            Happened::Wrote(_) | Happened::Flushed(Err(_)) | Happened::Read(Err(_)) => {
+            RelayEvent::Read(Ok(())) => None,
+            RelayEvent::Wrote(_) | RelayEvent::Flushed(Err(_)) | RelayEvent::Read(Err(_)) => {
                 Some(RelayEnd::BackendLost)
             }
-            Happened::Edge(message) => self.hear(message),
-            Happened::TimeOver => Some(RelayEnd::TimeOver),
-            Happened::DeadlinePassed => Some(RelayEnd::DeadlinePassed),
+            RelayEvent::Edge(message) => self.handle_edge_message(message),
+            RelayEvent::DrainTimeout => Some(RelayEnd::DrainTimeout),
+            RelayEvent::DeadlinePassed => Some(RelayEnd::DeadlinePassed),
         }
     }
 
-    /// Hears the edge while a batch runs.
-    fn hear(&mut self, message: Option<EdgeMessage>) -> Option<RelayEnd> {
+    /// Handles a message from the edge while a batch runs.
+    fn handle_edge_message(&mut self, message: Option<EdgeMessage>) -> Option<RelayEnd> {
         match message {
             Some(EdgeMessage::Batch(batch)) if self.accept(&batch) => None,
-            Some(EdgeMessage::Batch(_) | EdgeMessage::Open(_)) => Some(RelayEnd::OutOfTurn),
+            Some(EdgeMessage::Batch(_) | EdgeMessage::Open(_)) => Some(RelayEnd::InvalidMessage),
             Some(EdgeMessage::Credit { bytes }) => {
                 self.credit += i64::from(bytes);
                 None
@@ -273,7 +281,7 @@
                 self.cancel();
                 None
             }
-            Some(EdgeMessage::Abandon) | None => Some(RelayEnd::EdgeGone),
+            Some(EdgeMessage::Abandon) | None => Some(RelayEnd::EdgeClosed),
         }
     }
 
@@ -284,51 +292,52 @@
         }
     }
 
-    /// Takes the answers that have arrived. `Ok(Some)` once the last `ReadyForQuery` is among them.
-    fn take_answers(&mut self) -> Result<Option<WireTransactionStatus>, RelayEnd> {
+    /// Processes the responses received so far. `Ok(Some)` once they include the last
+    /// `ReadyForQuery`.
+    fn read_responses(&mut self) -> Result<Option<WireTransactionStatus>, RelayEnd> {
         let mut ready = None;
         while ready.is_none() {
             let (reader, _) = self.grant.connection.halves();
-            let next = reader.take_buffered();
-            let Some(message) = next.map_err(|_| RelayEnd::BackendLost)? else {
+            let taken = reader.take_buffered();
+            let Some(message) = taken.map_err(|_| RelayEnd::BackendLost)? else {
                 break;
             };
             match message.ready_status() {
-                Some(status) => ready = self.note_ready(status),
-                None => self.hold(message)?,
+                Some(status) => ready = self.record_ready(status),
+                None => self.buffer_message(message)?,
             }
         }
         if ready.is_none() {
-            self.release_unsealed();
+            self.forward_available();
         }
         Ok(ready)
     }
 
-    fn note_ready(&mut self, status: u8) -> Option<WireTransactionStatus> {
+    fn record_ready(&mut self, status: u8) -> Option<WireTransactionStatus> {
         let status = match status {
             READY_STATUS_IDLE => WireTransactionStatus::Idle,
             READY_STATUS_TRANSACTION_BLOCK => WireTransactionStatus::InTransaction,
             _ => WireTransactionStatus::Failed,
         };
         self.in_transaction = status != WireTransactionStatus::Idle;
-        self.ready_expected = self.ready_expected.saturating_sub(1);
-        (self.ready_expected == 0).then_some(status)
+        self.pending_ready_count = self.pending_ready_count.saturating_sub(1);
+        (self.pending_ready_count == 0).then_some(status)
     }
 
-    fn hold(&mut self, message: RawMessage) -> Result<(), RelayEnd> {
-        self.evidence.note(&message);
-        let seals = self.must_wait_for_end(&message);
-        self.held.push(message, seals);
-        if self.held.is_sealed && self.held.bytes > HELD_LIMIT_BYTES {
-            return Err(RelayEnd::TooMuchHeld);
+    fn buffer_message(&mut self, message: RawMessage) -> Result<(), RelayEnd> {
+        self.summary.observe(&message);
+        let holds_until_end = self.must_hold_until_end(&message);
+        self.buffer.push(message, holds_until_end);
+        if self.buffer.holds_until_end && self.buffer.bytes > BUFFER_LIMIT_BYTES {
+            return Err(RelayEnd::BufferFull);
         }
         Ok(())
     }
 
-    /// Whether a message may only go once the batch has ended: an acknowledgement, or an error, which
-    /// may be the back end's farewell.
-    fn must_wait_for_end(&self, message: &RawMessage) -> bool {
-        let may_commit = !self.in_transaction || self.may_commit || self.holds_all_ends;
+    /// Whether a message must be held until the batch ends: one that may acknowledge a commit, or
+    /// an error, which may be the last message before the back end closes the connection.
+    fn must_hold_until_end(&self, message: &RawMessage) -> bool {
+        let may_commit = !self.in_transaction || self.may_commit || self.holds_all_completions;
         match message.type_byte() {
             MESSAGE_TYPE_BYTE_COMMAND_COMPLETE | MESSAGE_TYPE_BYTE_PORTAL_SUSPENDED => {
                 self.may_write && may_commit
@@ -338,34 +347,31 @@
         }
     }
 
-    fn release_unsealed(&mut self) {
-        let least = if self.may_write {
-            WRITE_RELEASE_BYTES
-        } else {
-            1
-        };
-        // The caller waits for the answers to a batch that ends in `Flush`. They acknowledge nothing
-        // yet: the commit comes with the `Sync` of a later batch.
-        let is_flushed = self.ready_expected == 0 && self.held.bytes > 0;
-        let is_due = !self.held.is_sealed && self.held.bytes >= least;
+    fn forward_available(&mut self) {
+        let minimum_bytes = if self.may_write { WRITE_CHUNK_BYTES } else { 1 };
+        // After a batch that ends in `Flush` the caller waits for the responses. They acknowledge
+        // no commit, which happens only at the `Sync` of a later batch.
+        let is_flushed = self.pending_ready_count == 0 && self.buffer.bytes > 0;
+        let is_due = !self.buffer.holds_until_end && self.buffer.bytes >= minimum_bytes;
         if !is_due && !is_flushed {
             return;
         }
-        for piece in self.held.take_pieces(usize::MAX) {
-            self.send_answer(piece);
+        for chunk in self.buffer.take_chunks(usize::MAX) {
+            self.forward(chunk);
         }
     }
 
-    fn send_answer(&mut self, messages: Vec<u8>) {
-        self.answered_any = true;
+    fn forward(&mut self, messages: Vec<u8>) {
+        self.forwarded_any = true;
         self.credit -= i64::try_from(messages.len()).unwrap_or(i64::MAX);
         self.stream.send(OwnerMessage::Answer {
             messages: messages.into(),
         });
     }
 
-    /// Drops what an idle back end says unasked. An error is its farewell.
-    fn drop_asides(&mut self) -> Result<(), BackendError> {
+    /// Discards unsolicited messages of an idle back end. An error means that it closes the
+    /// connection.
+    fn discard_unsolicited(&mut self) -> Result<(), BackendError> {
         let (reader, _) = self.grant.connection.halves();
         while let Some(message) = reader.take_buffered()? {
             if message.type_byte() == MESSAGE_TYPE_BYTE_ERROR_RESPONSE {
@@ -375,30 +381,30 @@
         Ok(())
     }
 
-    /// Holds the `CommandComplete` of an outcome recorded earlier as the batch's only answer.
-    pub(super) fn hold_command_tag(&mut self, tag: &str) {
+    /// Replaces the buffer with a `CommandComplete` that carries a recorded command tag.
+    pub(super) fn buffer_command_tag(&mut self, tag: &str) {
         if let Ok(bytes) = command_complete(tag) {
-            self.held.replace(bytes.freeze());
+            self.buffer.replace(bytes.freeze());
         }
     }
 
-    /// Whether part of a batch was accepted whose end has not come.
+    /// Whether a batch was accepted that has not ended yet.
     pub(super) fn is_in_flight(&self) -> bool {
-        self.ready_expected > 0 || !self.outbox.is_empty() || self.sent_any
+        self.pending_ready_count > 0 || !self.outbox.is_empty() || self.sent_any
     }
 
-    /// Takes the parts apart at the end of the stream.
+    /// Returns the stream and the connection at the end of the stream.
     pub(super) fn into_parts(self) -> (OwnerStream, Grant) {
         (self.stream, self.grant)
     }
 }
 
-/// Writes some of `outbox`, or flushes when it is empty. Safe to cancel.
-async fn push(writer: &mut (impl AsyncWrite + Unpin), outbox: &[u8]) -> Happened {
+/// Writes part of `outbox`, or flushes when it is empty. Cancel safe.
+async fn write_or_flush(writer: &mut (impl AsyncWrite + Unpin), outbox: &[u8]) -> RelayEvent {
     if outbox.is_empty() {
-        Happened::Flushed(writer.flush().await)
+        RelayEvent::Flushed(writer.flush().await)
     } else {
-        Happened::Wrote(writer.write(outbox).await)
+        RelayEvent::Wrote(writer.write(outbox).await)
     }
 }
 
--- a/crates/stairward-proxy/src/owner/report.rs
+++ b/crates/stairward-proxy/src/owner/report.rs
@@ -1,4 +1,4 @@
-//! What the owner side tells of itself.
+//! Status of the owner side, for the admin interface.
 
 use std::collections::BTreeMap;
 
@@ -11,30 +11,30 @@
 pub struct BackendReport {
     /// Its group.
     pub group: GroupId,
-    /// In which role this node serves it: `owner` or `standby`.
+    /// The role in which this node serves it: `owner` or `standby`.
     pub role: &'static str,
-    /// Whether this node holds the lease, so that it may take work.
+    /// Whether this node holds the lease and may admit work.
     pub lease_held: bool,
-    /// Its freshness when last asked; none while it cannot be reached.
+    /// Its freshness in the last probe; none while it is unreachable.
     pub freshness: Option<Freshness>,
-    /// Whether it was the primary of that term.
+    /// Whether it was the primary in the last probe.
     pub is_primary: bool,
-    /// Connections that exist for work, in any state.
+    /// Working connections in any state.
     pub connections: usize,
-    /// Connections lent to streams.
+    /// Connections in use by streams.
     pub in_use: usize,
-    /// Requests that wait.
+    /// Queued requests.
     pub queued: usize,
 }
 
-/// What the owner side does at a moment.
+/// A snapshot of the owner side.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct OwnerStatus {
-    /// The back ends served, by name. A back end served in both roles shows the owner's.
+    /// The served back ends by name. A back end served in both roles is shown as owner.
     pub backends: BTreeMap<BackendId, BackendReport>,
 }
 
-/// Describes a back end as it is now.
+/// Takes a snapshot of a back end.
 pub(super) fn report(backend: &Backend) -> BackendReport {
     let load = backend.load();
     let state = backend.state();
--- a/crates/stairward-proxy/src/owner/service.rs
+++ b/crates/stairward-proxy/src/owner/service.rs
@@ -1,5 +1,5 @@
-//! The owner service: takes and gives up back ends as the membership view and the settings change,
-//! and hands streams to them.
+//! The owner service: acquires and releases back ends as membership and settings change, and routes
+//! streams to them.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -22,16 +22,16 @@
 use crate::cluster::Cluster;
 use crate::peer::{OwnerStream, PeerNetwork};
 
-/// The back end ends a working connection after this long without a statement. Far longer than the
-/// pool lets one rest; it only clears up after a node that vanished with no successor.
+/// The `idle_session_timeout` of working connections. Far longer than the pool keeps a connection
+/// idle; it only cleans up after a node that failed without a successor.
 const IDLE_SESSION_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Without contact to any source of configuration for longer than this, no new work is taken: the
-/// back ends may have been marked as leaving meanwhile.
+/// Maximum time without contact to a configuration source. Beyond it no new work is admitted,
+/// because back ends may have been marked as leaving in the meantime.
 const CONFIGURATION_AGE_LIMIT: Duration = Duration::from_secs(3);
 
-/// How long work in flight may go on when a back end moves to another node.
-const MOVE_LIMIT: Duration = Duration::from_secs(30);
+/// Drain limit for running work when a back end moves to another node.
+const MOVE_DRAIN_TIMEOUT: Duration = Duration::from_secs(30);
 
 type Served = BTreeMap<(BackendId, OwnerRole), Arc<Backend>>;
 
@@ -46,14 +46,15 @@
 #[derive(Default)]
 struct ServiceState {
     served: Served,
-    /// Being given up; each stays until it holds nothing at the back end any more.
-    leaving: Served,
+    /// Back ends being released. Each stays here until it has closed its connections and released
+    /// its lock.
+    stopping: Served,
     configuration_too_old: bool,
     is_draining: bool,
 }
 
 impl OwnerService {
-    /// A service that owns nothing yet; [`OwnerService::run`] makes it follow the cluster.
+    /// Creates a service that owns nothing until [`OwnerService::run`] follows the cluster.
     #[must_use]
     pub fn new(cluster: Cluster, network: PeerNetwork, settings: OwnerSettings) -> Arc<Self> {
         let context = OwnerContext {
@@ -68,7 +69,7 @@
         })
     }
 
-    /// Takes and gives up back ends as settings and membership change. Runs until the cluster is
+    /// Acquires and releases back ends as settings and membership change. Runs until the cluster is
     /// dropped.
     pub async fn run(self: Arc<Self>) {
         let mut settings = self.context.cluster.watch_settings();
@@ -88,26 +89,28 @@
         }
     }
 
-    /// Serves a stream opened by an edge. Its first message must be `Open`.
+    /// Starts a task that serves a stream opened by an edge. Its first message must be `Open`.
     pub fn accept_stream(&self, stream: OwnerStream) {
-        let found = {
+        let served = {
             let state = self.lock();
             state.served.clone()
         };
-        tokio::spawn(serve_stream(stream, move |name| find(&found, name)));
+        tokio::spawn(serve_stream(stream, move |name| {
+            find_serving(&served, name)
+        }));
     }
 
-    /// Asks a back end, now, for its term, position and role.
+    /// Queries a back end's current term, position and role.
     pub async fn probe_backend(&self, backend: &BackendId) -> CallReply {
         let refused = |code: ResultCode| CallReply::Refused {
             code: code.number(),
         };
-        let candidates = self.all_of(backend);
+        let candidates = self.roles_of(backend);
         if candidates.is_empty() {
             return refused(ResultCode::NotOwner);
         }
         for backend in candidates {
-            if let Ok(status) = backend.ask().await {
+            if let Ok(status) = backend.query_status().await {
                 return CallReply::Backend {
                     freshness: status.freshness.into(),
                     is_primary: u8::from(status.is_primary()),
@@ -118,15 +121,16 @@
         refused(ResultCode::BackendUnavailable)
     }
 
-    /// Hears that another node has given a back end up, so that it may be taken at once.
+    /// Handles the notification that another node released a back end, so that this node attempts
+    /// the lock immediately.
     pub fn handle_handover(&self, backend: &BackendId) {
-        for backend in self.all_of(backend) {
+        for backend in self.roles_of(backend) {
             backend.lease_event(LeaseEvent::ReleasedByPredecessor);
         }
     }
 
-    /// Hears how long ago this node last heard from any source of configuration. While it is too
-    /// long, no new work is taken.
+    /// Sets the time since the last contact to a configuration source. While it exceeds the limit,
+    /// no new work is admitted.
     pub fn set_configuration_age(&self, age: Duration) {
         let too_old = age > CONFIGURATION_AGE_LIMIT;
         let mut state = self.lock();
@@ -139,22 +143,22 @@
         }
     }
 
-    /// Gives every back end up: takes no new work, lets what is in flight end until `deadline`, and
+    /// Releases every back end: admits no new work, lets running work finish within `deadline`, and
     /// hands the back ends over.
     pub async fn drain(&self, deadline: Duration) {
         let backends = {
             let mut state = self.lock();
             state.is_draining = true;
             let served = std::mem::take(&mut state.served);
-            // Other nodes still ask for their state.
-            state.leaving.extend(served.clone());
+            // Other nodes still query their status.
+            state.stopping.extend(served.clone());
             served.into_values()
         };
         let stops = backends.map(|backend| async move { backend.stop(deadline).await });
         futures::future::join_all(stops).await;
     }
 
-    /// What is served at the moment.
+    /// The back ends served now.
     #[must_use]
     pub fn status(&self) -> OwnerStatus {
         let mut backends = BTreeMap::new();
@@ -170,9 +174,9 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn all_of(&self, name: &BackendId) -> Vec<Arc<Backend>> {
+    fn roles_of(&self, name: &BackendId) -> Vec<Arc<Backend>> {
         let state = self.lock();
-        let served = state.served.iter().chain(state.leaving.iter());
+        let served = state.served.iter().chain(state.stopping.iter());
         served
             .filter(|((served, _), _)| served == name)
             .map(|(_, backend)| Arc::clone(backend))
@@ -194,8 +198,8 @@
             .collect();
         for key in unwanted {
             if let Some(backend) = state.served.remove(&key) {
-                state.leaving.insert(key, Arc::clone(&backend));
-                tokio::spawn(Arc::clone(self).give_up(backend));
+                state.stopping.insert(key, Arc::clone(&backend));
+                tokio::spawn(Arc::clone(self).release(backend));
             }
         }
         for ((name, role), (group, backend)) in wanted {
@@ -203,7 +207,7 @@
         }
     }
 
-    /// The back ends this node should serve, by its own view.
+    /// The back ends and roles this node should serve according to its membership view.
     fn wanted<'a>(&self, settings: &'a ResolvedSettings, served: &Served) -> Wanted<'a> {
         let holds = |name: &BackendId, role| {
             let backend = served.get(&(name.clone(), role));
@@ -226,8 +230,8 @@
         wanted
     }
 
-    /// Whether a served back end is wanted in its role, and still reached in the same way. One that has
-    /// moved to another address is given up and taken again.
+    /// Whether a served back end is still wanted in its role with the same address and user. After
+    /// an address change it is released and acquired again.
     fn is_still_wanted(
         &self,
         key: &(BackendId, OwnerRole),
@@ -240,7 +244,7 @@
         })
     }
 
-    /// The role that the membership view gives this node at a back end.
+    /// This node's role at a back end according to the ownership ranking.
     fn ranked_role(&self, backend: &BackendSettings) -> Option<OwnerRole> {
         let node = self.context.cluster.identity.node;
         let owners = self.context.cluster.owners(&backend.backend)?;
@@ -263,7 +267,7 @@
         settings: &BackendSettings,
     ) {
         let key = (name, role);
-        if state.leaving.contains_key(&key) {
+        if state.stopping.contains_key(&key) {
             return;
         }
         let pool_settings = pool_settings(group, settings, role);
@@ -276,7 +280,7 @@
                 tracing::info!(
                     event = LogEvent::BackendLeaving.number(),
                     backend = %settings.backend,
-                    "the back end takes no new work"
+                    "the back end is leaving; it receives no new work"
                 );
             }
             return;
@@ -312,16 +316,17 @@
         }
     }
 
-    async fn give_up(self: Arc<Self>, backend: Arc<Backend>) {
-        backend.stop(MOVE_LIMIT).await;
+    async fn release(self: Arc<Self>, backend: Arc<Backend>) {
+        backend.stop(MOVE_DRAIN_TIMEOUT).await;
         let key = (backend.identity.name.clone(), backend.identity.role);
-        self.lock().leaving.remove(&key);
+        self.lock().stopping.remove(&key);
         self.context.roles_changed.notify_one();
     }
 }
 
-/// The back end that serves a stream: the owner's when its lease is held, else the standby's.
-fn find(served: &Served, name: &BackendId) -> Option<Arc<Backend>> {
+/// Finds the role in which a back end serves streams: the first whose lease is held, owner before
+/// standby. Without a lease, the first served role.
+fn find_serving(served: &Served, name: &BackendId) -> Option<Arc<Backend>> {
     let roles = OwnerRole::ALL.iter();
     let candidates: Vec<_> = roles
         .filter_map(|role| served.get(&(name.clone(), *role)))
--- a/crates/stairward-proxy/src/owner/status.rs
+++ b/crates/stairward-proxy/src/owner/status.rs
@@ -1,4 +1,4 @@
-//! How the proxy asks a back end for its term, position and role.
+//! The status query for a back end's term, log positions and role.
 
 use stairward_types::{BackendRole, Freshness, LogPosition, Term};
 
@@ -6,37 +6,37 @@
 use super::error::{BackendError, StatusSnafu};
 use snafu::OptionExt;
 
-/// Asks for role, term and positions with PostgreSQL's own functions.
+/// Selects role, term and log positions with PostgreSQL's built-in functions.
 ///
-/// The first position is what reads can see: the replayed one on a replica, the written one on a
-/// primary. The second is what the member holds on its disk, which is what elections go by: the
-/// received one on a replica. The timeline is PostgreSQL's term.
+/// The first position is what reads can see: the replay position on a replica, the write position
+/// on a primary. The second is what the member has on disk, which decides elections: the receive
+/// position on a replica. The timeline ID serves as the term.
 const STATUS_QUERY: &str = "SELECT pg_is_in_recovery(), timeline_id, \
     CASE WHEN pg_is_in_recovery() THEN pg_last_wal_replay_lsn() ELSE pg_current_wal_lsn() END, \
     CASE WHEN pg_is_in_recovery() THEN pg_last_wal_receive_lsn() ELSE pg_current_wal_lsn() END \
     FROM pg_control_checkpoint()";
 
-/// What a back end says of itself.
+/// The status a back end reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BackendStatus {
-    /// Its term and applied position: what reads see.
+    /// Its term and applied position, which reads can see.
     pub freshness: Freshness,
-    /// Its term and received position: what it holds on its disk. Never before the applied one.
+    /// Its term and received position, which is on disk. Never before the applied position.
     pub received: Freshness,
-    /// The role it believes to have.
+    /// The role it reports.
     pub role: BackendRole,
 }
 
 impl BackendStatus {
-    /// Whether it believes to be the primary.
+    /// Whether it reports itself as primary.
     #[must_use]
     pub fn is_primary(&self) -> bool {
         self.role == BackendRole::Primary
     }
 }
 
-/// Asks the back end at the other end of an idle connection.
-pub(super) async fn ask_status(
+/// Queries the status of a back end on an idle connection.
+pub(super) async fn query_status(
     connection: &mut BackendConnection,
 ) -> Result<BackendStatus, BackendError> {
     let rows = connection.query(STATUS_QUERY).await?;
@@ -46,7 +46,7 @@
 fn parse_status(rows: &[TextRow]) -> Result<BackendStatus, BackendError> {
     let [row] = rows else {
         return StatusSnafu {
-            reason: "one row was expected",
+            reason: "expected exactly one row",
         }
         .fail();
     };
@@ -72,8 +72,8 @@
     })
 }
 
-/// The received position. A replica that streams from nobody reports none, and one that restores
-/// from an archive an old one: what it has applied it holds in any case.
+/// The received position. A replica without streaming replication reports none, and one that
+/// restores from an archive reports an old one, so the applied position is the lower bound.
 fn received_position(row: &TextRow, applied: LogPosition) -> Result<LogPosition, BackendError> {
     match row.get(3).and_then(Option::as_deref) {
         Some(text) => Ok(parse_position(text)?.max(applied)),
--- a/crates/stairward-proxy/src/owner/term_search.rs
+++ b/crates/stairward-proxy/src/owner/term_search.rs
@@ -1,5 +1,5 @@
-//! Finding a group's newest primary after its present one may have been lost: every other member
-//! is asked, again and again, until one leads a newer term or the old one answers again.
+//! Searches for a group's new primary when the current one may have failed: polls all other members
+//! until one is primary in a newer term or the old primary responds again.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,18 +13,18 @@
 use super::status::BackendStatus;
 use crate::cluster::KnownPrimary;
 
-/// Pause between two rounds of questions.
+/// Pause between two polling rounds.
 const ROUND_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How long one answer may take.
+/// Time limit of one query.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Rounds after which the search is given up; the regular probes of the members' owners go on.
+/// Maximum number of rounds. The regular probes by the members' owners continue afterwards.
 const MAXIMUM_ROUNDS: u32 = 1_500;
 
-/// Starts a search when the back end was the group's primary as far as is known. To be called
-/// before the pool forgets its state.
-pub(super) fn primary_may_be_lost(backend: &Arc<Backend>) {
+/// Starts a search if the back end was the group's last known primary. Must be called before
+/// `PoolEvent::ProbeFailed`, which clears the pool's state.
+pub(super) fn start_primary_search(backend: &Arc<Backend>) {
     let Some(last) = backend.state() else {
         return;
     };
@@ -36,13 +36,13 @@
 async fn search(backend: Arc<Backend>, lost_term: Term) {
     let members = backend.context.other_members(&backend.identity);
     for _ in 0..MAXIMUM_ROUNDS {
-        let questions = members
+        let queries = members
             .iter()
-            .map(|member| ask_member(&backend.context, member, ANSWER_TIMEOUT));
-        let answers = join_all(questions).await;
+            .map(|member| query_member(&backend.context, member, ANSWER_TIMEOUT));
+        let answers = join_all(queries).await;
         for (member, answer) in members.iter().zip(answers) {
             if let Some(status) = answer {
-                learn(&backend, member, status);
+                record_primary(&backend, member, status);
             }
         }
         let is_back = backend.state().is_some();
@@ -53,7 +53,7 @@
     }
 }
 
-fn learn(backend: &Backend, member: &BackendId, status: BackendStatus) {
+fn record_primary(backend: &Backend, member: &BackendId, status: BackendStatus) {
     if status.is_primary() {
         let primary = KnownPrimary {
             term: status.freshness.term,
@@ -70,15 +70,15 @@
     known.map(|primary| primary.term).unwrap_or_default()
 }
 
-/// Has a member asked, now, by its owner, or by its standby when the owner cannot.
-pub(super) async fn ask_member(
+/// Queries a member's current status through its owner, or through its standby if that fails.
+pub(super) async fn query_member(
     context: &OwnerContext,
     member: &BackendId,
     timeout: Duration,
 ) -> Option<BackendStatus> {
     let owners = context.cluster.owners(member)?;
-    let askers = std::iter::once(owners.owner).chain(owners.standby);
-    for node in askers {
+    let nodes = std::iter::once(owners.owner).chain(owners.standby);
+    for node in nodes {
         let request = CallRequest::AskBackend {
             backend: member.as_str().into(),
         };
--- a/crates/stairward-proxy/src/owner/wire.rs
+++ b/crates/stairward-proxy/src/owner/wire.rs
@@ -1,4 +1,4 @@
-//! PostgreSQL messages as whole byte strings: found by their header, relayed without decoding.
+//! Framing of PostgreSQL messages, which are relayed without decoding their bodies.
 
 use bytes::{Buf, Bytes, BytesMut};
 use pgwire::messages::response::MESSAGE_TYPE_BYTE_READY_FOR_QUERY;
@@ -9,24 +9,24 @@
 /// Type byte and length field.
 const HEADER_BYTES: usize = 5;
 
-/// Longest message accepted from a back end, in bytes. A longer one ends the connection, since the
-/// message must be held whole and fit into one frame between nodes.
+/// Longest message accepted from a back end, in bytes. A longer one closes the connection, because
+/// a message is buffered whole and must fit into one frame of the peer protocol.
 pub(super) const MAXIMUM_MESSAGE_BYTES: usize = 8 * 1024 * 1024;
 
-/// One whole message, header included.
+/// One complete message including its header.
 #[derive(Debug, Clone)]
 pub(super) struct RawMessage {
-    /// The message as it stood on the wire.
+    /// The message as received.
     pub bytes: Bytes,
 }
 
 impl RawMessage {
-    /// The byte that tells the message's type.
+    /// The message type.
     pub(super) fn type_byte(&self) -> u8 {
         self.bytes[0]
     }
 
-    /// What follows the header.
+    /// The message without its header.
     pub(super) fn body(&self) -> &[u8] {
         &self.bytes[HEADER_BYTES..]
     }
@@ -41,7 +41,7 @@
     }
 }
 
-/// Takes one whole message off the front of `buffer`; `None` when more bytes are needed.
+/// Removes one complete message from the front of `buffer`; `None` when more bytes are needed.
 pub(super) fn take_message(buffer: &mut BytesMut) -> Result<Option<RawMessage>, BackendError> {
     let Some(length) = next_message_length(buffer)? else {
         return Ok(None);
