--- a/crates/stairward-proxy/src/peer/connection.rs
+++ b/crates/stairward-proxy/src/peer/connection.rs
@@ -1,4 +1,4 @@
-//! One TCP connection between two nodes: its writer, and dispatch of what arrives.
+//! A TCP connection between two nodes: its write queue and the dispatch of received messages.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -16,7 +16,7 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio_util::sync::CancellationToken;
 
-use super::handshake::shake_hands;
+use super::handshake::perform_handshake;
 use super::message_reader::MessageReader;
 use super::network::{
     ConnectionLostSnafu, PeerError, PeerService, SocketSnafu, UnexpectedNodeSnafu,
@@ -25,20 +25,21 @@
 use crate::cluster::Identity;
 
 const READ_BUFFER_BYTES: usize = 64 * 1024;
-/// Frames written with one system call at most.
+/// Maximum number of frames written with one system call.
 const WRITE_BATCH_FRAMES: usize = 256;
 
 type Streams<M> = Mutex<HashMap<u64, mpsc::UnboundedSender<M>>>;
 
-/// What a connection has open. Dropping the entries tells their users that the peer is lost.
+/// The open streams and calls of a connection. Dropping an entry signals its user that the
+/// connection is lost.
 #[derive(Default)]
-struct OpenWork {
+struct ConnectionState {
     /// Streams opened by this node's edge.
     edge_streams: Streams<OwnerMessage>,
     /// Streams opened by the peer's edge.
     owner_streams: Streams<EdgeMessage>,
     calls: Mutex<HashMap<u64, oneshot::Sender<CallReply>>>,
-    next_number: AtomicU64,
+    next_id: AtomicU64,
     closed: CancellationToken,
 }
 
@@ -46,9 +47,9 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl OpenWork {
-    fn number(&self) -> u64 {
-        self.next_number.fetch_add(1, Ordering::Relaxed)
+impl ConnectionState {
+    fn next_id(&self) -> u64 {
+        self.next_id.fetch_add(1, Ordering::Relaxed)
     }
 
     fn is_closed(&self) -> bool {
@@ -63,24 +64,24 @@
     }
 }
 
-/// What waits to be written.
+/// An item of the write queue.
 #[expect(clippy::large_enum_variant, reason = "almost every item is a message")]
 enum Outgoing {
     Message(PeerMessage),
-    /// Everything before this has been given to the system.
-    Written(oneshot::Sender<()>),
+    /// Signals that everything queued before has been written to the socket.
+    Flush(oneshot::Sender<()>),
 }
 
-/// A live connection to a peer. Cheap to clone.
+/// An established connection to a peer. Cheap to clone.
 #[derive(Clone)]
 pub(super) struct Connection {
     outgoing: mpsc::UnboundedSender<Outgoing>,
-    work: Arc<OpenWork>,
+    state: Arc<ConnectionState>,
 }
 
 impl Connection {
-    /// Exchanges [`Hello`] and [`Proof`], then starts the connection's tasks. With `expected`, the
-    /// peer must be that node.
+    /// Performs the handshake, then starts the connection's tasks. With `expected`, the peer must
+    /// be that node.
     pub(super) async fn establish(
         socket: TcpStream,
         identity: &Identity,
@@ -91,7 +92,7 @@
         socket.set_nodelay(true).context(SocketSnafu)?;
         let (read_half, mut write_half) = socket.into_split();
         let mut reader = MessageReader::new(read_half, READ_BUFFER_BYTES);
-        let peer = shake_hands(&mut reader, &mut write_half, identity, key).await?;
+        let peer = perform_handshake(&mut reader, &mut write_half, identity, key).await?;
         if let Some(expected) = expected {
             ensure!(
                 peer == expected,
@@ -104,25 +105,29 @@
         let (outgoing, queue) = mpsc::unbounded_channel();
         let connection = Self {
             outgoing,
-            work: Arc::default(),
+            state: Arc::default(),
         };
-        tokio::spawn(write_queue(write_half, queue, Arc::clone(&connection.work)));
+        tokio::spawn(write_queue(
+            write_half,
+            queue,
+            Arc::clone(&connection.state),
+        ));
         tokio::spawn(connection.clone().read_messages(reader, peer, service));
         Ok((peer, connection))
     }
 
     /// Whether the connection is lost.
     pub(super) fn is_closed(&self) -> bool {
-        self.work.is_closed() || self.outgoing.is_closed()
+        self.state.is_closed() || self.outgoing.is_closed()
     }
 
-    /// Opens a stream to the peer as owner.
+    /// Opens a stream to the peer's owner side.
     pub(super) fn open_stream(&self) -> EdgeStream {
-        let stream = self.work.number();
+        let stream = self.state.next_id();
         let (sender, receiver) = mpsc::unbounded_channel();
-        lock(&self.work.edge_streams).insert(stream, sender);
-        if self.work.is_closed() {
-            lock(&self.work.edge_streams).remove(&stream);
+        lock(&self.state.edge_streams).insert(stream, sender);
+        if self.state.is_closed() {
+            lock(&self.state.edge_streams).remove(&stream);
         }
         let guard = StreamGuard {
             connection: self.clone(),
@@ -140,32 +145,33 @@
         }
     }
 
-    /// Asks the peer and waits for its answer.
+    /// Sends a call to the peer and waits for its reply.
     pub(super) async fn call(&self, request: CallRequest) -> Result<CallReply, PeerError> {
-        let call = self.work.number();
+        let call = self.state.next_id();
         let (sender, receiver) = oneshot::channel();
-        lock(&self.work.calls).insert(call, sender);
+        lock(&self.state.calls).insert(call, sender);
         if !self.send(PeerMessage::Call { call, request }) {
-            lock(&self.work.calls).remove(&call);
+            lock(&self.state.calls).remove(&call);
         }
         receiver.await.ok().context(ConnectionLostSnafu)
     }
 
     fn send(&self, message: PeerMessage) -> bool {
-        !self.work.is_closed() && self.outgoing.send(Outgoing::Message(message)).is_ok()
+        !self.state.is_closed() && self.outgoing.send(Outgoing::Message(message)).is_ok()
     }
 
-    /// Waits until everything sent so far has been given to the system, or the connection is lost.
+    /// Waits until everything sent so far has been written to the socket, or the connection is
+    /// lost.
     pub(super) async fn flush(&self) {
         let (written, done) = oneshot::channel();
-        if self.outgoing.send(Outgoing::Written(written)).is_ok() {
+        if self.outgoing.send(Outgoing::Flush(written)).is_ok() {
             let _ = done.await;
         }
     }
 
-    /// Gives the connection up: its streams and calls end as lost, its socket is closed.
+    /// Closes the connection: its streams and calls end as lost and its socket is closed.
     pub(super) fn close(&self) {
-        self.work.close();
+        self.state.close();
     }
 
     async fn read_messages(
@@ -174,21 +180,21 @@
         peer: NodeId,
         service: Arc<dyn PeerService>,
     ) {
-        let closed = self.work.closed.clone();
+        let closed = self.state.closed.clone();
         while let Some(Ok(message)) = closed.run_until_cancelled(reader.next()).await {
             self.dispatch(message, peer, &service);
         }
-        self.work.close();
+        self.state.close();
         service.peer_connection_lost(peer);
     }
 
     fn dispatch(&self, message: PeerMessage, peer: NodeId, service: &Arc<dyn PeerService>) {
         match message {
-            // Both belong to the handshake only; ignoring them later harms nobody.
+            // These belong to the handshake; later ones are ignored.
             PeerMessage::Hello(_) | PeerMessage::Proof(_) => {}
             PeerMessage::ToEdge { stream, message } => {
-                // A message for a stream that has ended is late and is dropped.
-                if let Some(sender) = lock(&self.work.edge_streams).get(&stream) {
+                // A late message for a stream that has ended is dropped.
+                if let Some(sender) = lock(&self.state.edge_streams).get(&stream) {
                     let _ = sender.send(message);
                 }
             }
@@ -197,19 +203,20 @@
                 message: open @ EdgeMessage::Open(_),
             } => {
                 let accepted = self.accept_stream(stream, peer);
-                if let Some(sender) = lock(&self.work.owner_streams).get(&stream) {
+                if let Some(sender) = lock(&self.state.owner_streams).get(&stream) {
                     let _ = sender.send(open);
                 }
                 service.accept_stream(accepted);
             }
             PeerMessage::ToOwner { stream, message } => {
-                if let Some(sender) = lock(&self.work.owner_streams).get(&stream) {
+                if let Some(sender) = lock(&self.state.owner_streams).get(&stream) {
                     let _ = sender.send(message);
                 }
             }
             PeerMessage::EndStream { stream } => {
-                // What the owner sent before stays to be read; then the edge sees the end.
-                lock(&self.work.edge_streams).remove(&stream);
+                // Messages already queued can still be read; then the edge sees the end of the
+                // stream.
+                lock(&self.state.edge_streams).remove(&stream);
             }
             PeerMessage::Call { call, request } => {
                 let connection = self.clone();
@@ -220,7 +227,7 @@
                 });
             }
             PeerMessage::Reply { call, reply } => {
-                if let Some(waiting) = lock(&self.work.calls).remove(&call) {
+                if let Some(waiting) = lock(&self.state.calls).remove(&call) {
                     let _ = waiting.send(reply);
                 }
             }
@@ -229,7 +236,7 @@
 
     fn accept_stream(&self, stream: u64, peer: NodeId) -> OwnerStream {
         let (sender, receiver) = mpsc::unbounded_channel();
-        lock(&self.work.owner_streams).insert(stream, sender);
+        lock(&self.state.owner_streams).insert(stream, sender);
         let guard = StreamGuard {
             connection: self.clone(),
             stream,
@@ -253,7 +260,7 @@
     Owner,
 }
 
-/// Forgets a stream when its end is dropped, so that late messages match nothing.
+/// Deregisters a stream when its local end is dropped, so that late messages are ignored.
 struct StreamGuard {
     connection: Connection,
     stream: u64,
@@ -264,8 +271,8 @@
     fn drop(&mut self) {
         match self.side {
             Side::Edge => {
-                lock(&self.connection.work.edge_streams).remove(&self.stream);
-                // The owner must not keep a connection for an edge that has let go.
+                lock(&self.connection.state.edge_streams).remove(&self.stream);
+                // Without this message the owner would keep its back-end connection reserved.
                 let message = EdgeMessage::Abandon;
                 self.connection.send(PeerMessage::ToOwner {
                     stream: self.stream,
@@ -273,8 +280,9 @@
                 });
             }
             Side::Owner => {
-                lock(&self.connection.work.owner_streams).remove(&self.stream);
-                // An owner that let go without a last word must not leave the edge waiting.
+                lock(&self.connection.state.owner_streams).remove(&self.stream);
+                // Without this message an edge would wait forever for an owner that dropped the
+                // stream without a final message.
                 self.connection.send(PeerMessage::EndStream {
                     stream: self.stream,
                 });
@@ -286,11 +294,11 @@
 async fn write_queue(
     mut writer: OwnedWriteHalf,
     mut queue: mpsc::UnboundedReceiver<Outgoing>,
-    work: Arc<OpenWork>,
+    state: Arc<ConnectionState>,
 ) {
     let mut waiting = Vec::with_capacity(WRITE_BATCH_FRAMES);
     let mut buffer = BytesMut::with_capacity(READ_BUFFER_BYTES);
-    let closed = work.closed.clone();
+    let closed = state.closed.clone();
     loop {
         let received = queue.recv_many(&mut waiting, WRITE_BATCH_FRAMES);
         if closed
@@ -304,7 +312,7 @@
         let mut written = Vec::new();
         let encoded = waiting.drain(..).try_for_each(|item| match item {
             Outgoing::Message(message) => encode_frame(&message, &mut buffer),
-            Outgoing::Written(sender) => {
+            Outgoing::Flush(sender) => {
                 written.push(sender);
                 Ok(())
             }
@@ -315,9 +323,9 @@
         }
         buffer.clear();
         for sender in written {
-            // The one who waits may have given up.
+            // The caller of `flush` may have stopped waiting.
             let _ = sender.send(());
         }
     }
-    work.close();
+    state.close();
 }
--- a/crates/stairward-proxy/src/peer/handshake.rs
+++ b/crates/stairward-proxy/src/peer/handshake.rs
@@ -1,4 +1,4 @@
-//! The handshake of a connection between two nodes: each proves that it knows the cluster key.
+//! The handshake between two nodes, in which each proves that it knows the cluster key.
 
 use bytes::BytesMut;
 use rand::Rng as _;
@@ -16,8 +16,9 @@
 
 const PROOF_PURPOSE: &str = "peer-connection";
 
-/// Proves to the peer that this node knows the cluster key, and checks the peer's proof.
-pub(super) async fn shake_hands(
+/// Proves to the peer that this node knows the cluster key, verifies the peer's proof, and returns
+/// the peer's ID.
+pub(super) async fn perform_handshake(
     reader: &mut MessageReader,
     writer: &mut OwnedWriteHalf,
     identity: &Identity,
@@ -32,28 +33,28 @@
         nonce,
     };
     write_message(writer, &PeerMessage::Hello(hello)).await?;
-    let PeerMessage::Hello(theirs) = reader.next().await? else {
+    let PeerMessage::Hello(peer_hello) = reader.next().await? else {
         return HandshakeSnafu {
             reason: "the first message is not Hello",
         }
         .fail();
     };
     ensure!(
-        theirs.version == PROTOCOL_VERSION,
+        peer_hello.version == PROTOCOL_VERSION,
         HandshakeSnafu {
-            reason: "the peer speaks another protocol version"
+            reason: "the peer uses a different protocol version"
         }
     );
     let proof = key.prove(
         PROOF_PURPOSE,
         &[
-            &theirs.nonce,
+            &peer_hello.nonce,
             &identity.node.0.to_be_bytes(),
             &identity.incarnation.0.to_be_bytes(),
         ],
     );
     write_message(writer, &PeerMessage::Proof(Proof { proof })).await?;
-    let PeerMessage::Proof(their_proof) = reader.next().await? else {
+    let PeerMessage::Proof(peer_proof) = reader.next().await? else {
         return HandshakeSnafu {
             reason: "the second message is not Proof",
         }
@@ -63,19 +64,19 @@
         PROOF_PURPOSE,
         &[
             &nonce,
-            &theirs.node.to_be_bytes(),
-            &theirs.incarnation.to_be_bytes(),
+            &peer_hello.node.to_be_bytes(),
+            &peer_hello.incarnation.to_be_bytes(),
         ],
-        &their_proof.proof,
+        &peer_proof.proof,
     );
-    // A proof of our own number would be our own answer sent back to us.
+    // A proof with this node's own ID is this node's own message reflected by the peer.
     ensure!(
-        proved && theirs.node != identity.node.0,
+        proved && peer_hello.node != identity.node.0,
         HandshakeSnafu {
-            reason: "the peer does not know the cluster key"
+            reason: "the peer's proof of the cluster key is invalid"
         }
     );
-    Ok(NodeId(theirs.node))
+    Ok(NodeId(peer_hello.node))
 }
 
 async fn write_message(half: &mut OwnedWriteHalf, message: &PeerMessage) -> Result<(), PeerError> {
--- a/crates/stairward-proxy/src/peer/message_reader.rs
+++ b/crates/stairward-proxy/src/peer/message_reader.rs
@@ -1,4 +1,4 @@
-//! Reads whole messages of the internal protocol from a socket.
+//! Reads messages of the peer protocol from a socket.
 
 use bytes::BytesMut;
 use snafu::{ResultExt, ensure};
@@ -8,14 +8,14 @@
 
 use super::network::{ConnectionLostSnafu, PeerError, SocketSnafu};
 
-/// Reads whole messages from a peer.
+/// Reads messages from a peer.
 pub(super) struct MessageReader {
     half: OwnedReadHalf,
     buffer: BytesMut,
 }
 
 impl MessageReader {
-    /// A reader with room for so many bytes at first.
+    /// Creates a reader with the given initial buffer capacity.
     pub(super) fn new(half: OwnedReadHalf, capacity_bytes: usize) -> Self {
         Self {
             half,
@@ -23,7 +23,7 @@
         }
     }
 
-    /// The next message; fails when the peer has closed the connection.
+    /// Reads the next message; fails when the peer has closed the connection.
     pub(super) async fn next(&mut self) -> Result<PeerMessage, PeerError> {
         loop {
             if let Some(message) = decode_frame(&mut self.buffer).map_err(PeerError::from)? {
--- a/crates/stairward-proxy/src/peer/mod.rs
+++ b/crates/stairward-proxy/src/peer/mod.rs
@@ -1,7 +1,7 @@
 //! Connections between nodes: statement streams and calls, multiplexed over one TCP connection per
-//! pair and direction of use.
+//! pair of nodes and direction.
 //!
-//! A node's own edge and owner talk through the same [`EdgeStream`] and [`OwnerStream`] types
+//! The edge and the owner of the same node use the same [`EdgeStream`] and [`OwnerStream`] types
 //! without a socket.
 
 mod connection;
--- a/crates/stairward-proxy/src/peer/network.rs
+++ b/crates/stairward-proxy/src/peer/network.rs
@@ -1,4 +1,4 @@
-//! Finding and keeping connections to other nodes.
+//! Establishing and caching connections to other nodes.
 
 use std::collections::HashMap;
 use std::future::Future;
@@ -19,91 +19,91 @@
 use super::stream::{EdgeStream, OwnerStream, local_pair};
 use crate::cluster::Cluster;
 
-/// For so long after a failure nobody tries again to connect to the peer, so that requests that wait
-/// for the same connection fail together and not one after another.
-const CONNECT_PAUSE: Duration = Duration::from_millis(50);
+/// Minimum time between a failed connection attempt and the next one. Without it, requests that
+/// wait for the same connection would each run into the connect timeout in turn.
+const RECONNECT_DELAY: Duration = Duration::from_millis(50);
 
-/// How long a connection to a peer may take to be made and proved.
+/// Time limit for connecting to a peer, including the handshake.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Why a peer could not be spoken to. Nothing of the request was sent, unless it is
-/// [`PeerError::ConnectionLost`] or [`PeerError::Timeout`].
+/// Why a request to a peer failed. Only after [`PeerError::ConnectionLost`] or
+/// [`PeerError::Timeout`] may part of the request have been sent.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum PeerError {
     /// The node is not in the membership view.
     #[snafu(display("node {node} is not a member"))]
     UnknownNode {
-        /// The node asked for.
+        /// The requested node.
         node: NodeId,
     },
     /// The socket failed.
     #[snafu(display("the connection to the peer failed"))]
     Socket {
-        /// What the system said.
+        /// The I/O error.
         source: std::io::Error,
     },
     /// The peer closed the connection.
     #[snafu(display("the connection to the peer was lost"))]
     ConnectionLost,
-    /// Bytes from the peer are not of this protocol.
-    #[snafu(display("the peer sent a bad frame"), context(false))]
+    /// The peer sent bytes that are not a valid frame.
+    #[snafu(display("the peer sent an invalid frame"), context(false))]
     Frame {
-        /// What is wrong with them.
+        /// The decoding error.
         source: FrameError,
     },
     /// The handshake failed.
     #[snafu(display("the handshake with the peer failed: {reason}"))]
     Handshake {
-        /// In which way.
+        /// The reason.
         reason: &'static str,
     },
-    /// Another node answers at the address.
-    #[snafu(display("expected node {expected}, found node {found}"))]
+    /// A different node answered at the address.
+    #[snafu(display("expected node {expected}, connected to node {found}"))]
     UnexpectedNode {
-        /// The node asked for.
+        /// The requested node.
         expected: NodeId,
         /// The node that answered.
         found: NodeId,
     },
-    /// The peer did not answer in time.
-    #[snafu(display("the peer did not answer in time"))]
+    /// The peer did not respond in time.
+    #[snafu(display("the peer did not respond in time"))]
     Timeout,
 }
 
-/// The future of an answer to a call.
+/// The future of a reply to a call.
 pub type CallFuture = Pin<Box<dyn Future<Output = CallReply> + Send>>;
 
-/// What a node does for its peers.
+/// Handles the streams and calls of peers.
 pub trait PeerService: Send + Sync + 'static {
     /// Serves a stream opened by an edge. Its first message is always [`EdgeMessage::Open`].
     fn accept_stream(&self, stream: OwnerStream);
 
-    /// Answers a call.
+    /// Handles a call.
     fn answer_call(&self, from: NodeId, request: CallRequest) -> CallFuture;
 
-    /// Hears that a connection to a peer was lost, a hint that the peer may have failed.
+    /// Called when a connection to a peer was lost, which hints that the peer may have failed.
     fn peer_connection_lost(&self, _peer: NodeId) {}
 }
 
-/// All of a node's connections to its peers. Cheap to clone.
+/// A node's connections to its peers. Cheap to clone.
 #[derive(Clone)]
 pub struct PeerNetwork {
     inner: Arc<Inner>,
 }
 
-/// The connection to one peer.
+/// The cached outgoing connection to one peer.
 #[derive(Default)]
 struct PeerSlot {
     connection: Option<Connection>,
-    /// When connecting last failed.
+    /// When the last attempt to connect failed.
     failed_at: Option<Instant>,
 }
 
 impl PeerSlot {
-    fn has_just_failed(&self) -> bool {
+    fn failed_recently(&self) -> bool {
         self.failed_at
-            .is_some_and(|failed_at| failed_at.elapsed() < CONNECT_PAUSE)
+            .is_some_and(|failed_at| failed_at.elapsed() < RECONNECT_DELAY)
     }
 }
 
@@ -111,15 +111,15 @@
     cluster: Cluster,
     key: ClusterKey,
     service: OnceLock<Arc<dyn PeerService>>,
-    /// The ways to peers that this node's edge and calls use.
+    /// The outgoing connections, used by this node's edge and its calls.
     connections: Mutex<HashMap<NodeId, Arc<Mutex<PeerSlot>>>>,
-    /// Every open connection, those that peers made included.
-    open: OpenConnections,
+    /// All open connections, including those opened by peers.
+    open_connections: OpenConnections,
 }
 
 impl PeerNetwork {
-    /// A network without connections. [`PeerNetwork::serve`] must be called before streams to the
-    /// node itself are opened.
+    /// Creates a network without connections. [`PeerNetwork::serve`] or
+    /// [`PeerNetwork::set_service`] must be called before streams to the node itself are opened.
     #[must_use]
     pub fn new(cluster: Cluster, key: ClusterKey) -> Self {
         let inner = Inner {
@@ -127,14 +127,14 @@
             key,
             service: OnceLock::new(),
             connections: Mutex::default(),
-            open: OpenConnections::default(),
+            open_connections: OpenConnections::default(),
         };
         Self {
             inner: Arc::new(inner),
         }
     }
 
-    /// Answers peers that connect to `listener`, and this node itself, with `service`. Runs until
+    /// Serves peers that connect to `listener`, and this node itself, with `service`. Runs until
     /// the listener fails.
     ///
     /// # Errors
@@ -145,7 +145,7 @@
         service: Arc<dyn PeerService>,
     ) -> Result<(), PeerError> {
         self.set_service(service);
-        tokio::spawn(self.clone().follow_members());
+        tokio::spawn(self.clone().close_connections_to_lost_members());
         loop {
             let (socket, _) = listener.accept().await.context(SocketSnafu)?;
             let network = self.clone();
@@ -154,32 +154,33 @@
                     tracing::warn!(
                         event = stairward_types::LogEvent::PeerRefused.number(),
                         %error,
-                        "a peer connection was refused"
+                        "rejected a peer connection"
                     );
                 }
             });
         }
     }
 
-    /// Closes connections to nodes that membership declares lost.
-    async fn follow_members(self) {
+    /// Closes connections to nodes that left the membership view or restarted.
+    async fn close_connections_to_lost_members(self) {
         let mut members = self.inner.cluster.watch_members();
         let mut before = Arc::clone(&members.borrow_and_update());
         while members.changed().await.is_ok() {
             let after = Arc::clone(&members.borrow_and_update());
-            self.inner.open.close_lost(&before, &after);
+            self.inner.open_connections.close_lost(&before, &after);
             before = after;
         }
     }
 
-    /// Waits until everything sent so far has been given to the system, for a planned stop.
+    /// Waits until everything sent so far has been written to the sockets, for a planned stop.
     pub async fn flush(&self) {
-        for connection in self.inner.open.all() {
+        for connection in self.inner.open_connections.all() {
             connection.flush().await;
         }
     }
 
-    /// Sets what answers peers, for when the listener starts later. Only the first call counts.
+    /// Sets the service in advance when the listener starts later. Only the first call has an
+    /// effect.
     pub fn set_service(&self, service: Arc<dyn PeerService>) {
         let _ = self.inner.service.set(service);
     }
@@ -187,7 +188,7 @@
     /// Opens a stream to an owner and sends its first message.
     ///
     /// # Errors
-    /// [`PeerError`]; nothing was sent then.
+    /// [`PeerError`]; nothing was sent in that case.
     pub async fn open_stream(&self, owner: NodeId, open: Open) -> Result<EdgeStream, PeerError> {
         if owner == self.inner.cluster.identity.node {
             return self.open_local_stream(open);
@@ -200,10 +201,10 @@
         Ok(stream)
     }
 
-    /// Asks a node and waits for its answer.
+    /// Sends a call to a node and waits for its reply.
     ///
     /// # Errors
-    /// [`PeerError`]; the peer may have acted when it is `ConnectionLost` or `Timeout`.
+    /// [`PeerError`]; after `ConnectionLost` or `Timeout` the peer may have executed the call.
     pub async fn call(
         &self,
         node: NodeId,
@@ -244,7 +245,7 @@
             .await
             .ok()
             .context(TimeoutSnafu)??;
-        self.inner.open.add(peer, connection);
+        self.inner.open_connections.add(peer, connection);
         Ok(())
     }
 
@@ -253,18 +254,19 @@
             let mut connections = self.inner.connections.lock().await;
             Arc::clone(connections.entry(node).or_default())
         };
-        // Held while connecting, so that a burst of requests makes one connection.
+        // Locked while connecting, so that concurrent requests share one connection attempt.
         let mut slot = slot.lock_owned().await;
-        let live = slot
+        let established = slot
             .connection
             .as_ref()
             .filter(|connection| !connection.is_closed());
-        if let Some(connection) = live {
+        if let Some(connection) = established {
             return Ok(connection.clone());
         }
-        ensure!(!slot.has_just_failed(), ConnectionLostSnafu);
+        ensure!(!slot.failed_recently(), ConnectionLostSnafu);
         let network = self.clone();
-        // In a task of its own, so that it goes on for the others when this caller gives up.
+        // In a separate task, so that the attempt continues for other callers when this one is
+        // cancelled.
         let connecting = tokio::spawn(async move {
             let connected = network.connect(node).await;
             slot.failed_at = connected.is_err().then(Instant::now);
@@ -288,7 +290,7 @@
             .await
             .ok()
             .context(TimeoutSnafu)??;
-        self.inner.open.add(node, connection.clone());
+        self.inner.open_connections.add(node, connection.clone());
         tracing::debug!(
             event = stairward_types::LogEvent::PeerConnected.number(),
             peer = node.0,
--- a/crates/stairward-proxy/src/peer/stream.rs
+++ b/crates/stairward-proxy/src/peer/stream.rs
@@ -19,9 +19,10 @@
         (self.sender)(message)
     }
 
-    /// The owner's next message; `None` once the connection to it is lost.
+    /// Receives the owner's next message; `None` once the stream has ended or the connection is
+    /// lost.
     ///
-    /// What waits unread is bounded by the window the edge has granted. Safe to cancel.
+    /// Unread messages are bounded by the credit that the edge has granted. Cancel safe.
     pub async fn receive(&mut self) -> Option<OwnerMessage> {
         self.receiver.recv().await
     }
@@ -41,15 +42,15 @@
         (self.sender)(message)
     }
 
-    /// The edge's next message; `None` once the edge or the connection to it is lost.
+    /// Receives the edge's next message; `None` once the edge or the connection to it is lost.
     ///
-    /// Safe to cancel.
+    /// Cancel safe.
     pub async fn receive(&mut self) -> Option<EdgeMessage> {
         self.receiver.recv().await
     }
 }
 
-/// Both ends of a stream within one process.
+/// Creates both ends of a stream within one process.
 pub(super) fn local_pair(edge: NodeId) -> (EdgeStream, OwnerStream) {
     let (to_owner, from_edge) = mpsc::unbounded_channel();
     let (to_edge, from_owner) = mpsc::unbounded_channel();
