--- a/crates/stairward-proxy/src/node/embedded.rs
+++ b/crates/stairward-proxy/src/node/embedded.rs
@@ -1,4 +1,5 @@
-//! A node inside another program, on threads of its own, so that it can be ended like a process.
+//! A node embedded in another program, with its own runtime threads, so that it can be killed like
+//! a process.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,34 +10,34 @@
 
 use super::{Node, NodeAddresses, NodeError, NodeListeners};
 
-/// Threads of an embedded node.
+/// Worker threads of an embedded node.
 const WORKER_THREADS: usize = 2;
 
 /// Why an embedded node could not start.
 #[derive(Debug, Snafu)]
 pub enum EmbeddedNodeError {
-    /// Its threads could not be started.
-    #[snafu(display("the node's threads cannot be started: {source}"))]
+    /// The runtime could not be started.
+    #[snafu(display("cannot start the node's threads: {source}"))]
     Threads {
-        /// What the system said.
+        /// The I/O error.
         source: std::io::Error,
     },
     /// The node could not start.
     #[snafu(display("{source}"))]
     Node {
-        /// Why.
+        /// The node's error.
         source: NodeError,
     },
 }
 
-/// A node on threads of its own.
+/// A node with its own runtime threads.
 pub struct EmbeddedNode {
     runtime: Runtime,
     node: Node,
 }
 
 impl EmbeddedNode {
-    /// Starts a node. Blocks until its parts run; must not be called on a runtime's thread.
+    /// Starts a node and blocks until its parts run. Must not be called on a runtime thread.
     ///
     /// # Errors
     /// [`EmbeddedNodeError`].
@@ -66,26 +67,26 @@
         &self.node
     }
 
-    /// Where it listens.
+    /// The addresses at which it listens.
     #[must_use]
     pub fn addresses(&self) -> NodeAddresses {
         self.node.addresses()
     }
 
-    /// Where it listens for clients.
+    /// The address at which it listens for clients.
     #[must_use]
     pub fn client_address(&self) -> SocketAddr {
         self.node.addresses().client
     }
 
-    /// The planned stop. Blocks until it has ended; must not be called on a runtime's thread.
+    /// Performs a planned stop and blocks until it has finished. Must not be called on a runtime
+    /// thread.
     pub fn stop(self, timeout: Duration) {
         self.runtime.block_on(self.node.stop(timeout));
         self.runtime.shutdown_background();
     }
 
-    /// Ends the node at once, as the death of its process would: every socket is closed, nothing is
-    /// announced.
+    /// Kills the node like a process crash: all sockets are closed and nothing is announced.
     pub fn kill(self) {
         self.runtime.shutdown_background();
     }
--- a/crates/stairward-proxy/src/node/error.rs
+++ b/crates/stairward-proxy/src/node/error.rs
@@ -10,30 +10,30 @@
 #[snafu(visibility(pub(super)))]
 pub enum NodeError {
     /// A socket could not be opened.
-    #[snafu(display("a socket cannot be opened: {source}"))]
+    #[snafu(display("cannot open a socket: {source}"))]
     Socket {
-        /// What the system said.
+        /// The I/O error.
         source: std::io::Error,
     },
     /// The cluster key is too short.
     #[snafu(display("{source}"))]
     ClusterKey {
-        /// What is wrong with it.
+        /// The validation error.
         source: InvalidClusterKey,
     },
-    /// The client of the platform's store could not be made.
-    #[snafu(display("the platform's client cannot be made: {source}"))]
+    /// The client of the platform's store could not be created.
+    #[snafu(display("cannot create the client of the platform's store: {source}"))]
     Platform {
-        /// Why.
+        /// The client's error.
         source: ReadError,
     },
-    /// Files named in the process file cannot be used.
+    /// Files named in the process file are unusable.
     #[snafu(display("{}", describe(problems)))]
     Problems {
-        /// What is wrong with them.
+        /// The problems found.
         problems: Vec<SettingsProblem>,
     },
-    /// A certificate or key cannot be used.
+    /// A certificate or key is unusable.
     #[snafu(display("{}: {reason}", path.display()))]
     Certificate {
         /// The file.
@@ -44,7 +44,7 @@
 }
 
 impl NodeError {
-    /// Wraps problems with files.
+    /// Wraps problems found in files.
     pub(super) fn from_problems(problems: Vec<SettingsProblem>) -> Self {
         Self::Problems { problems }
     }
--- a/crates/stairward-proxy/src/node/listeners.rs
+++ b/crates/stairward-proxy/src/node/listeners.rs
@@ -1,4 +1,4 @@
-//! A node's sockets.
+//! A node's listening sockets.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,29 +10,29 @@
 use super::NodeAddresses;
 use super::error::{NodeError, SocketSnafu};
 
-/// Tries to find a port that is free for both TCP and UDP.
+/// Maximum attempts to find a port that is free for both TCP and UDP.
 const PORT_ATTEMPTS: usize = 16;
 
-/// Sockets bound and not yet served.
+/// Bound sockets that are not served yet.
 pub struct NodeListeners {
     /// For clients.
     pub client: TcpListener,
-    /// For the streams and calls of other nodes.
+    /// For streams and calls of other nodes.
     pub peer: TcpListener,
-    /// For membership, at the same address as `peer`.
+    /// For membership datagrams, at the same address as `peer`.
     pub membership: UdpSocket,
-    /// For operators.
+    /// For the admin interface.
     pub admin: TcpListener,
 }
 
 impl NodeListeners {
-    /// Binds the addresses of a process file. Port 0 means any free port.
+    /// Binds the addresses of a process file. Port 0 selects any free port.
     ///
     /// # Errors
     /// [`NodeError::Socket`].
     pub async fn bind(settings: &ProcessSettings) -> Result<Self, NodeError> {
         let listen = &settings.listen;
-        let (peer, membership) = bind_both(listen.peer).await.context(SocketSnafu)?;
+        let (peer, membership) = bind_tcp_and_udp(listen.peer).await.context(SocketSnafu)?;
         Ok(Self {
             client: TcpListener::bind(listen.client)
                 .await
@@ -43,7 +43,7 @@
         })
     }
 
-    /// Where the sockets are bound.
+    /// The local addresses of the sockets.
     ///
     /// # Errors
     /// [`NodeError::Socket`].
@@ -56,8 +56,8 @@
     }
 }
 
-/// Binds TCP and UDP on the same port.
-async fn bind_both(address: SocketAddr) -> io::Result<(TcpListener, UdpSocket)> {
+/// Binds TCP and UDP on the same port, retrying with other ports if the port is free to choose.
+async fn bind_tcp_and_udp(address: SocketAddr) -> io::Result<(TcpListener, UdpSocket)> {
     let mut attempts = if address.port() == 0 {
         PORT_ATTEMPTS
     } else {
--- a/crates/stairward-proxy/src/node/mod.rs
+++ b/crates/stairward-proxy/src/node/mod.rs
@@ -1,4 +1,4 @@
-//! A whole node: binds its listeners, starts its parts, and stops them in order.
+//! A complete node: binds its listeners, starts its parts, and stops them in order.
 
 mod embedded;
 mod error;
@@ -37,13 +37,14 @@
 use service::NodeService;
 use status::{ActivitySource, metrics_handle};
 
-/// Share of the drain time left for handing back ends over, after the clients.
-const HAND_OVER_SHARE: f64 = 0.2;
+/// Fraction of the drain timeout reserved for handing over back ends after the clients have
+/// drained.
+const HANDOVER_SHARE: f64 = 0.2;
 
-/// How often the owner hears whether the settings may still be taken for the newest.
+/// Interval at which the owner is told whether the settings are still trusted to be the newest.
 const SETTINGS_TRUST_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long peers may take to accept the last answers of a planned stop.
+/// Time limit for sending the last replies to peers during a planned stop.
 const FLUSH_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A running node.
@@ -59,22 +60,22 @@
     draining: Arc<AtomicBool>,
 }
 
-/// Where a node listens.
+/// The addresses at which a node listens.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct NodeAddresses {
     /// For clients.
     pub client: SocketAddr,
     /// For other nodes, TCP and UDP.
     pub peer: SocketAddr,
-    /// For operators.
+    /// For the admin interface.
     pub admin: SocketAddr,
 }
 
 impl Node {
-    /// Starts all parts. Clients are served once the settings are known to be the newest.
+    /// Starts all parts. Clients are served once the settings are confirmed to be the newest.
     ///
     /// # Errors
-    /// [`NodeError`] when a file or a socket cannot be used.
+    /// [`NodeError`] when a file or a socket is unusable.
     pub async fn start(
         settings: &ProcessSettings,
         listeners: NodeListeners,
@@ -109,9 +110,15 @@
         tokio::spawn(driver.run());
         tokio::spawn(serve_peers(network.clone(), listeners.peer, service));
         tokio::spawn(Arc::clone(&owner).run());
-        tokio::spawn(pass_digests_on(membership.clone(), configuration.clone()));
-        tokio::spawn(pass_machines_on(membership.clone(), configuration.clone()));
-        tokio::spawn(pass_settings_trust_on(
+        tokio::spawn(forward_peer_digests(
+            membership.clone(),
+            configuration.clone(),
+        ));
+        tokio::spawn(forward_machine_addresses(
+            membership.clone(),
+            configuration.clone(),
+        ));
+        tokio::spawn(forward_settings_trust(
             Arc::downgrade(&owner),
             cluster.clone(),
         ));
@@ -126,7 +133,7 @@
             listeners.admin,
             AdminOptions {
                 token: load_admin_token(settings)?,
-                tls: tls::server(settings.admin.tls.as_ref())?,
+                tls: tls::server_config(settings.admin.tls.as_ref())?,
                 cluster: cluster.clone(),
                 configuration: configuration.clone(),
                 status: Arc::new(ActivitySource {
@@ -144,7 +151,7 @@
             client = %addresses.client,
             peer = %addresses.peer,
             admin = %addresses.admin,
-            "the node has started"
+            "node started"
         );
         Ok(Self {
             cluster,
@@ -159,87 +166,85 @@
         })
     }
 
-    /// This node's number.
+    /// This node's ID.
     #[must_use]
     pub fn id(&self) -> NodeId {
         self.cluster.identity.node
     }
 
-    /// What the node knows of the cluster.
+    /// The node's view of the cluster.
     #[must_use]
     pub fn cluster(&self) -> &Cluster {
         &self.cluster
     }
 
-    /// Where it listens.
+    /// The addresses at which it listens.
     #[must_use]
     pub fn addresses(&self) -> NodeAddresses {
         self.addresses
     }
 
-    /// What the edge has counted.
+    /// The edge's counters.
     #[must_use]
     pub fn statistics(&self) -> EdgeStatistics {
         self.edge.statistics()
     }
 
-    /// Reads and edits the settings.
+    /// The handle for reading and editing the settings.
     #[must_use]
     pub fn configuration(&self) -> &ConfigurationHandle {
         &self.configuration
     }
 
-    /// Reads certificates, keys and users again, for new connections.
+    /// Reloads certificates, keys and users, which apply to new connections.
     ///
     /// # Errors
-    /// [`NodeError`]; those in use stay then.
+    /// [`NodeError`]; the ones in use are kept in that case.
     pub fn reload_files(&self, settings: &ProcessSettings) -> Result<(), NodeError> {
         let renewed = edge_settings(settings)?;
         self.edge.set_tls(renewed.tls);
         self.edge.set_users(renewed.users);
         tracing::info!(
             event = LogEvent::CertificatesReloaded.number(),
-            "certificates, keys and users were read again"
+            "reloaded certificates, keys and users"
         );
         Ok(())
     }
 
-    /// The planned stop: announces it, refuses new sessions, lets what is in flight finish, hands the
-    /// back ends over, and leaves. Takes at most `timeout`.
+    /// Performs a planned stop: announces it, refuses new sessions, lets running work finish, hands
+    /// over the back ends, and leaves the cluster. Draining takes at most `timeout`.
     pub async fn stop(self, timeout: Duration) {
         tracing::info!(
             event = LogEvent::DrainStarted.number(),
-            "a planned stop has begun"
+            "planned stop started"
         );
         self.draining.store(true, Ordering::SeqCst);
-        let hand_over_time = timeout.mul_f64(HAND_OVER_SHARE);
+        let handover_time = timeout.mul_f64(HANDOVER_SHARE);
         self.membership.announce_leaving().await;
-        self.edge
-            .drain(timeout.saturating_sub(hand_over_time))
-            .await;
-        self.owner.drain(hand_over_time).await;
-        // The last answers to other nodes' edges may still wait to be written.
+        self.edge.drain(timeout.saturating_sub(handover_time)).await;
+        self.owner.drain(handover_time).await;
+        // The last replies to edges of other nodes may still be queued.
         if tokio::time::timeout(FLUSH_TIMEOUT, self.network.flush())
             .await
             .is_err()
         {
             tracing::warn!(
                 event = LogEvent::PeerLost.number(),
-                "a peer took no more answers"
+                "timed out sending the last replies to peers"
             );
         }
         self.membership.depart().await;
         self.admin.stop();
         tracing::info!(
             event = LogEvent::DrainFinished.number(),
-            "the planned stop has ended"
+            "planned stop finished"
         );
     }
 }
 
 fn identity(settings: &ProcessSettings, peer_address: SocketAddr) -> Identity {
-    // The clock of a machine that restarts may step back; a node that finds a higher incarnation of
-    // itself in the cluster takes a higher one still.
+    // A machine's clock may step back across a restart. A node that finds a higher incarnation of
+    // itself in the cluster switches to an even higher one.
     let since_epoch = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
@@ -285,7 +290,7 @@
         .map(str::to_owned);
     Ok(OwnerSettings {
         backend_password: password,
-        backend_tls: tls::client(settings.backends.root_certificate_file.as_deref())?,
+        backend_tls: tls::client_config(settings.backends.root_certificate_file.as_deref())?,
     })
 }
 
@@ -303,9 +308,9 @@
         .filter_map(|(user, secret)| Some((user, secret.expose_text()?.to_owned())))
         .collect::<crate::edge::Users>();
     let mut edge = EdgeSettings::trusting(token_key_from(&token_key));
-    // Embedded nodes without users trust their callers; a process file always names a users file.
+    // Embedded nodes without users accept any client; a process file always names a users file.
     edge.users = (!users.is_empty()).then_some(users);
-    edge.tls = tls::server(settings.callers.tls.as_ref())?;
+    edge.tls = tls::server_config(settings.callers.tls.as_ref())?;
     edge.maximum_clients = settings.callers.maximum_clients as usize;
     Ok(edge)
 }
@@ -320,7 +325,11 @@
     service: Arc<dyn PeerService>,
 ) {
     if let Err(error) = network.serve(listener, service).await {
-        tracing::error!(event = LogEvent::ListenerFailed.number(), %error, "peers are not served");
+        tracing::error!(
+            event = LogEvent::ListenerFailed.number(),
+            %error,
+            "the peer listener failed; peers are not served"
+        );
     }
 }
 
@@ -332,27 +341,28 @@
     if configuration.wait_until_ready().await.is_ok() {
         tracing::info!(
             event = LogEvent::NodeReady.number(),
-            "the node serves clients"
+            "the node is ready and serves clients"
         );
         edge.serve(listener).await;
     }
 }
 
-async fn pass_digests_on(membership: MembershipHandle, configuration: ConfigurationHandle) {
+async fn forward_peer_digests(membership: MembershipHandle, configuration: ConfigurationHandle) {
     use tokio::sync::broadcast::error::RecvError;
     let mut digests = membership.peer_digests();
     loop {
         match digests.recv().await {
             Ok(digest) => configuration.note_peer_revision(digest.node, digest.settings_revision),
-            // The next datagram tells it again.
+            // The next datagram carries the revision again.
             Err(RecvError::Lagged(_)) => {}
             Err(RecvError::Closed) => return,
         }
     }
 }
 
-/// Tells the owner when newer settings may be in force elsewhere, so that it takes no new work.
-async fn pass_settings_trust_on(owner: Weak<OwnerService>, cluster: Cluster) {
+/// Tells the owner periodically whether newer settings may be in effect on other nodes, in which
+/// case it admits no new work.
+async fn forward_settings_trust(owner: Weak<OwnerService>, cluster: Cluster) {
     let mut checks = tokio::time::interval(SETTINGS_TRUST_INTERVAL);
     loop {
         checks.tick().await;
@@ -368,7 +378,10 @@
     }
 }
 
-async fn pass_machines_on(membership: MembershipHandle, configuration: ConfigurationHandle) {
+async fn forward_machine_addresses(
+    membership: MembershipHandle,
+    configuration: ConfigurationHandle,
+) {
     let mut machines = configuration.watch_machines();
     while machines.changed().await.is_ok() {
         let addresses = machines
--- a/crates/stairward-proxy/src/node/service.rs
+++ b/crates/stairward-proxy/src/node/service.rs
@@ -1,4 +1,4 @@
-//! What a node does for its peers: hands each stream and call to the part that serves it.
+//! Dispatches the streams and calls of peers to the parts of the node that handle them.
 
 use std::sync::Arc;
 
@@ -12,7 +12,7 @@
 use crate::owner::OwnerService;
 use crate::peer::{CallFuture, OwnerStream, PeerService};
 
-/// Serves a node's peers, and the node itself.
+/// The [`PeerService`] of a node, for its peers and for the node itself.
 pub(super) struct NodeService {
     pub(super) cluster: Cluster,
     pub(super) edge: Arc<EdgeService>,
@@ -33,7 +33,7 @@
                 Box::pin(async move {
                     match BackendId::new(backend.as_str()) {
                         Ok(backend) => owner.probe_backend(&backend).await,
-                        Err(_) => refuse(ResultCode::ProtocolViolation),
+                        Err(_) => refusal(ResultCode::ProtocolViolation),
                     }
                 })
             }
@@ -59,7 +59,7 @@
                 let reply = self
                     .edge
                     .answer_call(&request)
-                    .unwrap_or_else(|| refuse(ResultCode::ProtocolViolation));
+                    .unwrap_or_else(|| refusal(ResultCode::ProtocolViolation));
                 Box::pin(std::future::ready(reply))
             }
         }
@@ -78,12 +78,12 @@
                     .learn_primary(&group, KnownPrimary { term, backend });
                 CallReply::Done
             }
-            _ => refuse(ResultCode::ProtocolViolation),
+            _ => refusal(ResultCode::ProtocolViolation),
         }
     }
 }
 
-fn refuse(code: ResultCode) -> CallReply {
+fn refusal(code: ResultCode) -> CallReply {
     CallReply::Refused {
         code: code.number(),
     }
--- a/crates/stairward-proxy/src/node/status.rs
+++ b/crates/stairward-proxy/src/node/status.rs
@@ -1,4 +1,4 @@
-//! What a node does at the moment, for its admin interface.
+//! Reports a node's current activity to its admin interface.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, OnceLock};
@@ -11,7 +11,7 @@
 use crate::edge::EdgeService;
 use crate::owner::{BackendReport, OwnerService};
 
-/// Tells the admin interface what the edge and the owner do.
+/// Collects the activity of the edge and the owner.
 pub(super) struct ActivitySource {
     pub(super) edge: Arc<EdgeService>,
     pub(super) owner: Arc<OwnerService>,
@@ -43,14 +43,15 @@
     }
 }
 
-/// The recorder of this process's metrics. All nodes of a process share it.
+/// The handle of this process's metrics recorder, which all nodes of the process share.
 pub(super) fn metrics_handle() -> PrometheusHandle {
     static HANDLE: OnceLock<PrometheusHandle> = OnceLock::new();
     HANDLE
         .get_or_init(|| {
             let recorder = PrometheusBuilder::new().build_recorder();
             let handle = recorder.handle();
-            // Another recorder set by the embedding program keeps the metrics for itself.
+            // If the embedding program has installed its own recorder, that one receives the
+            // metrics.
             let _ = metrics::set_global_recorder(recorder);
             handle
         })
