--- a/crates/stairward-proxy/src/admin/authorization.rs
+++ b/crates/stairward-proxy/src/admin/authorization.rs
@@ -1,4 +1,4 @@
-//! Who may use the admin interface.
+//! Authorization of admin requests.
 
 use std::fmt;
 use std::net::IpAddr;
@@ -17,10 +17,10 @@
 use super::context::AdminContext;
 use super::error::AdminError;
 
-/// Keys the comparison of tokens; it need not be secret.
+/// HMAC key for the constant-time comparison of tokens. It need not be secret.
 const COMPARISON_KEY: &[u8] = b"stairward admin token";
 
-/// The secret that operators show as a bearer token. Never shown in logs.
+/// The secret that operators present as a bearer token. Its `Debug` output hides the secret.
 #[derive(Clone)]
 pub struct AdminToken(String);
 
@@ -31,10 +31,10 @@
         Self(secret.into())
     }
 
-    /// Whether `shown` is the secret, in a time that does not depend on where the two differ.
-    fn matches(&self, shown: &str) -> bool {
-        let expected = keyed(&self.0).finalize().into_bytes();
-        keyed(shown).verify_slice(&expected).is_ok()
+    /// Compares `presented` with the secret in constant time.
+    fn matches(&self, presented: &str) -> bool {
+        let expected = token_mac(&self.0).finalize().into_bytes();
+        token_mac(presented).verify_slice(&expected).is_ok()
     }
 }
 
@@ -44,14 +44,15 @@
     }
 }
 
-fn keyed(text: &str) -> Hmac<Sha256> {
+fn token_mac(text: &str) -> Hmac<Sha256> {
     let mut mac =
-        Hmac::<Sha256>::new_from_slice(COMPARISON_KEY).expect("HMAC takes keys of any length");
+        Hmac::<Sha256>::new_from_slice(COMPARISON_KEY).expect("HMAC accepts keys of any length");
     mac.update(text.as_bytes());
     mac
 }
 
-/// Whether a request may go on. Loopback needs no token, but a token that is shown must be right.
+/// Whether a request is authorized. Loopback clients need no token, but a presented token must be
+/// valid.
 pub(super) fn is_allowed(
     client: Option<IpAddr>,
     headers: &HeaderMap,
@@ -65,11 +66,11 @@
             .to_str()
             .ok()
             .and_then(|value| value.strip_prefix("Bearer "))
-            .is_some_and(|shown| token.matches(shown)),
+            .is_some_and(|presented| token.matches(presented)),
     }
 }
 
-/// Refuses requests that [`is_allowed`] does not let pass.
+/// Middleware that rejects requests for which [`is_allowed`] returns false.
 #[derive(Clone, Copy)]
 pub(super) struct RequireToken;
 
--- a/crates/stairward-proxy/src/admin/authorization/tests.rs
+++ b/crates/stairward-proxy/src/admin/authorization/tests.rs
@@ -1,4 +1,4 @@
-//! Which requests need a token.
+//! Tests of which requests are authorized.
 
 use gotham::hyper::HeaderMap;
 use gotham::hyper::header::{AUTHORIZATION, HeaderValue};
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn only_loopback_goes_without_a_token() {
+fn remote_clients_need_the_token_and_a_wrong_token_is_rejected_on_loopback() {
     let token = AdminToken::new("secret");
     let cases = [
         ("127.0.0.1", None, true),
@@ -27,15 +27,15 @@
         ("10.0.0.7", Some("Bearer "), false),
         ("127.0.0.1", Some("Bearer wrong"), false),
     ];
-    for (address, shown, expected) in cases {
+    for (address, presented, expected) in cases {
         let client = address.parse().ok();
-        let allowed = is_allowed(client, &headers(shown), Some(&token));
-        assert_eq!(allowed, expected, "{address} {shown:?}");
+        let allowed = is_allowed(client, &headers(presented), Some(&token));
+        assert_eq!(allowed, expected, "{address} {presented:?}");
     }
 }
 
 #[test]
-fn without_a_configured_token_others_are_refused() {
+fn remote_clients_are_rejected_when_no_token_is_configured() {
     let client = "10.0.0.7".parse().ok();
     assert!(!is_allowed(client, &headers(Some("Bearer x")), None));
     assert!(!is_allowed(None, &headers(None), None));
--- a/crates/stairward-proxy/src/admin/backends.rs
+++ b/crates/stairward-proxy/src/admin/backends.rs
@@ -1,4 +1,4 @@
-//! The list of back ends.
+//! Lists the back ends.
 
 use gotham::handler::SimpleHandlerResult;
 use gotham::state::{FromState as _, State};
@@ -27,28 +27,32 @@
     pub address: std::net::SocketAddr,
     /// `joining`, `active` or `leaving`.
     pub admin_state: &'static str,
-    /// Whether it is the primary of the newest term that this node knows of.
+    /// Whether it is the primary of the newest term known to this node.
     pub is_primary: bool,
-    /// The node that holds its connections, as this node sees it.
+    /// The node that owns it according to this node's membership view.
     pub owner: Option<NodeId>,
 }
 
-/// Lists every back end of the settings in force.
+/// Handles `GET /backends`: lists all back ends of the current settings.
 pub(super) async fn get_backends(state: &mut State) -> SimpleHandlerResult {
     let context = AdminContext::borrow_from(state);
-    answer(Ok(list(&context.cluster)))
+    answer(Ok(list_backends(&context.cluster)))
 }
 
-fn list(cluster: &Cluster) -> Vec<BackendEntry> {
+fn list_backends(cluster: &Cluster) -> Vec<BackendEntry> {
     let settings = cluster.settings();
     let groups = settings.groups.values();
     groups
         .flat_map(|group| group.backends.values().map(move |backend| (group, backend)))
-        .map(|(group, backend)| entry(cluster, group, backend))
+        .map(|(group, backend)| backend_entry(cluster, group, backend))
         .collect()
 }
 
-fn entry(cluster: &Cluster, group: &GroupSettings, backend: &BackendSettings) -> BackendEntry {
+fn backend_entry(
+    cluster: &Cluster,
+    group: &GroupSettings,
+    backend: &BackendSettings,
+) -> BackendEntry {
     let primaries = cluster.primaries();
     let primary = primaries.get(&group.group);
     BackendEntry {
@@ -58,13 +62,13 @@
         region: backend.region.clone(),
         zone: backend.zone.clone(),
         address: backend.address,
-        admin_state: state_name(backend.admin_state),
+        admin_state: admin_state_name(backend.admin_state),
         is_primary: primary.is_some_and(|primary| primary.backend == backend.backend),
         owner: cluster.owners(&backend.backend).map(|owners| owners.owner),
     }
 }
 
-const fn state_name(state: AdminState) -> &'static str {
+const fn admin_state_name(state: AdminState) -> &'static str {
     match state {
         AdminState::Joining => "joining",
         AdminState::Active => "active",
--- a/crates/stairward-proxy/src/admin/connection.rs
+++ b/crates/stairward-proxy/src/admin/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of the admin interface: bounded in number and idle time, and closed on stop.
+//! A connection of the admin interface: limited in number and idle time, and closed on stop.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -11,7 +11,7 @@
 use tokio::time::{Instant, Sleep};
 use tokio_rustls::server::TlsStream;
 
-/// A connection on which nothing arrives for so long is closed.
+/// Idle time after which a connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Plain text or TLS.
@@ -20,7 +20,7 @@
     Tls(Box<TlsStream<TcpStream>>),
 }
 
-/// A connection that reads as ended once the service stops or nothing has arrived for a while.
+/// A connection whose reads return end of file once the service stops or the idle timeout passes.
 pub(super) struct AdminConnection {
     transport: Transport,
     idle: Pin<Box<Sleep>>,
@@ -44,7 +44,7 @@
         }
     }
 
-    fn is_over(&mut self, context: &mut Context<'_>) -> bool {
+    fn should_close(&mut self, context: &mut Context<'_>) -> bool {
         self.stopped.as_mut().poll(context).is_ready()
             || self.idle.as_mut().poll(context).is_ready()
     }
@@ -64,7 +64,7 @@
             self.idle.as_mut().reset(Instant::now() + IDLE_TIMEOUT);
             return polled;
         }
-        if self.is_over(context) {
+        if self.should_close(context) {
             return Poll::Ready(Ok(()));
         }
         Poll::Pending
--- a/crates/stairward-proxy/src/admin/context.rs
+++ b/crates/stairward-proxy/src/admin/context.rs
@@ -1,4 +1,4 @@
-//! What every admin request can reach.
+//! State shared by all admin request handlers.
 
 use std::ops::Deref;
 use std::panic::AssertUnwindSafe;
@@ -9,9 +9,10 @@
 use super::authorization::AdminToken;
 use super::server::AdminOptions;
 
-/// Shared by all requests. Cheap to clone.
+/// State shared by all admin request handlers. Cheap to clone.
 pub(super) struct AdminContext {
-    // A handler that panics leaves nothing half changed: it only sends on channels.
+    // Unwind safe because handlers only send on channels: a panic leaves no state partially
+    // modified.
     options: AssertUnwindSafe<Arc<AdminOptions>>,
 }
 
--- a/crates/stairward-proxy/src/admin/edits.rs
+++ b/crates/stairward-proxy/src/admin/edits.rs
@@ -1,4 +1,4 @@
-//! Editing the settings and marking back ends.
+//! Edits the settings and sets the admin state of back ends.
 
 use gotham::handler::SimpleHandlerResult;
 use gotham::helpers::http::Body;
@@ -16,7 +16,7 @@
 use super::error::{AdminError, ProblemBody, answer};
 use super::settings::document;
 
-/// Largest body accepted, in bytes.
+/// Maximum size of a request body, in bytes.
 const MAXIMUM_BODY_BYTES: usize = 4 * 1024 * 1024;
 
 /// Body of `POST /settings/edits`.
@@ -28,7 +28,7 @@
     changes: Vec<ChangeBody>,
 }
 
-/// One change of an edit, with names that may be wrong: sets an option, takes it back (no value or
+/// One change of an edit, with names not yet validated: sets an option, unsets it (no value or
 /// null), adds a place or removes it.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -48,9 +48,10 @@
 struct MarkBody {
     /// `joining`, `active` or `leaving`.
     admin_state: String,
-    /// Chosen anew when not given; then a lost reply cannot be settled.
+    /// Generated if absent; a client that loses the response then cannot find out whether the edit
+    /// was applied.
     change_id: Option<ChangeId>,
-    /// The revision looked at; the one in force here when not given.
+    /// The revision the edit is based on; this node's current revision if absent.
     based_on: Option<Revision>,
 }
 
@@ -67,39 +68,39 @@
     fn extend(_state: &mut State, _response: &mut Response<Body>) {}
 }
 
-/// Answer to an accepted edit.
+/// Response to an accepted edit.
 #[derive(Serialize)]
 struct EditedBody {
     change_id: ChangeId,
-    /// The revision the edit made.
+    /// The revision created by the edit.
     revision: Revision,
 }
 
-/// Makes an edit.
+/// Handles `POST /settings/edits`.
 pub(super) async fn post_edit(state: &mut State) -> SimpleHandlerResult {
     let context = AdminContext::borrow_from(state).clone();
     let body = read_json::<EditBody>(state).await;
     let edit = body.and_then(EditBody::into_edit);
     answer(match edit {
-        Ok(edit) => make_edit(&context, &edit).await,
+        Ok(edit) => submit_edit(&context, &edit).await,
         Err(error) => Err(error),
     })
 }
 
-/// Marks a back end as joining, active or leaving.
+/// Handles `POST /backends/NAME`: marks a back end as joining, active or leaving.
 pub(super) async fn mark_backend(state: &mut State) -> SimpleHandlerResult {
     let context = AdminContext::borrow_from(state).clone();
     let name = BackendName::take_from(state).name;
     let body = read_json::<MarkBody>(state).await;
     let document = document(state);
-    let edit = body.and_then(|body| mark_edit(&*document?, &name, body));
+    let edit = body.and_then(|body| admin_state_edit(&*document?, &name, body));
     answer(match edit {
-        Ok(edit) => make_edit(&context, &edit).await,
+        Ok(edit) => submit_edit(&context, &edit).await,
         Err(error) => Err(error),
     })
 }
 
-async fn make_edit(context: &AdminContext, edit: &Edit) -> Result<EditedBody, AdminError> {
+async fn submit_edit(context: &AdminContext, edit: &Edit) -> Result<EditedBody, AdminError> {
     let outcome = context.configuration.edit(edit).await?;
     Ok(EditedBody {
         change_id: edit.change_id,
@@ -107,7 +108,11 @@
     })
 }
 
-fn mark_edit(document: &SettingsDocument, name: &str, body: MarkBody) -> Result<Edit, AdminError> {
+fn admin_state_edit(
+    document: &SettingsDocument,
+    name: &str,
+    body: MarkBody,
+) -> Result<Edit, AdminError> {
     let path = document
         .tree()
         .places()
@@ -126,7 +131,7 @@
 }
 
 impl EditBody {
-    /// Checks every name; all that are wrong are told at once.
+    /// Validates all names and reports all problems together.
     fn into_edit(self) -> Result<Edit, AdminError> {
         let mut problems = Vec::new();
         let mut changes = Vec::new();
@@ -156,20 +161,21 @@
             .map(|option| parse_option(&self.path, option))
             .transpose()?;
         Change::from_parts(path, option, self.value, self.add, self.remove)
-            .map_err(|error| name_problem(&self.path, None, &error))
+            .map_err(|error| invalid_name_problem(&self.path, None, &error))
     }
 }
 
 fn parse_path(path: &str) -> Result<SettingsPath, ProblemBody> {
     path.parse()
-        .map_err(|error: stairward_settings::InvalidPath| name_problem(path, None, &error))
+        .map_err(|error: stairward_settings::InvalidPath| invalid_name_problem(path, None, &error))
 }
 
 fn parse_option(path: &str, option: &str) -> Result<SettingsOption, ProblemBody> {
-    SettingsOption::from_name(option).map_err(|error| name_problem(path, Some(option), &error))
+    SettingsOption::from_name(option)
+        .map_err(|error| invalid_name_problem(path, Some(option), &error))
 }
 
-fn name_problem(path: &str, option: Option<&str>, error: &impl ToString) -> ProblemBody {
+fn invalid_name_problem(path: &str, option: Option<&str>, error: &impl ToString) -> ProblemBody {
     ProblemBody {
         path: path.to_owned(),
         option: option.map(str::to_owned),
@@ -178,8 +184,8 @@
     }
 }
 
-/// Reads a JSON body of bounded size. The content type must say JSON, which a page in a browser
-/// cannot send to another site without being asked.
+/// Reads a JSON body of bounded size. The content type must be JSON: browsers send it to another
+/// origin only after a CORS preflight, which protects against cross-site requests.
 async fn read_json<T: DeserializeOwned>(state: &mut State) -> Result<T, AdminError> {
     let is_json = HeaderMap::borrow_from(state)
         .get(CONTENT_TYPE)
--- a/crates/stairward-proxy/src/admin/error.rs
+++ b/crates/stairward-proxy/src/admin/error.rs
@@ -1,4 +1,4 @@
-//! Refusals of the admin interface, as JSON with a numbered result code.
+//! Error responses of the admin interface: JSON bodies with a numbered result code.
 
 use bytes::Bytes;
 use gotham::handler::SimpleHandlerResult;
@@ -11,19 +11,19 @@
 use stairward_store::EditFailure;
 use stairward_types::{ResultCode, Revision};
 
-/// Content type of all bodies but the metrics.
+/// Content type of all bodies except the metrics.
 const JSON: HeaderValue = HeaderValue::from_static("application/json");
 
-/// One thing wrong with an edit, and where.
+/// One problem of an edit and its location.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct ProblemBody {
-    /// The place in the settings tree.
+    /// The path in the settings tree.
     pub path: String,
-    /// The option, when the problem is with one.
+    /// The option, if the problem concerns one.
     pub option: Option<String>,
     /// Number of the [`ResultCode`].
     pub code: u16,
-    /// What is wrong, for people.
+    /// Human-readable description.
     pub message: String,
 }
 
@@ -38,33 +38,34 @@
     }
 }
 
-/// The newer revision that an edit clashes with.
+/// The newer revision that an edit conflicts with.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct ConflictBody {
     /// The newest revision.
     pub newest: Revision,
-    /// The edits since the one the refused edit was based on; none when that is too long ago.
+    /// The edits since the revision the rejected edit was based on; none when the history no longer
+    /// reaches back that far.
     pub changed_since: Option<Vec<AppliedEdit>>,
 }
 
-/// Body of every refusal.
+/// Body of every error response.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct ErrorBody {
     /// Number of the [`ResultCode`].
     pub code: u16,
     /// Its name.
     pub name: &'static str,
-    /// What happened, for people.
+    /// Human-readable description.
     pub message: String,
-    /// Everything wrong with an edit.
+    /// The problems of an invalid edit.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub problems: Vec<ProblemBody>,
-    /// What an edit clashes with.
+    /// The revision that an edit conflicts with.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub conflict: Option<ConflictBody>,
 }
 
-/// A request that is refused.
+/// An error response to an admin request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct AdminError {
     status: StatusCode,
@@ -72,12 +73,12 @@
 }
 
 impl AdminError {
-    /// A refusal with the code's own message and usual HTTP status.
+    /// An error with the code's own message and HTTP status.
     pub(super) fn new(code: ResultCode) -> Self {
         Self::with_message(code, code.message())
     }
 
-    /// A refusal with a message of its own.
+    /// An error with a specific message.
     pub(super) fn with_message(code: ResultCode, message: impl Into<String>) -> Self {
         let body = ErrorBody {
             code: code.number(),
@@ -92,12 +93,12 @@
         }
     }
 
-    /// A request that cannot be understood.
+    /// A malformed request.
     pub(super) fn bad_request(message: impl Into<String>) -> Self {
         Self::with_message(ResultCode::InvalidAdminRequest, message)
     }
 
-    /// Nothing has the name or path asked for.
+    /// The requested name or path does not exist.
     pub(super) fn not_found(message: impl Into<String>) -> Self {
         Self {
             status: StatusCode::NOT_FOUND,
@@ -105,7 +106,7 @@
         }
     }
 
-    /// An edit with these problems.
+    /// An invalid edit with the given problems.
     pub(super) fn invalid_settings(problems: Vec<ProblemBody>) -> Self {
         let mut error = Self::new(ResultCode::InvalidSettings);
         error.body.problems = problems;
@@ -163,26 +164,26 @@
     }
 }
 
-/// A JSON body with a status.
+/// Builds a response with a JSON body.
 pub(super) fn json_response(status: StatusCode, body: &impl Serialize) -> Response<Body> {
     let bytes = serde_json::to_vec(body).unwrap_or_default();
     response(status, JSON, bytes)
 }
 
-/// A whole body with a status and a content type.
+/// Builds a response with a status, a content type and a body.
 pub(super) fn response(
     status: StatusCode,
     content_type: HeaderValue,
     bytes: impl Into<Bytes>,
 ) -> Response<Body> {
-    let body = Full::new(bytes.into()).map_err(|never| match never {});
+    let body = Full::new(bytes.into()).map_err(|infallible| match infallible {});
     let mut response = Response::new(body.boxed_unsync());
     *response.status_mut() = status;
     response.headers_mut().insert(CONTENT_TYPE, content_type);
     response
 }
 
-/// Answers with a JSON body, or with the refusal.
+/// Converts a handler's result into a response.
 pub(super) fn answer(result: Result<impl Serialize, AdminError>) -> SimpleHandlerResult {
     Ok(match result {
         Ok(body) => json_response(StatusCode::OK, &body),
--- a/crates/stairward-proxy/src/admin/server.rs
+++ b/crates/stairward-proxy/src/admin/server.rs
@@ -1,4 +1,4 @@
-//! Starting and stopping the admin interface.
+//! Starts and stops the admin interface.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,22 +18,22 @@
 use crate::cluster::Cluster;
 use crate::control::configuration::ConfigurationHandle;
 
-/// Connections open at once; more are closed at once.
+/// Maximum number of open connections; further ones are closed on accept.
 const MAXIMUM_CONNECTIONS: usize = 256;
-/// Time for a TLS handshake.
+/// Time limit of a TLS handshake.
 const HANDSHAKE_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(5);
 
-/// What the admin interface needs of the node.
+/// Options of the admin interface.
 pub struct AdminOptions {
-    /// Asked of all who are not on loopback; without it they are refused.
+    /// Required from clients that are not on loopback; without a token they are rejected.
     pub token: Option<AdminToken>,
-    /// Certificate and key; plain text without.
+    /// TLS configuration; plain HTTP without it.
     pub tls: Option<Arc<rustls::ServerConfig>>,
     /// The node's view of the cluster.
     pub cluster: Cluster,
-    /// Settings and edits.
+    /// Handle for reading and editing the settings.
     pub configuration: ConfigurationHandle,
-    /// What the node is doing.
+    /// Source of the node's activity.
     pub status: Arc<dyn StatusSource>,
     /// Renders the metrics.
     pub metrics: PrometheusHandle,
@@ -47,10 +47,10 @@
 }
 
 impl AdminService {
-    /// Serves on a listener, which may be bound to any free port.
+    /// Serves on a listener.
     ///
     /// # Errors
-    /// When the listener has no address.
+    /// When the listener's local address cannot be determined.
     pub fn start(listener: TcpListener, options: AdminOptions) -> std::io::Result<Self> {
         let address = listener.local_addr()?;
         let (stop, stopped) = watch::channel(false);
@@ -75,13 +75,13 @@
         })
     }
 
-    /// Where it listens.
+    /// The address at which it listens.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Accepts no more connections and closes those open.
+    /// Stops accepting connections and closes the open ones.
     pub fn stop(&self) {
         self.accepting.abort();
         self.stop.send_replace(true);
@@ -94,7 +94,7 @@
     }
 }
 
-/// Lets one connection in.
+/// Admits one accepted connection: takes a permit and performs the TLS handshake.
 struct Admission {
     acceptor: Option<TlsAcceptor>,
     permits: Arc<Semaphore>,
--- a/crates/stairward-proxy/src/admin/settings.rs
+++ b/crates/stairward-proxy/src/admin/settings.rs
@@ -1,4 +1,4 @@
-//! Reading the settings.
+//! Reads the settings.
 
 use std::collections::BTreeMap;
 
@@ -20,9 +20,9 @@
 /// Query of `GET /settings`.
 #[derive(Debug, Deserialize)]
 pub(super) struct SettingsQuery {
-    /// The place to explain; the whole tree as it is set without.
+    /// The place to explain; if absent, the response is the whole tree of explicitly set values.
     path: Option<String>,
-    /// The one option to explain; all without.
+    /// The only option to explain; all if absent.
     option: Option<String>,
 }
 
@@ -33,13 +33,13 @@
     fn extend(_state: &mut State, _response: &mut Response<Body>) {}
 }
 
-/// Answer to `GET /settings`.
+/// Response to `GET /settings`.
 #[derive(Serialize)]
 #[serde(untagged)]
 enum SettingsBody {
     Tree {
         revision: Revision,
-        /// What is set at each place, without what is inherited.
+        /// The values set at each place, without inherited ones.
         tree: BTreeMap<SettingsPath, BTreeMap<SettingsOption, Value>>,
     },
     Place {
@@ -47,20 +47,20 @@
         path: SettingsPath,
         /// The places directly below.
         children: Vec<SettingsPath>,
-        /// What is in force at the place, and where each value comes from.
+        /// The effective values at the place and their origins.
         options: Vec<ExplainedValue>,
     },
 }
 
-/// Answer to `GET /settings/history`.
+/// Response to `GET /settings/history`.
 #[derive(Serialize)]
 struct HistoryBody {
     revision: Revision,
-    /// The latest edits, the oldest first.
+    /// The latest edits, oldest first.
     edits: Vec<AppliedEdit>,
 }
 
-/// The tree, or one place explained.
+/// Handles `GET /settings`: returns the tree, or explains one place.
 pub(super) async fn get_settings(state: &mut State) -> SimpleHandlerResult {
     let query = SettingsQuery::take_from(state);
     let document = document(state);
@@ -70,7 +70,7 @@
     }))
 }
 
-/// The latest edits.
+/// Handles `GET /settings/history`: returns the latest edits.
 pub(super) async fn get_history(state: &mut State) -> SimpleHandlerResult {
     let document = document(state);
     answer(document.map(|document| HistoryBody {
@@ -79,7 +79,7 @@
     }))
 }
 
-/// The settings in force on this node.
+/// The current settings of this node.
 pub(super) fn document(state: &State) -> Result<std::sync::Arc<SettingsDocument>, AdminError> {
     AdminContext::borrow_from(state)
         .configuration
@@ -90,11 +90,11 @@
 fn whole_tree(document: &SettingsDocument) -> SettingsBody {
     SettingsBody::Tree {
         revision: document.revision(),
-        tree: set_values(document.tree()),
+        tree: explicit_values(document.tree()),
     }
 }
 
-fn set_values(tree: &SettingsTree) -> BTreeMap<SettingsPath, BTreeMap<SettingsOption, Value>> {
+fn explicit_values(tree: &SettingsTree) -> BTreeMap<SettingsPath, BTreeMap<SettingsOption, Value>> {
     tree.places()
         .map(|(path, options)| (path.clone(), options.clone()))
         .collect()
@@ -118,7 +118,7 @@
     let mut options = tree
         .explain(&path)
         .ok_or_else(|| AdminError::not_found(format!("there is no place {path}")))?;
-    options.retain(|value| option.is_none_or(|wanted| value.option == wanted));
+    options.retain(|value| option.is_none_or(|requested| value.option == requested));
     Ok(SettingsBody::Place {
         revision: document.revision(),
         children: tree.children(&path).cloned().collect(),
--- a/crates/stairward-proxy/src/admin/status.rs
+++ b/crates/stairward-proxy/src/admin/status.rs
@@ -1,4 +1,4 @@
-//! Health, readiness, metrics and status.
+//! Handlers for health, readiness, metrics and status.
 
 use gotham::handler::SimpleHandlerResult;
 use gotham::hyper::StatusCode;
@@ -17,64 +17,64 @@
 /// Content type of the Prometheus text format.
 const PROMETHEUS_TEXT: HeaderValue = HeaderValue::from_static("text/plain; version=0.0.4");
 
-/// Tells what a node is doing.
+/// Provides a node's current activity.
 pub trait StatusSource: Send + Sync + 'static {
-    /// What it is doing now.
+    /// The current activity.
     fn activity(&self) -> NodeActivity;
 }
 
-/// What a node is doing, apart from membership and settings.
+/// A node's activity apart from membership and settings.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize)]
 pub struct NodeActivity {
-    /// Whether a planned stop is under way.
+    /// Whether a planned stop is in progress.
     pub draining: bool,
-    /// Client sessions.
+    /// Number of client sessions.
     pub sessions: usize,
     /// The back ends served by this node.
     pub backends: Vec<BackendActivity>,
 }
 
-/// What a node does for one back end.
+/// A node's activity for one back end.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct BackendActivity {
     /// The back end.
     pub backend: BackendId,
     /// `owner` or `standby`.
     pub role: &'static str,
-    /// Whether this node holds the lease, so that it may take work.
+    /// Whether this node holds the lease and may admit work.
     pub lease_held: bool,
-    /// Whether it could be reached when it was last asked.
+    /// Whether it was reachable in the last probe.
     pub reachable: bool,
-    /// Whether it was the primary then.
+    /// Whether it was the primary in the last probe.
     pub primary: bool,
-    /// Connections open for work.
+    /// Working connections in any state.
     pub connections: usize,
-    /// Connections lent to requests and transactions.
+    /// Connections in use by requests and transactions.
     pub running: usize,
-    /// Requests waiting.
+    /// Queued requests.
     pub queued: usize,
 }
 
-/// Answer to `GET /status`.
+/// Response to `GET /status`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct NodeStatus {
-    /// The node.
+    /// Node ID.
     pub node: NodeId,
-    /// Which life of the process.
+    /// Incarnation of the process; a restart increases it.
     pub incarnation: Incarnation,
     /// Its region.
     pub region: RegionName,
     /// Its zone.
     pub zone: ZoneName,
-    /// Whether it serves callers.
+    /// Whether it serves clients.
     pub ready: bool,
-    /// Why not; none when it does.
+    /// Why it does not serve clients; none when it does.
     pub not_ready_reason: Option<String>,
     /// The state of its settings.
     pub settings: SettingsStatus,
-    /// The members it sees, itself included.
+    /// The members in its view, including itself.
     pub members: Vec<MemberStatus>,
-    /// What it is doing.
+    /// Its current activity.
     #[serde(flatten)]
     pub activity: NodeActivity,
 }
@@ -82,10 +82,10 @@
 /// The state of a node's settings.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct SettingsStatus {
-    /// The revision in force.
+    /// The current revision.
     pub revision: Revision,
-    /// How long ago the revision was known to be the newest in the store, in milliseconds; none when
-    /// it never was.
+    /// Time since the revision was last known to be the newest in the store, in milliseconds; none
+    /// if it never was.
     pub age_ms: Option<u64>,
     /// `current`, `store_unreachable` or `cut_off`.
     pub source: &'static str,
@@ -93,42 +93,42 @@
     pub watcher: bool,
 }
 
-/// One member as a node sees it.
+/// One member of a node's membership view.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct MemberStatus {
-    /// Its number.
+    /// Node ID.
     pub node: NodeId,
-    /// Which life of the process.
+    /// Incarnation of the process; a restart increases it.
     pub incarnation: Incarnation,
-    /// Where it listens for peers.
+    /// Address at which it listens for peers.
     pub address: std::net::SocketAddr,
     /// Its region.
     pub region: RegionName,
     /// Its zone.
     pub zone: ZoneName,
-    /// Whether it is stopping.
+    /// Whether it announced a planned stop.
     pub leaving: bool,
 }
 
-/// Answer to `GET /health`.
+/// Response to `GET /health`.
 #[derive(Serialize)]
 struct HealthBody {
     status: &'static str,
 }
 
-/// Answer to `GET /ready` of a node that serves.
+/// Response to `GET /ready` of a node that serves.
 #[derive(Serialize)]
 struct ReadyBody {
     ready: bool,
     revision: Revision,
 }
 
-/// Whether the process runs.
+/// Handles `GET /health`: the process is running.
 pub(super) async fn get_health(_state: &mut State) -> SimpleHandlerResult {
     answer(Ok(HealthBody { status: "ok" }))
 }
 
-/// Whether callers are served.
+/// Handles `GET /ready`: whether clients are served.
 pub(super) async fn get_ready(state: &mut State) -> SimpleHandlerResult {
     let context = AdminContext::borrow_from(state);
     let reason = not_ready_reason(context);
@@ -141,14 +141,14 @@
     })
 }
 
-/// The metrics in the Prometheus text format.
+/// Handles `GET /metrics`: the metrics in the Prometheus text format.
 pub(super) async fn get_metrics(state: &mut State) -> SimpleHandlerResult {
     let context = AdminContext::borrow_from(state);
     let text = context.metrics.render();
     Ok(response(StatusCode::OK, PROMETHEUS_TEXT, text))
 }
 
-/// What the node knows and does.
+/// Handles `GET /status`.
 pub(super) async fn get_status(state: &mut State) -> SimpleHandlerResult {
     let context = AdminContext::borrow_from(state);
     answer(Ok(node_status(context)))
@@ -174,7 +174,7 @@
     let status = context.configuration.status();
     SettingsStatus {
         revision: status.revision,
-        age_ms: status.source_age.map(whole_milliseconds),
+        age_ms: status.source_age.map(as_whole_milliseconds),
         source: source_name(status.source),
         watcher: status.is_watcher,
     }
@@ -234,6 +234,6 @@
     }
 }
 
-fn whole_milliseconds(duration: Duration) -> u64 {
+fn as_whole_milliseconds(duration: Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
