--- a/crates/stairward-proxy/src/owner/backend/effects.rs
+++ b/crates/stairward-proxy/src/owner/backend/effects.rs
@@ -128,12 +128,12 @@
             events.push_back(return_as(ReturnedState::Idle));
             return;
         };
-        let Some(mut lent) = state.idle.remove(&connection) else {
+        let Some(mut granted) = state.idle.remove(&connection) else {
             events.push_back(return_as(ReturnedState::InDoubt));
             events.push_back(PoolEvent::ConnectionClosed(connection));
             return;
         };
-        if lent.is_stale() {
+        if granted.is_stale() {
             // The back end closed the connection while it was idle. Nothing was sent, so the
             // request is queued again.
             events.push_back(return_as(ReturnedState::InDoubt));
@@ -146,15 +146,15 @@
         let term = state.pool.state().map(|state| state.freshness.term);
         let grant = Grant {
             request,
-            connection: lent,
+            connection: granted,
             term: term.unwrap_or_default(),
             cancellation: cancellation.clone(),
         };
         state.cancellations.insert(request, cancellation);
-        state.lent.insert(request, connection);
+        state.in_use.insert(request, connection);
         if let Err(Ok(grant)) = waiter.reply.send(Ok(grant)) {
             state.cancellations.remove(&request);
-            state.lent.remove(&request);
+            state.in_use.remove(&request);
             state.idle.insert(connection, grant.connection);
             events.push_back(return_as(ReturnedState::Idle));
         }
--- a/crates/stairward-proxy/src/owner/backend/mod.rs
+++ b/crates/stairward-proxy/src/owner/backend/mod.rs
@@ -65,7 +65,7 @@
     pub ended: CancellationToken,
 }
 
-/// A connection lent to one stream.
+/// A connection granted to one stream.
 pub(super) struct Grant {
     /// The request that holds the connection.
     pub request: RequestId,
@@ -102,9 +102,9 @@
     /// Working connections in any state.
     pub connections: usize,
     /// Connections in use by streams.
-    pub lent: usize,
+    pub in_use: usize,
     /// Queued requests.
-    pub waiting: usize,
+    pub queued: usize,
 }
 
 struct Waiter {
@@ -120,7 +120,7 @@
     waiters: BTreeMap<RequestId, Waiter>,
     slot_waiters: BTreeMap<RequestId, oneshot::Sender<()>>,
     cancellations: BTreeMap<RequestId, CancellationToken>,
-    lent: BTreeMap<RequestId, ConnectionId>,
+    in_use: BTreeMap<RequestId, ConnectionId>,
     timer_due: Option<Time>,
 }
 
@@ -139,7 +139,7 @@
             waiters: BTreeMap::new(),
             slot_waiters: BTreeMap::new(),
             cancellations: BTreeMap::new(),
-            lent: BTreeMap::new(),
+            in_use: BTreeMap::new(),
             timer_due: None,
         };
         let fence = FenceDriver::new(&identity.name, &identity.group, &context);
@@ -207,8 +207,8 @@
         let state = self.lock();
         BackendLoad {
             connections: state.pool.connections(),
-            lent: state.pool.lent(),
-            waiting: state.pool.waiting(),
+            in_use: state.pool.lent(),
+            queued: state.pool.waiting(),
         }
     }
 
@@ -281,7 +281,7 @@
         let mut state = self.lock();
         state.cancellations.remove(&grant.request);
         state.slot_waiters.remove(&grant.request);
-        let Some(connection) = state.lent.remove(&grant.request) else {
+        let Some(connection) = state.in_use.remove(&grant.request) else {
             return;
         };
         if returned == ReturnedState::InDoubt {
--- a/crates/stairward-proxy/src/owner/batch.rs
+++ b/crates/stairward-proxy/src/owner/batch.rs
@@ -92,7 +92,7 @@
         match message.type_byte() {
             MESSAGE_TYPE_BYTE_COMMAND_COMPLETE => {
                 self.completed_any = true;
-                self.last_tag = text_before_zero(message.body());
+                self.last_tag = text_until_nul(message.body());
                 self.committed_block |= self.last_tag == "COMMIT";
             }
             MESSAGE_TYPE_BYTE_PORTAL_SUSPENDED => self.completed_any = true,
@@ -118,7 +118,7 @@
     }
 }
 
-fn text_before_zero(bytes: &[u8]) -> String {
+fn text_until_nul(bytes: &[u8]) -> String {
     let end = bytes.iter().position(|byte| *byte == 0);
     String::from_utf8_lossy(&bytes[..end.unwrap_or(bytes.len())]).into_owned()
 }
--- a/crates/stairward-proxy/src/owner/report.rs
+++ b/crates/stairward-proxy/src/owner/report.rs
@@ -45,7 +45,7 @@
         freshness: state.map(|state| state.freshness),
         is_primary: backend.is_primary(),
         connections: load.connections,
-        in_use: load.lent,
-        queued: load.waiting,
+        in_use: load.in_use,
+        queued: load.queued,
     }
 }
