--- a/crates/stairward-proxy/tests/admin_interface.rs
+++ b/crates/stairward-proxy/tests/admin_interface.rs
@@ -1,11 +1,11 @@
-//! The admin interface over real HTTP.
+//! The admin interface over HTTP.
 
 mod configuration_support;
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use configuration_support::{TestFleet, until};
+use configuration_support::{TestFleet, wait_until};
 use metrics_exporter_prometheus::PrometheusBuilder;
 use reqwest::{Client, Method, StatusCode};
 use serde_json::{Value, json};
@@ -113,7 +113,7 @@
 }
 
 #[tokio::test]
-async fn health_readiness_and_metrics() {
+async fn health_readiness_and_metrics_report_the_node_state() {
     let fleet = TestFleet::start_without_settings(1).await;
     let admin = Admin::start(&fleet, false).await;
     assert_eq!(admin.get("/health").await.0, StatusCode::OK);
@@ -135,7 +135,7 @@
 }
 
 #[tokio::test]
-async fn status_tells_members_settings_and_back_ends() {
+async fn status_reports_members_settings_and_back_ends() {
     let fleet = TestFleet::start(2).await;
     let admin = Admin::start(&fleet, false).await;
     let (status, body) = admin.get("/status").await;
@@ -152,7 +152,7 @@
 }
 
 #[tokio::test]
-async fn a_value_is_shown_with_the_place_it_comes_from() {
+async fn a_value_is_shown_with_its_origin() {
     let fleet = TestFleet::start(1).await;
     let admin = Admin::start(&fleet, false).await;
     let (status, body) = admin.get(&format!("/settings?path={GROUP}")).await;
@@ -174,7 +174,7 @@
 }
 
 #[tokio::test]
-async fn an_edit_is_accepted_once_and_a_conflicting_one_is_shown_the_newer() {
+async fn a_repeated_edit_is_applied_once_and_a_conflicting_one_is_rejected() {
     let fleet = TestFleet::start(2).await;
     let admin = Admin::start(&fleet, false).await;
     let edit = deadline_edit(1, 1, &json!(14_000));
@@ -189,13 +189,13 @@
     assert_eq!(body["conflict"]["newest"], 2);
     let since = &body["conflict"]["changed_since"];
     assert_eq!(since[0]["edit"]["change_id"], 1);
-    fleet.all_at(Revision(2)).await;
+    fleet.wait_until_all_at(Revision(2)).await;
     let (_, history) = admin.get("/settings/history").await;
     assert_eq!(history["edits"].as_array().map(Vec::len), Some(1));
 }
 
 #[tokio::test]
-async fn every_problem_of_an_edit_is_told() {
+async fn all_problems_of_an_edit_are_reported() {
     let fleet = TestFleet::start(1).await;
     let admin = Admin::start(&fleet, false).await;
     let mut edit = deadline_edit(1, 1, &json!(14_000));
@@ -226,7 +226,7 @@
     assert_eq!(status, StatusCode::OK);
     let backend = BackendId::new(BACKEND).expect("a name");
     for node in &fleet.nodes {
-        until(|| {
+        wait_until(|| {
             let settings = node.cluster.settings();
             let found = settings.backend(&backend);
             found.is_some_and(|(_, backend)| backend.admin_state == AdminState::Leaving)
@@ -242,7 +242,7 @@
 }
 
 #[tokio::test]
-async fn an_edit_while_the_store_is_down_has_its_own_code() {
+async fn an_edit_while_the_store_is_down_fails_with_store_unavailable() {
     let fleet = TestFleet::start(1).await;
     let admin = Admin::start(&fleet, false).await;
     fleet.store.inject(StoreFault::Down);
@@ -253,7 +253,7 @@
 }
 
 #[tokio::test]
-async fn what_cannot_be_understood_is_refused_with_a_code() {
+async fn malformed_requests_are_rejected_with_a_result_code() {
     let fleet = TestFleet::start(1).await;
     let admin = Admin::start(&fleet, false).await;
     let (status, body) = admin.get("/nowhere").await;
@@ -305,5 +305,5 @@
     admin.service.stop();
     let mut rest = Vec::new();
     idle.read_to_end(&mut rest).await.expect("closed");
-    until(|| std::net::TcpStream::connect(address).is_err()).await;
+    wait_until(|| std::net::TcpStream::connect(address).is_err()).await;
 }
--- a/crates/stairward-proxy/tests/configuration_fleet.rs
+++ b/crates/stairward-proxy/tests/configuration_fleet.rs
@@ -1,9 +1,9 @@
-//! Settings reach all nodes over real sockets, through lost replies, races, restarts and a store that
-//! is down.
+//! Settings reach all nodes over real sockets despite lost replies, concurrent edits, restarts and
+//! an unavailable store.
 
 mod configuration_support;
 
-use configuration_support::{TestFleet, until, weight_edit};
+use configuration_support::{TestFleet, wait_until, weight_edit};
 use stairward_membership::configuration::SourceStatus;
 use stairward_settings::EditError;
 use stairward_standins::platform::StoreFault;
@@ -16,12 +16,12 @@
 #[tokio::test]
 async fn an_edit_through_one_node_reaches_all() {
     let fleet = TestFleet::start(4).await;
-    fleet.all_at(FIRST).await;
+    fleet.wait_until_all_at(FIRST).await;
     let edit = weight_edit(1, FIRST, 7);
     let outcome = fleet.nodes[3].configuration.edit(&edit).await;
     assert_eq!(outcome.expect("accepted").revision, SECOND);
     assert_eq!(fleet.nodes[3].cluster.settings().revision, SECOND);
-    fleet.all_at(SECOND).await;
+    fleet.wait_until_all_at(SECOND).await;
     let services = &fleet.nodes[0].cluster.settings().services;
     assert!(services.values().all(|service| service.weight == 7));
 }
@@ -33,23 +33,23 @@
         let statuses = fleet.nodes.iter().map(|node| node.configuration.status());
         statuses.filter(|status| status.is_watcher).count()
     };
-    until(|| watchers() == 2).await;
+    wait_until(|| watchers() == 2).await;
 }
 
 #[tokio::test]
-async fn of_racing_operators_one_wins_and_the_others_are_shown_the_newer_revision() {
+async fn of_two_concurrent_edits_one_succeeds_and_the_other_gets_the_newer_revision() {
     let fleet = TestFleet::start(3).await;
     let (one, two) = (weight_edit(1, FIRST, 5), weight_edit(2, FIRST, 6));
     let (first, second) = tokio::join!(
         fleet.nodes[0].configuration.edit(&one),
         fleet.nodes[1].configuration.edit(&two)
     );
-    let (won, lost) = match (first, second) {
-        (Ok(won), Err(lost)) | (Err(lost), Ok(won)) => (won, lost),
-        (first, second) => panic!("one must win: {first:?} {second:?}"),
+    let (accepted, conflict) = match (first, second) {
+        (Ok(accepted), Err(conflict)) | (Err(conflict), Ok(accepted)) => (accepted, conflict),
+        (first, second) => panic!("exactly one edit must succeed: {first:?} {second:?}"),
     };
-    assert_eq!(won.revision, SECOND);
-    assert_eq!(lost.code(), ResultCode::EditConflict);
+    assert_eq!(accepted.revision, SECOND);
+    assert_eq!(conflict.code(), ResultCode::EditConflict);
     let EditFailure::Refused {
         source:
             EditError::Conflict {
@@ -57,13 +57,13 @@
                 changed_since,
                 ..
             },
-    } = lost
+    } = conflict
     else {
-        panic!("{lost}");
+        panic!("{conflict}");
     };
     assert_eq!(newest, SECOND);
     assert_eq!(changed_since.map(|edits| edits.len()), Some(1));
-    fleet.all_at(SECOND).await;
+    fleet.wait_until_all_at(SECOND).await;
 }
 
 #[tokio::test]
@@ -75,7 +75,7 @@
     assert_eq!(outcome.expect("accepted").revision, SECOND);
     let repeated = fleet.nodes[1].configuration.edit(&edit).await;
     assert_eq!(repeated.expect("known").revision, SECOND);
-    fleet.all_at(SECOND).await;
+    fleet.wait_until_all_at(SECOND).await;
     let document = fleet.nodes[2].configuration.document().expect("settings");
     let own = document
         .history()
@@ -88,10 +88,10 @@
     let mut fleet = TestFleet::start(3).await;
     let edit = weight_edit(1, FIRST, 5);
     fleet.nodes[0].configuration.edit(&edit).await.expect("up");
-    fleet.all_at(SECOND).await;
+    fleet.wait_until_all_at(SECOND).await;
     fleet.store.inject(StoreFault::Down);
     for node in &fleet.nodes {
-        until(|| node.configuration.status().source == SourceStatus::StoreUnreachable).await;
+        wait_until(|| node.configuration.status().source == SourceStatus::StoreUnreachable).await;
         assert!(node.cluster.settings_trusted_until() > node.cluster.clock.now());
     }
     let edit = weight_edit(2, SECOND, 6);
@@ -100,29 +100,29 @@
     assert_eq!(refused.code(), ResultCode::StoreUnavailable);
 
     fleet.restart(2).await;
-    fleet.nodes[2].ready().await;
+    fleet.nodes[2].wait_until_ready().await;
     assert_eq!(fleet.nodes[2].cluster.settings().revision, SECOND);
 
     fleet.store.inject(StoreFault::Heal);
     for node in &fleet.nodes {
-        until(|| node.configuration.status().source == SourceStatus::Current).await;
+        wait_until(|| node.configuration.status().source == SourceStatus::Current).await;
     }
     let edit = weight_edit(3, SECOND, 8);
     fleet.nodes[1].configuration.edit(&edit).await.expect("up");
-    fleet.all_at(Revision(3)).await;
+    fleet.wait_until_all_at(Revision(3)).await;
 }
 
 #[tokio::test]
-async fn a_restarted_node_serves_nothing_older_than_before() {
+async fn a_restarted_node_does_not_apply_older_settings_than_before() {
     let mut fleet = TestFleet::start(3).await;
     for revision in 1..6 {
         let edit = weight_edit(revision, Revision(revision), revision + 1);
         let index = usize::try_from(revision % 3).expect("small");
         let node = &fleet.nodes[index];
-        until(|| node.cluster.settings().revision == Revision(revision)).await;
+        wait_until(|| node.cluster.settings().revision == Revision(revision)).await;
         let outcome = node.configuration.edit(&edit).await.expect("accepted");
         fleet.restart(index).await;
-        fleet.nodes[index].ready().await;
+        fleet.nodes[index].wait_until_ready().await;
         assert!(fleet.nodes[index].cluster.settings().revision >= outcome.revision);
     }
 }
@@ -130,7 +130,7 @@
 #[tokio::test]
 async fn without_settings_no_node_is_ready() {
     let fleet = TestFleet::start_without_settings(2).await;
-    until(|| {
+    wait_until(|| {
         fleet
             .nodes
             .iter()
@@ -151,6 +151,6 @@
     let outcome = fleet.nodes[0].configuration.edit(&whole_tree).await;
     assert_eq!(outcome.expect("accepted").revision, FIRST);
     for node in &fleet.nodes {
-        node.ready().await;
+        node.wait_until_ready().await;
     }
 }
--- a/crates/stairward-proxy/tests/configuration_support/mod.rs
+++ b/crates/stairward-proxy/tests/configuration_support/mod.rs
@@ -1,4 +1,4 @@
-//! A small fleet over real sockets: only peers' calls, the configuration driver and a store.
+//! A small fleet over real sockets that runs only peer calls, the configuration driver and a store.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -20,12 +20,12 @@
 use tokio::net::TcpListener;
 use tokio::task::JoinHandle;
 
-/// Only a guard against hanging; nothing is measured here.
-const GUARD: Duration = Duration::from_secs(60);
+/// Guards against hanging tests; no test depends on its value.
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 const TREE: &str = include_str!("../../../../examples/lintas.toml");
 
-/// The part of a node that deals with settings.
+/// A node that runs only the configuration part.
 pub struct TestNode {
     pub cluster: Cluster,
     pub configuration: ConfigurationHandle,
@@ -41,7 +41,7 @@
     }
 }
 
-/// Nodes and their store.
+/// The nodes and their store.
 pub struct TestFleet {
     pub store: PlatformStandin,
     pub nodes: Vec<TestNode>,
@@ -66,18 +66,19 @@
 }
 
 impl TestFleet {
-    /// Nodes that see each other, and a store with the Lintas settings at revision 1.
+    /// Starts nodes that are members of the same view, and a store with the Lintas settings at
+    /// revision 1.
     pub async fn start(nodes: u64) -> Self {
         let fleet = Self::start_without_settings(nodes).await;
         let client = client(&fleet.store);
         create_settings(&client, tree()).await.expect("created");
         for node in &fleet.nodes {
-            node.ready().await;
+            node.wait_until_ready().await;
         }
         fleet
     }
 
-    /// The same without settings in the store.
+    /// Like [`TestFleet::start`], with a store that contains no settings.
     pub async fn start_without_settings(nodes: u64) -> Self {
         let store = PlatformStandin::start(PlatformStandinConfig::default())
             .await
@@ -90,26 +91,26 @@
             let node = start_node(node, 1, &fleet.store).await;
             fleet.nodes.push(node);
         }
-        fleet.introduce();
+        fleet.publish_members();
         fleet
     }
 
-    /// Replaces a node's process by a new one on another port.
+    /// Replaces a node with a new incarnation on another port.
     pub async fn restart(&mut self, index: usize) {
         let identity = Arc::clone(&self.nodes[index].cluster.identity);
         let incarnation = identity.incarnation.0 + 1;
         self.nodes[index] = start_node(identity.node.0, incarnation, &self.store).await;
-        self.introduce();
+        self.publish_members();
     }
 
-    /// Waits until all nodes have a revision in force.
-    pub async fn all_at(&self, revision: Revision) {
+    /// Waits until all nodes have applied a revision.
+    pub async fn wait_until_all_at(&self, revision: Revision) {
         for node in &self.nodes {
-            until(|| node.cluster.settings().revision == revision).await;
+            wait_until(|| node.cluster.settings().revision == revision).await;
         }
     }
 
-    fn introduce(&self) {
+    fn publish_members(&self) {
         let members = self.nodes.iter().map(TestNode::member).collect();
         let view = MembershipView { members };
         for node in &self.nodes {
@@ -119,9 +120,9 @@
 }
 
 impl TestNode {
-    /// Waits until the node may serve.
-    pub async fn ready(&self) {
-        let ready = tokio::time::timeout(GUARD, self.configuration.wait_until_ready());
+    /// Waits until the node may serve clients.
+    pub async fn wait_until_ready(&self) {
+        let ready = tokio::time::timeout(TEST_TIMEOUT, self.configuration.wait_until_ready());
         ready.await.expect("in time").expect("the driver runs");
     }
 
@@ -169,7 +170,7 @@
     }
 }
 
-/// A client that gives up soon.
+/// A store client with short timeouts and few retries.
 pub fn client(store: &PlatformStandin) -> PlatformClient {
     let settings = PlatformClientSettings {
         request_timeout: Duration::from_secs(1),
@@ -187,7 +188,7 @@
     SettingsTree::from_toml(TREE).expect("a valid tree")
 }
 
-/// An edit that sets the root's weight.
+/// An edit that sets the weight at the root.
 pub fn weight_edit(change_id: u64, based_on: Revision, weight: u64) -> Edit {
     Edit {
         change_id: ChangeId(change_id),
@@ -200,12 +201,14 @@
     }
 }
 
-/// Waits until something is so.
-pub async fn until(is_so: impl Fn() -> bool) {
+/// Waits until a condition holds.
+pub async fn wait_until(condition: impl Fn() -> bool) {
     let wait = async {
-        while !is_so() {
+        while !condition() {
             tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    tokio::time::timeout(GUARD, wait).await.expect("in time");
+    tokio::time::timeout(TEST_TIMEOUT, wait)
+        .await
+        .expect("in time");
 }
--- a/crates/stairward-proxy/tests/owner_losses.rs
+++ b/crates/stairward-proxy/tests/owner_losses.rs
@@ -1,22 +1,22 @@
-//! What an owner says when a back end is lost, at each point of a request's way.
+//! The result an owner reports when a back end is lost at each stage of a request.
 
 mod owner_support;
 
 use std::time::Duration;
 
-use owner_support::{Outcome, PRIMARY, REPLICA, Site, backend, batch, guarded, open, outcome};
+use owner_support::{Outcome, PRIMARY, REPLICA, Site, backend, batch, open, outcome, with_timeout};
 use stairward_protocol::stream::{EdgeMessage, OwnerMessage, WireAccess};
 use stairward_standins::group::Fault;
 use stairward_types::ResultCode;
 
-const SLOW: Duration = Duration::from_millis(300);
+const ADDED_LATENCY: Duration = Duration::from_millis(300);
 
 impl Site {
     fn slow_down(&self, name: &str) {
         let member = backend(name);
         self.databases.inject(Fault::Slow {
             member,
-            added: SLOW,
+            added: ADDED_LATENCY,
         });
     }
 
@@ -32,12 +32,12 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn before_the_first_byte_the_request_did_not_run() {
-    guarded(async {
+async fn a_request_refused_before_its_first_byte_did_not_run() {
+    with_timeout(async {
         let site = Site::with_table().await;
         site.stop(REPLICA);
         let node = &site.nodes[0];
-        // Until the loss is noticed a request may still be sent into the dying connection.
+        // Until the loss is detected, a request may still be sent on the failing connection.
         loop {
             match node.read(REPLICA, "SELECT 1").await {
                 Outcome::Refused(code) => {
@@ -54,14 +54,14 @@
         site.databases.inject(Fault::Heal {
             member: backend(REPLICA),
         });
-        node.await_served(REPLICA).await;
+        node.wait_until_served(REPLICA).await;
     })
     .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_statement_that_was_sent_has_an_unknown_outcome() {
-    guarded(async {
+    with_timeout(async {
         let site = Site::with_table().await;
         site.slow_down(REPLICA);
         let node = &site.nodes[0];
@@ -73,7 +73,7 @@
             matches!(admitted, Some(OwnerMessage::Admitted(_))),
             "{admitted:?}"
         );
-        tokio::time::sleep(SLOW / 3).await;
+        tokio::time::sleep(ADDED_LATENCY / 3).await;
         site.stop(REPLICA);
         let lost = outcome(&mut stream).await;
         assert_eq!(lost.code(), ResultCode::BackendLostAfterSend);
@@ -82,8 +82,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_idle_transaction_is_lost() {
-    guarded(async {
+async fn an_idle_transaction_is_lost_with_its_back_end() {
+    with_timeout(async {
         let site = Site::with_table().await;
         let sql = "BEGIN; INSERT INTO books VALUES (1, 'x')";
         let mut stream = site.nodes[0]
@@ -98,7 +98,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_transaction_is_lost_while_a_statement_runs_that_cannot_commit_it() {
-    guarded(async {
+    with_timeout(async {
         let site = Site::with_table().await;
         let mut stream = site.nodes[0]
             .stream(open(PRIMARY, WireAccess::Write, "BEGIN"))
@@ -107,7 +107,7 @@
         site.slow_down(PRIMARY);
         let insert = batch(2, "INSERT INTO books VALUES (1, 'x')");
         stream.send(EdgeMessage::Batch(insert));
-        tokio::time::sleep(SLOW / 3).await;
+        tokio::time::sleep(ADDED_LATENCY / 3).await;
         site.stop(PRIMARY);
         assert_eq!(outcome(&mut stream).await, Outcome::TransactionLost);
     })
@@ -116,7 +116,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_commit_that_was_sent_has_an_unknown_outcome() {
-    guarded(async {
+    with_timeout(async {
         let site = Site::with_table().await;
         let sql = "BEGIN; INSERT INTO books VALUES (1, 'x')";
         let mut stream = site.nodes[0]
@@ -125,7 +125,7 @@
         outcome(&mut stream).await.answer();
         site.slow_down(PRIMARY);
         stream.send(EdgeMessage::Batch(batch(2, "COMMIT")));
-        tokio::time::sleep(SLOW / 3).await;
+        tokio::time::sleep(ADDED_LATENCY / 3).await;
         site.stop(PRIMARY);
         let lost = outcome(&mut stream).await;
         assert_eq!(lost.code(), ResultCode::BackendLostAfterSend);
@@ -135,7 +135,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_primary_cut_off_from_its_group_gets_no_write_acknowledged() {
-    guarded(async {
+    with_timeout(async {
         let site = Site::with_table().await;
         site.cut_off(PRIMARY);
         let node = &site.nodes[0];
@@ -161,7 +161,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_new_primary_is_found_soon_after_the_old_one_stops() {
-    guarded(async {
+    with_timeout(async {
         let site = Site::with_table().await;
         let cluster = &site.nodes[0].cluster;
         let mut primaries = cluster.watch_primaries();
@@ -175,7 +175,7 @@
         write.expected_term = known.term.0;
         loop {
             match site.nodes[0].run(write.clone()).await {
-                // Its owner's pool may not have asked it again yet.
+                // The owner's pool may not have probed the new primary yet.
                 Outcome::Refused(ResultCode::PrimaryReplaced) => {}
                 written => {
                     assert!(written.answer().contains("INSERT 0 1"));
@@ -189,7 +189,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_deadline_that_passes_while_the_statement_runs_leaves_its_outcome_unknown() {
-    guarded(async {
+    with_timeout(async {
         let site = Site::with_table().await;
         site.slow_down(REPLICA);
         let mut read = open(REPLICA, WireAccess::Read, "SELECT id FROM books");
--- a/crates/stairward-proxy/tests/owner_streams.rs
+++ b/crates/stairward-proxy/tests/owner_streams.rs
@@ -1,20 +1,20 @@
-//! Streams at an owner whose back ends are well.
+//! Streams at an owner whose back ends are healthy.
 
 mod owner_support;
 
 use std::time::Duration;
 
 use owner_support::{
-    DATABASE, OTHER_REPLICA, Outcome, PRIMARY, REPLICA, Site, backend, batch, guarded, open,
-    outcome,
+    DATABASE, OTHER_REPLICA, Outcome, PRIMARY, REPLICA, Site, backend, batch, open, outcome,
+    with_timeout,
 };
 use stairward_protocol::stream::{EdgeMessage, OwnerMessage, WireAccess, WireTransactionStatus};
 use stairward_standins::group::Fault;
 use stairward_types::{AdminState, Freshness, GroupId, LogPosition, ResultCode, Term, Time};
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_proved_write_is_covered_by_its_hint() {
-    guarded(async {
+async fn a_read_at_the_freshness_of_a_write_sees_the_write() {
+    with_timeout(async {
         let site = Site::with_table().await;
         let node = &site.nodes[0];
         let written = node.write("INSERT INTO books VALUES (1, 'x')").await;
@@ -39,19 +39,19 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_transaction_keeps_its_connection_and_a_late_batch_is_refused() {
-    guarded(async {
+async fn a_transaction_keeps_its_connection_and_a_repeated_batch_is_refused() {
+    with_timeout(async {
         let site = Site::with_table().await;
         let node = &site.nodes[0];
         let mut stream = node.stream(open(PRIMARY, WireAccess::Write, "BEGIN")).await;
-        let begun = outcome(&mut stream).await;
-        assert!(begun.answer().contains("BEGIN"));
+        let begin_outcome = outcome(&mut stream).await;
+        assert!(begin_outcome.answer().contains("BEGIN"));
         stream.send(EdgeMessage::Batch(batch(
             2,
             "INSERT INTO books VALUES (1, 'x')",
         )));
         let Outcome::Done { status, .. } = outcome(&mut stream).await else {
-            panic!("the transaction goes on");
+            panic!("the transaction must stay open");
         };
         assert_eq!(status, WireTransactionStatus::InTransaction);
         stream.send(EdgeMessage::Batch(batch(2, "COMMIT")));
@@ -64,14 +64,14 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_abandoned_transaction_is_rolled_back() {
-    guarded(async {
+    with_timeout(async {
         let site = Site::with_table().await;
         let node = &site.nodes[0];
         let sql = "BEGIN; INSERT INTO books VALUES (1, 'x')";
         let mut stream = node.stream(open(PRIMARY, WireAccess::Write, sql)).await;
         outcome(&mut stream).await.answer();
         drop(stream);
-        // The row's lock must be free again.
+        // The rollback must have released the row's lock.
         let written = node.write("INSERT INTO books VALUES (1, 'y')").await;
         assert!(written.answer().contains("INSERT 0 1"));
         assert_eq!(node.rows().await, 1);
@@ -81,7 +81,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn session_state_does_not_reach_the_next_stream() {
-    guarded(async {
+    with_timeout(async {
         let site = Site::with_table().await;
         let node = &site.nodes[0];
         for _ in 0..30 {
@@ -96,8 +96,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn session_set_up_runs_first_and_its_answers_are_swallowed() {
-    guarded(async {
+async fn session_setup_runs_first_and_its_responses_are_discarded() {
+    with_timeout(async {
         let site = Site::with_table().await;
         let node = &site.nodes[0];
         let mut read = open(REPLICA, WireAccess::Read, "SHOW application_name");
@@ -113,7 +113,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn work_that_a_back_end_may_not_do_is_refused() {
-    guarded(async {
+    with_timeout(async {
         let mut site = Site::with_table().await;
         let insert = "INSERT INTO books VALUES (1, 'x')";
         let node = &site.nodes[0];
@@ -148,8 +148,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_transaction_on_a_leaving_back_end_ends_at_its_limit() {
-    guarded(async {
+async fn a_transaction_on_a_leaving_back_end_ends_at_the_leave_timeout() {
+    with_timeout(async {
         let mut site = Site::with_table().await;
         let sql = "BEGIN; SELECT id FROM books";
         let mut stream = site.nodes[0]
@@ -167,7 +167,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_lagging_replica_is_waited_for_and_then_refused() {
-    guarded(async {
+    with_timeout(async {
         let site = Site::with_table().await;
         let node = &site.nodes[0];
         let lag = Duration::from_millis(300);
@@ -192,8 +192,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn answers_stop_at_the_window_until_more_is_granted() {
-    guarded(async {
+async fn responses_stop_when_the_credit_is_used_up() {
+    with_timeout(async {
         let site = Site::with_table().await;
         let node = &site.nodes[0];
         let title = "x".repeat(10_000);
@@ -211,7 +211,10 @@
             }
         }
         let more = tokio::time::timeout(Duration::from_millis(100), stream.receive()).await;
-        assert!(more.is_err(), "more came than was granted: {more:?}");
+        assert!(
+            more.is_err(),
+            "received more than the granted credit: {more:?}"
+        );
         let bytes = 100 * 20_000;
         stream.send(EdgeMessage::Credit { bytes });
         assert!(outcome(&mut stream).await.answer().contains("SELECT 100"));
@@ -220,8 +223,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_newest_primary_is_made_known() {
-    guarded(async {
+async fn the_owner_records_the_newest_primary() {
+    with_timeout(async {
         let site = Site::with_table().await;
         let primaries = site.nodes[0].cluster.primaries();
         let known = &primaries[&GroupId::new(DATABASE).unwrap()];
@@ -231,8 +234,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_back_end_is_taken_again_when_its_address_changes() {
-    guarded(async {
+async fn a_back_end_is_reacquired_when_its_address_changes() {
+    with_timeout(async {
         let mut site = Site::with_table().await;
         let moved = *site
             .databases
@@ -244,20 +247,21 @@
             let settings = group.backends.get_mut(&backend(REPLICA)).unwrap();
             settings.address = moved;
         });
-        // The server at the old address is gone; only the new one can answer.
+        // The server at the old address is stopped; only the one at the new address can respond.
         let member = backend(REPLICA);
         site.databases.inject(Fault::Stop { member });
-        site.nodes[0].await_served(REPLICA).await;
+        site.nodes[0].wait_until_served(REPLICA).await;
     })
     .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn settings_trusted_no_longer_stop_new_work_at_once() {
-    guarded(async {
+async fn untrusted_settings_stop_new_work_immediately() {
+    with_timeout(async {
         let site = Site::with_table().await;
         let node = &site.nodes[0];
-        // Nothing here tells the owner service; only the moment in the cluster's state has passed.
+        // The owner service is not notified; it must check the time limit in the cluster state
+        // itself.
         node.cluster.set_settings_trusted_until(Time::ZERO);
         let refused = node.read(REPLICA, "SELECT 1").await;
         assert_eq!(refused, Outcome::Refused(ResultCode::ConfigurationTooOld));
@@ -270,8 +274,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn settings_that_age_while_a_request_waits_stop_it() {
-    guarded(async {
+async fn settings_that_become_untrusted_refuse_a_waiting_request() {
+    with_timeout(async {
         let site = Site::with_table().await;
         let node = &site.nodes[0];
         let lag = Duration::from_secs(2);
--- a/crates/stairward-proxy/tests/owner_support/mod.rs
+++ b/crates/stairward-proxy/tests/owner_support/mod.rs
@@ -1,4 +1,4 @@
-//! Nodes with nothing but an owner side, before a group of stand-in databases.
+//! Test nodes that run only the owner side, in front of a group of stand-in databases.
 
 #![allow(dead_code)]
 
@@ -25,8 +25,8 @@
 };
 use tokio::net::TcpListener;
 
-/// Nothing in these tests takes this long unless it hangs.
-pub const HANG: Duration = Duration::from_secs(30);
+/// Time limit of a test; it is exceeded only if the test hangs.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 pub const DATABASE: &str = "books";
 pub const PRIMARY: &str = "books-1";
@@ -38,9 +38,11 @@
     BackendId::new(name).unwrap()
 }
 
-/// Runs a test body, with a guard against hanging.
-pub async fn guarded(body: impl Future<Output = ()>) {
-    tokio::time::timeout(HANG, body).await.expect("no hang");
+/// Runs a test body with a timeout.
+pub async fn with_timeout(body: impl Future<Output = ()>) {
+    tokio::time::timeout(TEST_TIMEOUT, body)
+        .await
+        .expect("the test timed out");
 }
 
 struct NodeService {
@@ -70,18 +72,18 @@
     }
 }
 
-/// One process with an owner side.
+/// One node with an owner side.
 pub struct Node {
     pub cluster: Cluster,
     pub owner: Arc<OwnerService>,
     pub network: PeerNetwork,
 }
 
-/// Connections that each back end has had at once.
+/// Counts the open connections of each back end and their maximum over all back ends.
 #[derive(Default)]
 pub struct ConnectionCount {
     open: Mutex<BTreeMap<BackendId, u32>>,
-    pub most: AtomicU64,
+    pub maximum: AtomicU64,
 }
 
 impl ConnectionCount {
@@ -93,7 +95,7 @@
             Observation::ConnectionClosed { .. } => *count -= 1,
             _ => {}
         }
-        self.most.fetch_max(u64::from(*count), Ordering::SeqCst);
+        self.maximum.fetch_max(u64::from(*count), Ordering::SeqCst);
     }
 }
 
@@ -101,23 +103,24 @@
     pub databases: DatabaseGroup,
     pub nodes: Vec<Node>,
     pub settings: ResolvedSettings,
-    pub count: Arc<ConnectionCount>,
+    pub connection_count: Arc<ConnectionCount>,
     view: MembershipView,
 }
 
 impl Site {
-    /// One node that owns every back end.
+    /// Starts one node that owns all back ends.
     pub async fn start() -> Self {
         Self::start_with(1, |_, _| owned_by(1)).await
     }
 
-    /// Several nodes; the rule says who owns, by the view of the node that asks.
+    /// Starts several nodes. The rule selects the owners according to the view of the evaluating
+    /// node.
     pub async fn start_with(
         nodes: u64,
         rule: impl Fn(&Identity, &MembershipView) -> Owners + Clone + Send + Sync + 'static,
     ) -> Self {
-        let count = Arc::new(ConnectionCount::default());
-        let databases = start_databases(Arc::clone(&count)).await;
+        let connection_count = Arc::new(ConnectionCount::default());
+        let databases = start_databases(Arc::clone(&connection_count)).await;
         let settings = resolved_settings(&databases);
         let (listeners, view) = peer_listeners(nodes).await;
         let mut started = Vec::new();
@@ -154,15 +157,15 @@
             databases,
             nodes: started,
             settings,
-            count,
+            connection_count,
             view,
         }
     }
 
-    /// One node, ready, with a table `books (id, title)`.
+    /// Starts one node, waits until it is ready, and creates the table `books (id, title)`.
     pub async fn with_table() -> Self {
         let site = Self::start().await;
-        site.nodes[0].await_ready().await;
+        site.nodes[0].wait_until_ready().await;
         let created = site.nodes[0]
             .write("CREATE TABLE books (id int PRIMARY KEY, title text)")
             .await;
@@ -170,7 +173,7 @@
         site
     }
 
-    /// Puts changed settings in force at every node.
+    /// Applies changed settings at every node.
     pub fn change_settings(&mut self, change: impl Fn(&mut GroupSettings)) {
         let revision = Revision(self.settings.revision.0 + 1);
         let mut groups = self.settings.groups.clone();
@@ -182,7 +185,7 @@
         }
     }
 
-    /// Tells every node that another one has announced a planned stop.
+    /// Marks a node as leaving in the view of every node.
     pub fn announce_leaving(&mut self, node: u64) {
         for member in &mut self.view.members {
             member.leaving |= member.node == NodeId(node);
@@ -200,14 +203,14 @@
     }
 }
 
-async fn start_databases(count: Arc<ConnectionCount>) -> DatabaseGroup {
+async fn start_databases(connection_count: Arc<ConnectionCount>) -> DatabaseGroup {
     let members = [PRIMARY, REPLICA, OTHER_REPLICA].map(|name| {
         let mut member = MemberConfig::new(backend(name));
         member.connection_limit = 100;
         member
     });
     let mut config = DatabaseGroupConfig::new(GroupConfig::new(DATABASE, members.to_vec()));
-    config.observer = Some(Arc::new(move |truth| count.observe(&truth)));
+    config.observer = Some(Arc::new(move |truth| connection_count.observe(&truth)));
     DatabaseGroup::start(config).await.unwrap()
 }
 
@@ -299,7 +302,7 @@
     }
 }
 
-/// A request for one statement, to be changed as a test needs.
+/// An `Open` for one statement; tests adjust its fields.
 pub fn open(name: &str, access: WireAccess, sql: &str) -> Open {
     Open {
         backend: name.into(),
@@ -315,7 +318,7 @@
     }
 }
 
-/// How a batch ended, with the answers that came before.
+/// How a batch ended, with the responses received before.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome {
     Done {
@@ -334,23 +337,23 @@
 }
 
 impl Outcome {
-    /// The readable parts of the answer of a batch that was done.
+    /// The responses of a completed batch, as lossy text.
     pub fn answer(&self) -> &str {
         match self {
             Self::Done { answer, .. } => answer,
-            other => panic!("not done: {other:?}"),
+            other => panic!("the batch did not complete: {other:?}"),
         }
     }
 
     pub fn code(&self) -> ResultCode {
         match self {
             Self::Done { code, .. } | Self::Refused(code) | Self::Unknown { code, .. } => *code,
-            other => panic!("no code: {other:?}"),
+            other => panic!("the outcome has no result code: {other:?}"),
         }
     }
 }
 
-/// Hears the owner until the batch has ended.
+/// Receives messages from the owner until the batch has ended.
 pub async fn outcome(stream: &mut EdgeStream) -> Outcome {
     let mut answer = String::new();
     while let Some(message) = stream.receive().await {
@@ -402,20 +405,20 @@
         self.run(open(PRIMARY, WireAccess::Write, sql)).await
     }
 
-    /// Waits until every back end takes work.
-    pub async fn await_ready(&self) {
+    /// Waits until every back end serves reads.
+    pub async fn wait_until_ready(&self) {
         for name in [PRIMARY, REPLICA, OTHER_REPLICA] {
-            self.await_served(name).await;
+            self.wait_until_served(name).await;
         }
     }
 
-    pub async fn await_served(&self, name: &str) {
+    pub async fn wait_until_served(&self, name: &str) {
         while !matches!(self.read(name, "SELECT 1").await, Outcome::Done { .. }) {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     }
 
-    /// The number of rows in `books`, by the primary.
+    /// The number of rows in `books` on the primary.
     pub async fn rows(&self) -> usize {
         let read = self.read(PRIMARY, "SELECT id FROM books").await;
         let answer = read.answer().to_owned();
--- a/crates/stairward-proxy/tests/peer_connections.rs
+++ b/crates/stairward-proxy/tests/peer_connections.rs
@@ -1,4 +1,4 @@
-//! Connections between nodes over real TCP: how streams end, and who is let in.
+//! Connections between nodes over real TCP: how streams end, and which peers are accepted.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,12 +14,12 @@
 
 const KEY: &[u8] = b"the key of the test cluster";
 const OTHER_KEY: &[u8] = b"the key of another cluster";
-/// Only guards against a hang.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Guards against hanging tests; no test depends on its value.
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-struct HandOn(mpsc::UnboundedSender<OwnerStream>);
+struct ForwardStreams(mpsc::UnboundedSender<OwnerStream>);
 
-impl PeerService for HandOn {
+impl PeerService for ForwardStreams {
     fn accept_stream(&self, stream: OwnerStream) {
         let _ = self.0.send(stream);
     }
@@ -56,7 +56,7 @@
     let key = ClusterKey::new(key).expect("a long key");
     let network = PeerNetwork::new(cluster.clone(), key);
     let (sender, streams) = mpsc::unbounded_channel();
-    let service = Arc::new(HandOn(sender));
+    let service = Arc::new(ForwardStreams(sender));
     network.set_service(service.clone());
     let serving = network.clone();
     tokio::spawn(async move { serving.serve(listener, service).await });
@@ -68,7 +68,7 @@
     }
 }
 
-fn introduce(nodes: &[&TestNode]) {
+fn publish_members(nodes: &[&TestNode]) {
     let members = nodes.iter().map(|node| node.member.clone()).collect();
     let view = MembershipView { members };
     nodes
@@ -96,92 +96,92 @@
     }
 }
 
-async fn in_time<T>(work: impl Future<Output = T>) -> T {
-    tokio::time::timeout(PATIENCE, work)
+async fn with_timeout<T>(work: impl Future<Output = T>) -> T {
+    tokio::time::timeout(TEST_TIMEOUT, work)
         .await
-        .expect("no answer, and nothing more to wait for")
+        .expect("the test timed out")
 }
 
 #[tokio::test]
-async fn an_owner_that_lets_go_without_a_word_ends_the_stream() {
+async fn an_owner_that_drops_a_stream_ends_it_at_the_edge() {
     let edge = start(1, KEY).await;
     let mut owner = start(2, KEY).await;
-    introduce(&[&edge, &owner]);
-    let mut stream = in_time(edge.network.open_stream(NodeId(2), open()))
+    publish_members(&[&edge, &owner]);
+    let mut stream = with_timeout(edge.network.open_stream(NodeId(2), open()))
         .await
         .expect("a stream");
-    let served = in_time(owner.streams.recv())
+    let owner_stream = with_timeout(owner.streams.recv())
         .await
         .expect("the stream arrives");
-    served.send(OwnerMessage::Admitted(BackendHint::default()));
-    drop(served);
+    owner_stream.send(OwnerMessage::Admitted(BackendHint::default()));
+    drop(owner_stream);
     assert!(matches!(
-        in_time(stream.receive()).await,
+        with_timeout(stream.receive()).await,
         Some(OwnerMessage::Admitted(_))
     ));
-    assert!(in_time(stream.receive()).await.is_none());
+    assert!(with_timeout(stream.receive()).await.is_none());
 }
 
 #[tokio::test]
-async fn an_edge_that_lets_go_abandons_the_stream() {
+async fn an_edge_that_drops_a_stream_abandons_it_at_the_owner() {
     let edge = start(1, KEY).await;
     let mut owner = start(2, KEY).await;
-    introduce(&[&edge, &owner]);
-    let stream = in_time(edge.network.open_stream(NodeId(2), open()))
+    publish_members(&[&edge, &owner]);
+    let stream = with_timeout(edge.network.open_stream(NodeId(2), open()))
         .await
         .expect("a stream");
-    let mut served = in_time(owner.streams.recv())
+    let mut owner_stream = with_timeout(owner.streams.recv())
         .await
         .expect("the stream arrives");
     assert!(matches!(
-        in_time(served.receive()).await,
+        with_timeout(owner_stream.receive()).await,
         Some(EdgeMessage::Open(_))
     ));
     drop(stream);
     assert!(matches!(
-        in_time(served.receive()).await,
+        with_timeout(owner_stream.receive()).await,
         Some(EdgeMessage::Abandon)
     ));
 }
 
 #[tokio::test]
-async fn a_node_declared_lost_ends_its_streams_though_its_socket_stays_open() {
+async fn streams_to_a_node_declared_lost_end_although_its_socket_stays_open() {
     let edge = start(1, KEY).await;
     let mut owner = start(2, KEY).await;
-    introduce(&[&edge, &owner]);
-    let mut stream = in_time(edge.network.open_stream(NodeId(2), open()))
+    publish_members(&[&edge, &owner]);
+    let mut stream = with_timeout(edge.network.open_stream(NodeId(2), open()))
         .await
         .expect("a stream");
-    // Held, so that the owner itself ends nothing: it has gone silent.
-    let _silent = in_time(owner.streams.recv())
+    // Kept alive so that the owner does not end the stream: it has only become unresponsive.
+    let _silent = with_timeout(owner.streams.recv())
         .await
         .expect("the stream arrives");
-    let alone = MembershipView {
+    let view_without_owner = MembershipView {
         members: vec![edge.member.clone()],
     };
-    edge.cluster.set_members(alone);
-    assert!(in_time(stream.receive()).await.is_none());
+    edge.cluster.set_members(view_without_owner);
+    assert!(with_timeout(stream.receive()).await.is_none());
 }
 
 #[tokio::test]
 async fn a_node_without_the_cluster_key_is_refused() {
-    let stranger = start(1, OTHER_KEY).await;
+    let outsider = start(1, OTHER_KEY).await;
     let owner = start(2, KEY).await;
-    introduce(&[&stranger, &owner]);
-    let refused = in_time(stranger.network.open_stream(NodeId(2), open())).await;
+    publish_members(&[&outsider, &owner]);
+    let refused = with_timeout(outsider.network.open_stream(NodeId(2), open())).await;
     assert!(refused.is_err());
     let call = CallRequest::AskBackend {
         backend: "backend-1".into(),
     };
-    let refused = in_time(stranger.network.call(NodeId(2), call, PATIENCE)).await;
+    let refused = with_timeout(outsider.network.call(NodeId(2), call, TEST_TIMEOUT)).await;
     assert!(refused.is_err());
 }
 
 #[tokio::test]
-async fn a_node_that_is_no_member_cannot_be_asked() {
+async fn a_stream_to_a_node_that_is_not_a_member_is_refused() {
     let edge = start(1, KEY).await;
-    introduce(&[&edge]);
-    let refused = in_time(edge.network.open_stream(NodeId(9), open())).await;
+    publish_members(&[&edge]);
+    let refused = with_timeout(edge.network.open_stream(NodeId(9), open())).await;
     assert!(matches!(
         refused.err(),
         Some(PeerError::UnknownNode { node: NodeId(9) })
--- a/crates/stairward-proxy/tests/replica_lag.rs
+++ b/crates/stairward-proxy/tests/replica_lag.rs
@@ -1,4 +1,4 @@
-//! Writes and reads while every replica replays far behind the primary.
+//! Writes and reads while the replay of every replica lags far behind the primary.
 
 mod edge_support;
 
@@ -7,13 +7,14 @@
 use edge_support::{Site, backend_names, guarded, simple_value};
 use stairward_standins::group::Fault;
 
-/// Longer than the guard against hangs: nothing in these tests can wait for a replay.
+/// Longer than the test timeout, so no test can pass by waiting for a replay.
 const LAG: Duration = Duration::from_secs(60);
 
-/// Sessions that write and come back. Which members answer first differs from one to the next.
+/// Number of sessions that write and then read in a new session. Repeated because the members that
+/// answer first vary.
 const SESSIONS: i32 = 20;
 
-/// A site whose replicas receive the log at once and replay it after [`LAG`].
+/// A site whose replicas receive the log immediately but replay it after [`LAG`].
 async fn lagging_site() -> Site {
     let site = Site::start().await;
     site.with_table().await;
