--- a/crates/stairward-proxy/src/node/mod.rs
+++ b/crates/stairward-proxy/src/node/mod.rs
@@ -212,7 +212,7 @@
     }
 
     /// Performs a planned stop: announces it, refuses new sessions, lets running work finish, hands
-    /// over the back ends, and leaves the cluster. Draining takes at most `timeout`.
+    /// over the back ends, and leaves the cluster. `timeout` limits the time for running work.
     pub async fn stop(self, timeout: Duration) {
         tracing::info!(
             event = LogEvent::DrainStarted.number(),
--- a/crates/stairward-proxy/src/owner/backend/effects.rs
+++ b/crates/stairward-proxy/src/owner/backend/effects.rs
@@ -30,7 +30,7 @@
                 }
                 LeaseEffect::StopUse => {
                     if event == LeaseEvent::Tick {
-                        self.log_lapse();
+                        self.log_expired_lease();
                     }
                     self.apply(state, PoolEvent::LeaseHeld(false));
                 }
@@ -42,7 +42,7 @@
         }
     }
 
-    fn log_lapse(&self) {
+    fn log_expired_lease(&self) {
         tracing::warn!(
             event = LogEvent::LeaseLapsed.number(),
             backend = %self.identity.name,
--- a/crates/stairward-proxy/src/owner/error.rs
+++ b/crates/stairward-proxy/src/owner/error.rs
@@ -43,9 +43,9 @@
     },
     /// The back end requires an unsupported authentication method, or a password while none is
     /// configured.
-    #[snafu(display("the back end's authentication method cannot be used: {method}"))]
+    #[snafu(display("cannot authenticate to the back end: {method}"))]
     Authentication {
-        /// The method.
+        /// The method, or why it cannot be used.
         method: &'static str,
     },
     /// The back end sent an error response.
--- a/crates/stairward-proxy/src/owner/service.rs
+++ b/crates/stairward-proxy/src/owner/service.rs
@@ -33,8 +33,10 @@
 /// Drain limit for running work when a back end moves to another node.
 const MOVE_DRAIN_TIMEOUT: Duration = Duration::from_secs(30);
 
+/// The served back ends by name and role.
 type Served = BTreeMap<(BackendId, OwnerRole), Arc<Backend>>;
 
+/// The back ends and roles this node should serve, with their settings.
 type Wanted<'a> = BTreeMap<(BackendId, OwnerRole), (&'a GroupSettings, &'a BackendSettings)>;
 
 /// The owner side of a node.
