--- a/crates/stairward-proxy/tests/admin_tls.rs
+++ b/crates/stairward-proxy/tests/admin_tls.rs
@@ -20,7 +20,8 @@
     }
 }
 
-/// A server's settings, and a client's that trusts it.
+/// A server configuration with a self-signed certificate, and a client configuration that trusts
+/// it.
 fn certificates() -> (rustls::ServerConfig, rustls::ClientConfig) {
     let certified = rcgen::generate_simple_self_signed(["localhost".to_owned()]).expect("made");
     let certificate = certified.cert.der().clone();
@@ -76,5 +77,8 @@
     plain.write_all(REQUEST).await.expect("sent");
     let mut answer = Vec::new();
     let _ = plain.read_to_end(&mut answer).await;
-    assert!(!answer.starts_with(b"HTTP"), "plain text was answered");
+    assert!(
+        !answer.starts_with(b"HTTP"),
+        "the server answered a plain-text request"
+    );
 }
--- a/crates/stairward-proxy/tests/configuration_support/mod.rs
+++ b/crates/stairward-proxy/tests/configuration_support/mod.rs
@@ -123,7 +123,10 @@
     /// Waits until the node may serve clients.
     pub async fn wait_until_ready(&self) {
         let ready = tokio::time::timeout(TEST_TIMEOUT, self.configuration.wait_until_ready());
-        ready.await.expect("in time").expect("the driver runs");
+        ready
+            .await
+            .expect("the test timed out")
+            .expect("the driver runs");
     }
 
     fn member(&self) -> Member {
@@ -210,5 +213,5 @@
     };
     tokio::time::timeout(TEST_TIMEOUT, wait)
         .await
-        .expect("in time");
+        .expect("the test timed out");
 }
--- a/crates/stairward-proxy/tests/membership.rs
+++ b/crates/stairward-proxy/tests/membership.rs
@@ -66,7 +66,7 @@
 }
 
 #[tokio::test]
-async fn three_nodes_find_each_other_and_notice_a_loss() {
+async fn three_nodes_discover_each_other_and_detect_a_failure() {
     let [first, second, third] = start_three_nodes().await;
     drop(third);
     wait_until(&first, |view| numbers(view) == [1, 2]).await;
@@ -74,7 +74,7 @@
 }
 
 #[tokio::test]
-async fn a_planned_stop_is_announced_before_the_node_is_gone() {
+async fn a_planned_stop_is_announced_before_the_node_leaves() {
     let [first, second, third] = start_three_nodes().await;
     third.handle.announce_leaving().await;
     let is_leaving = |view: &MembershipView| view.member(NodeId(3)).is_some_and(|m| m.leaving);
