--- a/crates/stairward-proxy/src/node/service.rs
+++ b/crates/stairward-proxy/src/node/service.rs
@@ -1,4 +1,4 @@
-//! What a node does for its peers: hands each stream and call to the part that serves it.
+//! Dispatches the streams and calls of peers to the parts of the node that handle them.
 
 use std::sync::Arc;
 
@@ -12,7 +12,7 @@
 use crate::owner::OwnerService;
 use crate::peer::{CallFuture, OwnerStream, PeerService};
 
-/// Serves a node's peers, and the node itself.
+/// The [`PeerService`] of a node, for its peers and for the node itself.
 pub(super) struct NodeService {
     pub(super) cluster: Cluster,
     pub(super) edge: Arc<EdgeService>,
@@ -32,20 +32,20 @@
                 let owner = Arc::clone(&self.owner);
                 Box::pin(async move {
                     match BackendId::new(backend.as_str()) {
-                        Ok(backend) => owner.ask_backend(&backend).await,
-                        Err(_) => refuse(ResultCode::ProtocolViolation),
+                        Ok(backend) => owner.probe_backend(&backend).await,
+                        Err(_) => refusal(ResultCode::ProtocolViolation),
                     }
                 })
             }
             CallRequest::HandOver { backend } => {
                 if let Ok(backend) = BackendId::new(backend.as_str()) {
-                    self.owner.handed_over(&backend);
+                    self.owner.handle_handover(&backend);
                 }
                 Box::pin(std::future::ready(CallReply::Done))
             }
             CallRequest::ExchangeSettings(exchange) => {
                 let configuration = self.configuration.clone();
-                Box::pin(async move { configuration.answer(from, exchange).await })
+                Box::pin(async move { configuration.handle_exchange(from, exchange).await })
             }
             CallRequest::AnnounceTerm {
                 group,
@@ -59,14 +59,14 @@
                 let reply = self
                     .edge
                     .answer_call(&request)
-                    .unwrap_or_else(|| refuse(ResultCode::ProtocolViolation));
+                    .unwrap_or_else(|| refusal(ResultCode::ProtocolViolation));
                 Box::pin(std::future::ready(reply))
             }
         }
     }
 
-    fn peer_lost(&self, peer: NodeId) {
-        self.membership.peer_lost(peer);
+    fn peer_connection_lost(&self, peer: NodeId) {
+        self.membership.report_connection_lost(peer);
     }
 }
 
@@ -78,12 +78,12 @@
                     .learn_primary(&group, KnownPrimary { term, backend });
                 CallReply::Done
             }
-            _ => refuse(ResultCode::ProtocolViolation),
+            _ => refusal(ResultCode::ProtocolViolation),
         }
     }
 }
 
-fn refuse(code: ResultCode) -> CallReply {
+fn refusal(code: ResultCode) -> CallReply {
     CallReply::Refused {
         code: code.number(),
     }
