--- a/crates/stairward-protocol/src/call.rs
+++ b/crates/stairward-protocol/src/call.rs
@@ -12,7 +12,7 @@
     /// Asks the owner of a back end to ask it, now, for its term, position and role. The owner must
     /// send its question to the back end after this call arrived.
     #[deku(id = "1")]
-    AskBackend {
+    QueryBackend {
         /// The back end.
         backend: Text,
     },
--- a/crates/stairward-protocol/src/frame.rs
+++ b/crates/stairward-protocol/src/frame.rs
@@ -1,5 +1,5 @@
 //! Framing on TCP: a four-byte length, then one encoded message, a [`crate::PeerMessage`] or a
-//! [`crate::neighbour::NeighbourMessage`].
+//! [`crate::node_message::NodeMessage`].
 
 use bytes::{Buf, BufMut, BytesMut};
 use deku::prelude::*;
--- a/crates/stairward-protocol/src/lib.rs
+++ b/crates/stairward-protocol/src/lib.rs
@@ -13,7 +13,7 @@
 pub mod datagram;
 mod field;
 mod frame;
-pub mod neighbour;
+pub mod node_message;
 mod peer;
 pub mod settings;
 pub mod stream;
--- a/crates/stairward-protocol/src/neighbour.rs
+++ b/crates/stairward-protocol/src/node_message.rs
@@ -149,7 +149,7 @@
     pub request: u64,
     /// 0 completed without a signature, 1 completed with one, 2 refused by the node, 3 failed at the back
     /// end.
-    pub end: u8,
+    pub outcome: u8,
     /// The result code of a refusal, or the number of the back end's error.
     pub code: u16,
     /// When the caller may come back, in milliseconds; 0 where that is not said.
@@ -203,7 +203,7 @@
 /// A question to a member of a group, to be passed on.
 #[derive(Debug, Clone, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
-pub struct MemberQuestionMessage {
+pub struct MemberRequestMessage {
     /// The service.
     pub service: Text,
     /// The member's id.
@@ -213,12 +213,12 @@
     /// The port.
     pub port: u16,
     /// What is asked: [`Self::STEP_DOWN`] or [`Self::HOLD`].
-    pub question: u8,
+    pub request: u8,
     /// The term that it is asked with.
     pub term: u64,
 }
 
-impl MemberQuestionMessage {
+impl MemberRequestMessage {
     /// Give way to the term.
     pub const STEP_DOWN: u8 = 0;
     /// Don't receive in any term below this one.
@@ -228,8 +228,8 @@
 /// What came of a question that was passed on.
 #[derive(Debug, Clone, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
-pub struct MemberReachMessage {
-    /// [`Self::SILENT`], [`Self::REFUSED`], [`Self::PRIMARY`], [`Self::REPLICA`] or [`Self::GAVE_WAY`].
+pub struct MemberReplyMessage {
+    /// [`Self::SILENT`], [`Self::REFUSED`], [`Self::PRIMARY`], [`Self::REPLICA`] or [`Self::STEPPED_DOWN`].
     pub kind: u8,
     /// The newest term that the member knows.
     pub term: u64,
@@ -239,7 +239,7 @@
     pub held: u64,
 }
 
-impl MemberReachMessage {
+impl MemberReplyMessage {
     /// The member gave no answer.
     pub const SILENT: u8 = 0;
     /// Nothing listens at its address.
@@ -249,13 +249,13 @@
     /// It answered as replica.
     pub const REPLICA: u8 = 3;
     /// It led until it was asked, and answered as replica.
-    pub const GAVE_WAY: u8 = 4;
+    pub const STEPPED_DOWN: u8 = 4;
 }
 
 /// Operations that a node wants for a tenant with a limit.
 #[derive(Debug, Clone, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
-pub struct LimitWant {
+pub struct LimitDemand {
     /// The tenant.
     pub tenant: Text,
     /// Operations that wait.
@@ -267,7 +267,7 @@
 /// A question to the coordinator of some tenants' limits, and the loan of the sender's share.
 #[derive(Debug, Clone, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
-pub struct LimitAsk {
+pub struct LimitRequest {
     /// The sender.
     pub node: u64,
     /// The group of tenants.
@@ -279,7 +279,7 @@
     /// 1 when the sender lends its share, else 0.
     pub lends: u8,
     /// The receiver's life and moment that the loan counts from, as it last told them.
-    pub life: u64,
+    pub incarnation: u64,
     /// The moment, in microseconds of the receiver's clock.
     pub lent_at_microseconds: u64,
     /// How many wants follow.
@@ -287,7 +287,7 @@
     pub want_count: u16,
     /// What is wanted.
     #[deku(count = "want_count")]
-    pub wants: Vec<LimitWant>,
+    pub wants: Vec<LimitDemand>,
 }
 
 /// What a tenant gets.
@@ -315,7 +315,7 @@
     /// The question's number.
     pub sequence: u64,
     /// The sender's life.
-    pub life: u64,
+    pub incarnation: u64,
     /// The sender's moment, in microseconds of its clock.
     pub at_microseconds: u64,
     /// How many nodes there may be.
@@ -331,10 +331,10 @@
 /// A message between two nodes.
 #[derive(Debug, Clone, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "big", id_type = "u8")]
-pub enum NeighbourMessage {
+pub enum NodeMessage {
     /// Asks for a document as the other node last read it from the store.
     #[deku(id = "1")]
-    AskDocument {
+    QueryDocument {
         /// The document's name.
         name: Text,
     },
@@ -354,7 +354,7 @@
     Answer(ForwardedAnswer),
     /// Asks how far the log of a service's leader had come.
     #[deku(id = "6")]
-    AskPosition {
+    QueryPosition {
         /// The service.
         service: Text,
         /// The sender's own moment; the answer carries it back.
@@ -374,7 +374,7 @@
     },
     /// Asks to be told of a feed's state, now and after each change or confirmation.
     #[deku(id = "8")]
-    FollowFeed {
+    SubscribeFeed {
         /// The feed.
         name: Text,
         /// The revision that the sender holds; 0 where it holds nothing.
@@ -382,13 +382,13 @@
     },
     /// The sender no longer follows a feed.
     #[deku(id = "9")]
-    UnfollowFeed {
+    UnsubscribeFeed {
         /// The feed.
         name: Text,
     },
     /// The sender has taken over what it lacked of a feed, from the receiver or from another watcher.
     #[deku(id = "26")]
-    FeedTaken {
+    FeedApplied {
         /// The feed.
         name: Text,
         /// The revision that the sender holds now.
@@ -396,7 +396,7 @@
     },
     /// Asks for the receiver's clock, against which moments in its words are placed.
     #[deku(id = "28")]
-    AskClock {
+    QueryClock {
         /// The sender's own moment; the answer carries it back.
         asked_at_microseconds: u64,
     },
@@ -406,18 +406,18 @@
         /// From the question.
         asked_at_microseconds: u64,
         /// The moment of the answer, on the answerer's own clock.
-        told_at_microseconds: u64,
+        answered_at_microseconds: u64,
     },
     /// Asks for a sign of life.
     #[deku(id = "11")]
-    AskAlive,
+    Ping,
     /// The sign of life.
     #[deku(id = "12")]
-    Alive,
+    Pong,
     /// Tells that a replica is about to be promoted in a term: no leader of a lower one is to be believed any
     /// more.
     #[deku(id = "17")]
-    RevokeLead {
+    RevokeLeader {
         /// The service.
         service: Text,
         /// The term.
@@ -425,7 +425,7 @@
     },
     /// Tells which back ends the sender finds silent, whole.
     #[deku(id = "20")]
-    Silent {
+    SilentBackends {
         /// The sender.
         node: u64,
         /// How many back ends follow.
@@ -437,7 +437,7 @@
     },
     /// Tells a node that the sender has looked at a back end that it finds silent, and finds it silent too.
     #[deku(id = "27")]
-    ConfirmSilent {
+    ConfirmSilentBackend {
         /// The sender.
         node: u64,
         /// The back end's id.
@@ -445,19 +445,19 @@
     },
     /// Tells that no promotion that was told of is under way any more.
     #[deku(id = "19")]
-    SettleLead {
+    PromotionEnded {
         /// The service.
         service: Text,
     },
     /// The sender believes no such leader any more.
     #[deku(id = "18")]
-    LeadRevoked {
+    LeaderRevoked {
         /// The newest term of the service that the sender knows to have begun.
         newest: u64,
     },
     /// Asks what is known of a service's lead.
     #[deku(id = "15")]
-    AskLead {
+    QueryLeader {
         /// The service.
         service: Text,
         /// The sender's own moment; the answer carries it back.
@@ -465,7 +465,7 @@
     },
     /// What is known of it.
     #[deku(id = "16")]
-    Lead {
+    LeaderStatus {
         /// The service.
         service: Text,
         /// From the question.
@@ -477,16 +477,16 @@
     },
     /// Asks to pass a question on to a member of a group. One such question is asked on a link, which then ends.
     #[deku(id = "13")]
-    AskMember(MemberQuestionMessage),
+    ForwardMemberRequest(MemberRequestMessage),
     /// What came of it.
     #[deku(id = "14")]
-    MemberReach(MemberReachMessage),
+    MemberReply(MemberReplyMessage),
     /// A feed's state at a watcher.
     #[deku(id = "10")]
     FeedState(FeedStateMessage),
     /// Asks for operations of tenants with a limit.
     #[deku(id = "21")]
-    AskLimit(LimitAsk),
+    RequestLimit(LimitRequest),
     /// The answer.
     #[deku(id = "22")]
     GrantLimit(LimitGrant),
--- a/crates/stairward-protocol/tests/neighbour.rs
+++ b/crates/stairward-protocol/tests/node_messages.rs
@@ -1,15 +1,15 @@
 //! Messages between nodes: each reads back as it was written, and no bytes do harm.
 
 use bytes::BytesMut;
-use stairward_protocol::neighbour::{
-    ForwardedAnswer, ForwardedStatement, MemberQuestionMessage, MemberReachMessage,
-    NeighbourMessage, SessionValue, StatementTag,
+use stairward_protocol::node_message::{
+    ForwardedAnswer, ForwardedStatement, MemberReplyMessage, MemberRequestMessage, NodeMessage,
+    SessionValue, StatementTag,
 };
 use stairward_protocol::{ByteString, OptionalFreshness, Text, decode_frame, encode_frame};
 use stairward_testing::check;
 use stairward_types::{Freshness, LogPosition, Term};
 
-fn messages() -> Vec<NeighbourMessage> {
+fn messages() -> Vec<NodeMessage> {
     let position = OptionalFreshness::from(Some(Freshness::new(Term(3), LogPosition(1_207))));
     let statement = ForwardedStatement::new(
         7,
@@ -31,18 +31,18 @@
         value: ByteString::new(b"ms".to_vec()),
     }];
     let mut messages = vec![
-        NeighbourMessage::AskDocument {
+        NodeMessage::QueryDocument {
             name: Text::new("routes"),
         },
-        NeighbourMessage::Document {
+        NodeMessage::Document {
             name: Text::new("routes"),
             content: ByteString::new(vec![1, 2, 3]),
         },
-        NeighbourMessage::Forward(statement.with_values(values)),
-        NeighbourMessage::Answer(ForwardedAnswer {
+        NodeMessage::Forward(statement.with_values(values)),
+        NodeMessage::Answer(ForwardedAnswer {
             session: 7,
             request: 9,
-            end: 1,
+            outcome: 1,
             code: 0,
             retry_after_milliseconds: 0,
             text: ByteString::new(b"7.1f3".to_vec()),
@@ -51,57 +51,57 @@
             row_count: 1,
             rows: vec![ByteString::new(b"qhz".to_vec())],
         }),
-        NeighbourMessage::AskPosition {
+        NodeMessage::QueryPosition {
             service: Text::new("reader-core"),
             asked_at_microseconds: 12,
         },
-        NeighbourMessage::Position {
+        NodeMessage::Position {
             service: Text::new("reader-core"),
             asked_at_microseconds: 12,
             position,
             age_microseconds: 30,
         },
-        NeighbourMessage::CloseSession { session: 7 },
+        NodeMessage::CloseSession { session: 7 },
     ];
-    messages.extend(lead_messages(position));
+    messages.extend(leader_messages(position));
     messages
 }
 
 /// What nodes say of leaders, and of back ends that they can't reach.
-fn lead_messages(position: OptionalFreshness) -> Vec<NeighbourMessage> {
+fn leader_messages(position: OptionalFreshness) -> Vec<NodeMessage> {
     let service = || Text::new("reader-core");
     vec![
-        NeighbourMessage::AskLead {
+        NodeMessage::QueryLeader {
             service: service(),
             asked_at_microseconds: 12,
         },
-        NeighbourMessage::Lead {
+        NodeMessage::LeaderStatus {
             service: service(),
             asked_at_microseconds: 12,
             possible_term: 4,
             age_microseconds: 30,
         },
-        NeighbourMessage::RevokeLead {
+        NodeMessage::RevokeLeader {
             service: service(),
             term: 5,
         },
-        NeighbourMessage::LeadRevoked { newest: 4 },
-        NeighbourMessage::SettleLead { service: service() },
-        NeighbourMessage::Silent {
+        NodeMessage::LeaderRevoked { newest: 4 },
+        NodeMessage::PromotionEnded { service: service() },
+        NodeMessage::SilentBackends {
             node: 7,
             count: 2,
             backends: vec![Text::new("i-7f3a91c2"), Text::new("i-380a579a")],
         },
-        NeighbourMessage::AskMember(MemberQuestionMessage {
+        NodeMessage::ForwardMemberRequest(MemberRequestMessage {
             service: service(),
             backend: Text::new("i-7f3a91c2"),
             address: [10, 128, 0, 9],
             port: 8_080,
-            question: MemberQuestionMessage::STEP_DOWN,
+            request: MemberRequestMessage::STEP_DOWN,
             term: 5,
         }),
-        NeighbourMessage::MemberReach(MemberReachMessage {
-            kind: MemberReachMessage::GAVE_WAY,
+        NodeMessage::MemberReply(MemberReplyMessage {
+            kind: MemberReplyMessage::STEPPED_DOWN,
             term: 4,
             received: position,
             held: 0,
@@ -118,17 +118,17 @@
     for message in messages() {
         assert_eq!(decode_frame(&mut bytes).unwrap(), Some(message));
     }
-    assert_eq!(decode_frame::<NeighbourMessage>(&mut bytes).unwrap(), None);
+    assert_eq!(decode_frame::<NodeMessage>(&mut bytes).unwrap(), None);
 }
 
 #[test]
 fn no_bytes_of_a_peer_do_harm() {
     check!().for_each(|bytes: &[u8]| {
         let mut buffer = BytesMut::from(bytes);
-        while let Ok(Some(_)) = decode_frame::<NeighbourMessage>(&mut buffer) {}
+        while let Ok(Some(_)) = decode_frame::<NodeMessage>(&mut buffer) {}
         let mut framed = BytesMut::new();
         framed.extend_from_slice(&u32::try_from(bytes.len()).unwrap().to_be_bytes());
         framed.extend_from_slice(bytes);
-        let _ = decode_frame::<NeighbourMessage>(&mut framed);
+        let _ = decode_frame::<NodeMessage>(&mut framed);
     });
 }
--- a/crates/stairward-proxy/src/edge/group.rs
+++ b/crates/stairward-proxy/src/edge/group.rs
@@ -181,7 +181,7 @@
     ) -> Option<MemberAnswer> {
         let owners = self.cluster.owners(backend)?;
         for node in [Some(owners.owner), owners.standby].into_iter().flatten() {
-            let request = CallRequest::AskBackend {
+            let request = CallRequest::QueryBackend {
                 backend: backend.as_str().into(),
             };
             let reply = self.network.call(node, request, timeout).await;
--- a/crates/stairward-proxy/src/node/service.rs
+++ b/crates/stairward-proxy/src/node/service.rs
@@ -28,7 +28,7 @@
 
     fn answer_call(&self, from: NodeId, request: CallRequest) -> CallFuture {
         match request {
-            CallRequest::AskBackend { backend } => {
+            CallRequest::QueryBackend { backend } => {
                 let owner = Arc::clone(&self.owner);
                 Box::pin(async move {
                     match BackendId::new(backend.as_str()) {
--- a/crates/stairward-proxy/src/owner/term_search.rs
+++ b/crates/stairward-proxy/src/owner/term_search.rs
@@ -79,7 +79,7 @@
     let owners = context.cluster.owners(member)?;
     let askers = std::iter::once(owners.owner).chain(owners.standby);
     for node in askers {
-        let request = CallRequest::AskBackend {
+        let request = CallRequest::QueryBackend {
             backend: member.as_str().into(),
         };
         let reply = context.network.call(node, request, timeout).await;
--- a/crates/stairward-proxy/tests/edge_support/scripted.rs
+++ b/crates/stairward-proxy/tests/edge_support/scripted.rs
@@ -109,7 +109,7 @@
     fn answer_call(&self, _from: NodeId, request: CallRequest) -> CallFuture {
         let script = Arc::clone(&self.0);
         Box::pin(async move {
-            let CallRequest::AskBackend { backend } = request else {
+            let CallRequest::QueryBackend { backend } = request else {
                 return CallReply::Done;
             };
             CallReply::Backend {
--- a/crates/stairward-proxy/tests/owner_support/mod.rs
+++ b/crates/stairward-proxy/tests/owner_support/mod.rs
@@ -56,7 +56,7 @@
         let owner = Arc::clone(&self.owner);
         Box::pin(async move {
             match request {
-                CallRequest::AskBackend { backend } => {
+                CallRequest::QueryBackend { backend } => {
                     let backend = BackendId::new(backend.as_str()).unwrap();
                     owner.ask_backend(&backend).await
                 }
--- a/crates/stairward-proxy/tests/peer_connections.rs
+++ b/crates/stairward-proxy/tests/peer_connections.rs
@@ -170,7 +170,7 @@
     introduce(&[&stranger, &owner]);
     let refused = in_time(stranger.network.open_stream(NodeId(2), open())).await;
     assert!(refused.is_err());
-    let call = CallRequest::AskBackend {
+    let call = CallRequest::QueryBackend {
         backend: "backend-1".into(),
     };
     let refused = in_time(stranger.network.call(NodeId(2), call, PATIENCE)).await;
--- a/crates/stairward-runtime/src/feeds.rs
+++ b/crates/stairward-runtime/src/feeds.rs
@@ -11,7 +11,7 @@
     Effect, Event, Feed, FeedContent, FeedParameters, FollowerId, MAXIMUM_IMMEDIATE_PUSH_BYTES,
 };
 use stairward_protocol::Text;
-use stairward_protocol::neighbour::{FeedStateMessage, NeighbourMessage};
+use stairward_protocol::node_message::{FeedStateMessage, NodeMessage};
 use stairward_types::{LogEvent, NodeId, StoreRevision, Time};
 use tokio::sync::{Notify, watch};
 
@@ -348,7 +348,7 @@
             let feed = open.feed.borrow();
             (feed.sources().collect::<Vec<_>>(), feed.held_revision())
         };
-        let message = NeighbourMessage::FeedTaken {
+        let message = NodeMessage::FeedApplied {
             name: name.clone(),
             held: held.map_or(0, StoreRevision::number),
         };
@@ -400,7 +400,7 @@
     }
 
     fn ask_clock(self: &Rc<Self>, source: NodeId) {
-        let question = NeighbourMessage::AskClock {
+        let question = NodeMessage::QueryClock {
             asked_at_microseconds: self.now().0,
         };
         self.tell_neighbour(source, &question);
@@ -467,7 +467,7 @@
             Effect::Follow { source, known } => {
                 // Its answer comes before the watcher's first word.
                 self.ask_clock(source);
-                let message = NeighbourMessage::FollowFeed {
+                let message = NodeMessage::SubscribeFeed {
                     name: Text::new(name),
                     known: known.map_or(0, StoreRevision::number),
                 };
@@ -476,7 +476,7 @@
             Effect::Unfollow(source) => {
                 if self.links.borrow().contains_key(&source) {
                     let name = Text::new(name);
-                    self.tell_neighbour(source, &NeighbourMessage::UnfollowFeed { name });
+                    self.tell_neighbour(source, &NodeMessage::UnsubscribeFeed { name });
                 }
             }
             Effect::Apply { at, content, since } => {
@@ -556,7 +556,7 @@
                 message.content = open.packed_since(*since).into();
             }
         }
-        let bytes = frame(&NeighbourMessage::FeedState(message));
+        let bytes = frame(&NodeMessage::FeedState(message));
         let links = self.feeds.follower_links.borrow();
         for outgoing in followers.iter().filter_map(|follower| links.get(follower)) {
             self.traffic.sent(TrafficKind::Feed, bytes.len());
--- a/crates/stairward-runtime/src/limit_messages.rs
+++ b/crates/stairward-runtime/src/limit_messages.rs
@@ -6,7 +6,7 @@
     CoordinatorTime, GrantRequest, GrantResponse, Shard, TenantDemand, TenantGrant,
 };
 use stairward_protocol::Text;
-use stairward_protocol::neighbour::{LimitAsk, LimitGrant, LimitGranted, LimitWant};
+use stairward_protocol::node_message::{LimitDemand, LimitGrant, LimitGranted, LimitRequest};
 use stairward_types::{NodeId, TenantName, Time};
 
 /// Tenants in one message at most; what is left out is asked for with the next.
@@ -26,27 +26,27 @@
 }
 
 /// A question as a message.
-pub(crate) fn ask_message(node: NodeId, ask: GrantRequest) -> LimitAsk {
-    let wants: Vec<LimitWant> = ask
+pub(crate) fn ask_message(node: NodeId, ask: GrantRequest) -> LimitRequest {
+    let wants: Vec<LimitDemand> = ask
         .demands
         .into_iter()
         .take(MOST_TENANTS)
-        .map(|want| LimitWant {
+        .map(|want| LimitDemand {
             tenant: Text::new(want.tenant.as_str()),
             waiting: want.waiting,
             ahead: want.ahead,
         })
         .collect();
-    let (life, at) = ask
+    let (incarnation, at) = ask
         .loan
         .map_or((0, 0), |echo| (echo.incarnation, echo.at.0));
-    LimitAsk {
+    LimitRequest {
         node: node.0,
         shard: ask.shard.0,
         sequence: ask.sequence,
         nodes: ask.nodes,
         lends: u8::from(ask.loan.is_some()),
-        life,
+        incarnation,
         lent_at_microseconds: at,
         want_count: count(wants.len()),
         wants,
@@ -54,9 +54,9 @@
 }
 
 /// A message as a question; none when it is not understood.
-pub(crate) fn ask_of(message: &LimitAsk) -> Option<(NodeId, GrantRequest)> {
+pub(crate) fn ask_of(message: &LimitRequest) -> Option<(NodeId, GrantRequest)> {
     let loan = (message.lends != 0).then_some(CoordinatorTime {
-        incarnation: message.life,
+        incarnation: message.incarnation,
         at: Time(message.lent_at_microseconds),
     });
     let mut demands = Vec::new();
@@ -93,7 +93,7 @@
     LimitGrant {
         shard: grant.shard.0,
         sequence: grant.sequence,
-        life: grant.coordinator_time.incarnation,
+        incarnation: grant.coordinator_time.incarnation,
         at_microseconds: grant.coordinator_time.at.0,
         nodes: grant.nodes,
         granted_count: count(granted.len()),
@@ -117,7 +117,7 @@
         shard: Shard(message.shard),
         sequence: message.sequence,
         coordinator_time: CoordinatorTime {
-            incarnation: message.life,
+            incarnation: message.incarnation,
             at: Time(message.at_microseconds),
         },
         nodes: message.nodes,
--- a/crates/stairward-runtime/src/neighbour_link.rs
+++ b/crates/stairward-runtime/src/neighbour_link.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::BytesMut;
-use stairward_protocol::neighbour::NeighbourMessage;
+use stairward_protocol::node_message::NodeMessage;
 use stairward_protocol::{Text, decode_frame, encode_frame};
 use tokio::io::AsyncReadExt as _;
 use tokio::net::TcpStream;
@@ -44,7 +44,7 @@
     }
 
     /// The next message; none when the connection has ended or breaks the protocol.
-    pub(crate) async fn next(&mut self) -> Option<NeighbourMessage> {
+    pub(crate) async fn next(&mut self) -> Option<NodeMessage> {
         loop {
             let held = self.buffer.len();
             if let Some(message) = decode_frame(&mut self.buffer).ok()? {
@@ -60,7 +60,7 @@
 }
 
 /// A message as bytes.
-pub(crate) fn frame(message: &NeighbourMessage) -> BytesMut {
+pub(crate) fn frame(message: &NodeMessage) -> BytesMut {
     let mut bytes = BytesMut::new();
     // Only a message over the limit can't be encoded, and none is made that long.
     let _ = encode_frame(message, &mut bytes);
@@ -83,12 +83,12 @@
     for peer in peers {
         let asking = async {
             let (mut reader, outgoing) = connect(*peer).await?;
-            let question = NeighbourMessage::AskDocument {
+            let question = NodeMessage::QueryDocument {
                 name: Text::new(name),
             };
             outgoing.send(&frame(&question)).ok()?;
             match reader.next().await? {
-                NeighbourMessage::Document { content, .. } if !content.bytes.is_empty() => {
+                NodeMessage::Document { content, .. } if !content.bytes.is_empty() => {
                     decompress(&content.bytes)
                 }
                 _ => None,
--- a/crates/stairward-runtime/src/neighbour_messages.rs
+++ b/crates/stairward-runtime/src/neighbour_messages.rs
@@ -8,7 +8,7 @@
     BackendError, BackendErrorCode, ForwardedRequest, PreparedStatement, Response, ResponseResult,
     Statement, StatementKind, TransactionStatus,
 };
-use stairward_protocol::neighbour::{
+use stairward_protocol::node_message::{
     ForwardedAnswer, ForwardedStatement, SessionValue, StatementTag,
 };
 use stairward_protocol::{ByteString, OptionalFreshness};
@@ -149,7 +149,7 @@
 
 /// An answer as a message.
 pub(crate) fn answer_message(session: u64, request: u64, response: Response) -> ForwardedAnswer {
-    let (end, code, retry_after, body) = match response.result {
+    let (outcome, code, retry_after, body) = match response.result {
         ResponseResult::Completed { signature: None } => (COMPLETED, 0, 0, String::new()),
         ResponseResult::Completed {
             signature: Some(signature),
@@ -173,7 +173,7 @@
     ForwardedAnswer {
         session,
         request,
-        end,
+        outcome,
         code,
         retry_after_milliseconds: retry_after,
         text: ByteString::new(body.into_bytes()),
@@ -194,7 +194,7 @@
 /// A message as an answer. What is not understood proves nothing.
 pub(crate) fn response_of(message: ForwardedAnswer) -> Response {
     let body = text(&message.text).unwrap_or_default();
-    let result = match message.end {
+    let result = match message.outcome {
         COMPLETED => ResponseResult::Completed { signature: None },
         SIGNED => ResponseResult::Completed {
             signature: Some(body),
--- a/crates/stairward-runtime/src/neighbours.rs
+++ b/crates/stairward-runtime/src/neighbours.rs
@@ -9,7 +9,7 @@
 use rand::seq::IndexedRandom as _;
 use stairward_engine::{Event, ForwardedRequest, Response, SessionId};
 use stairward_membership::PeerClock;
-use stairward_protocol::neighbour::{ForwardedStatement, LimitAsk, NeighbourMessage};
+use stairward_protocol::node_message::{ForwardedStatement, LimitRequest, NodeMessage};
 use stairward_protocol::{OptionalFreshness, Text};
 use stairward_types::{BackendId, Freshness, LogEvent, NodeId, ServiceName, Term, Time};
 use tokio::net::{TcpListener, TcpStream};
@@ -92,56 +92,56 @@
         self: &Rc<Self>,
         link: u64,
         outgoing: &Rc<Outgoing>,
-        message: NeighbourMessage,
+        message: NodeMessage,
     ) -> bool {
         let answer = match message {
-            NeighbourMessage::AskDocument { name } => Some(self.document_answer(name)),
-            NeighbourMessage::Forward(message) => {
+            NodeMessage::QueryDocument { name } => Some(self.document_answer(name)),
+            NodeMessage::Forward(message) => {
                 return self.take_forwarded(link, outgoing, &message);
             }
-            NeighbourMessage::CloseSession { session } => {
+            NodeMessage::CloseSession { session } => {
                 self.close_guest(link, session);
                 None
             }
-            NeighbourMessage::AskPosition {
+            NodeMessage::QueryPosition {
                 service,
                 asked_at_microseconds,
             } => Some(self.position_answer(service, asked_at_microseconds)),
-            NeighbourMessage::FollowFeed { name, known } => {
+            NodeMessage::SubscribeFeed { name, known } => {
                 self.follower_asked(link, outgoing, &name, known);
                 None
             }
-            NeighbourMessage::UnfollowFeed { name } => {
+            NodeMessage::UnsubscribeFeed { name } => {
                 self.follower_left(link, &name);
                 None
             }
-            NeighbourMessage::FeedTaken { name, held } => {
+            NodeMessage::FeedApplied { name, held } => {
                 self.follower_took(link, &name, held);
                 None
             }
-            NeighbourMessage::AskAlive => Some(NeighbourMessage::Alive),
-            NeighbourMessage::AskClock {
+            NodeMessage::Ping => Some(NodeMessage::Pong),
+            NodeMessage::QueryClock {
                 asked_at_microseconds,
-            } => Some(NeighbourMessage::Clock {
+            } => Some(NodeMessage::Clock {
                 asked_at_microseconds,
-                told_at_microseconds: self.now().0,
+                answered_at_microseconds: self.now().0,
             }),
-            NeighbourMessage::AskLead {
+            NodeMessage::QueryLeader {
                 service,
                 asked_at_microseconds,
             } => self.lead_answer(service, asked_at_microseconds),
-            NeighbourMessage::AskLimit(message) => match self.limit_answer(&message) {
+            NodeMessage::RequestLimit(message) => match self.limit_answer(&message) {
                 Some(answer) => Some(answer),
                 None => return false,
             },
-            NeighbourMessage::RevokeLead { service, term } => {
+            NodeMessage::RevokeLeader { service, term } => {
                 let Ok(service) = ServiceName::new(service.as_str()) else {
                     return false;
                 };
                 let newest = self.believe_from(&service, Term(term));
-                Some(NeighbourMessage::LeadRevoked { newest: newest.0 })
+                Some(NodeMessage::LeaderRevoked { newest: newest.0 })
             }
-            NeighbourMessage::Silent { node, backends, .. } => {
+            NodeMessage::SilentBackends { node, backends, .. } => {
                 let ids = backends
                     .iter()
                     .filter_map(|id| BackendId::new(id.as_str()).ok());
@@ -150,47 +150,48 @@
                 self.tell_duty(suspicion);
                 None
             }
-            NeighbourMessage::ConfirmSilent { node, backend } => {
+            NodeMessage::ConfirmSilentBackend { node, backend } => {
                 if let Ok(backend) = BackendId::new(backend.as_str()) {
                     let verified = stairward_failover::Event::Verified(NodeId(node), backend);
                     self.tell_duty(verified);
                 }
                 None
             }
-            NeighbourMessage::SettleLead { service } => {
+            NodeMessage::PromotionEnded { service } => {
                 if let Ok(service) = ServiceName::new(service.as_str()) {
                     self.handle(Event::PromotionEnded(service));
                 }
                 None
             }
-            NeighbourMessage::AskMember(question) => match self.ask_for_peer(&question).await {
+            NodeMessage::ForwardMemberRequest(question) => match self.ask_for_peer(&question).await
+            {
                 Some(answer) => Some(answer),
                 None => return false,
             },
-            NeighbourMessage::Document { .. }
-            | NeighbourMessage::Lead { .. }
-            | NeighbourMessage::LeadRevoked { .. }
-            | NeighbourMessage::MemberReach(_)
-            | NeighbourMessage::GrantLimit(_)
-            | NeighbourMessage::Alive
-            | NeighbourMessage::Clock { .. }
-            | NeighbourMessage::FeedState(_)
-            | NeighbourMessage::Position { .. }
-            | NeighbourMessage::Answer(_) => return false,
+            NodeMessage::Document { .. }
+            | NodeMessage::LeaderStatus { .. }
+            | NodeMessage::LeaderRevoked { .. }
+            | NodeMessage::MemberReply(_)
+            | NodeMessage::GrantLimit(_)
+            | NodeMessage::Pong
+            | NodeMessage::Clock { .. }
+            | NodeMessage::FeedState(_)
+            | NodeMessage::Position { .. }
+            | NodeMessage::Answer(_) => return false,
         };
         answer.is_none_or(|answer| self.send_message(outgoing, &answer))
     }
 
     /// Sends a message over a link; false when the link has failed.
-    pub(crate) fn send_message(&self, outgoing: &Rc<Outgoing>, message: &NeighbourMessage) -> bool {
+    pub(crate) fn send_message(&self, outgoing: &Rc<Outgoing>, message: &NodeMessage) -> bool {
         let bytes = frame(message);
         self.traffic.sent(TrafficKind::of(message), bytes.len());
         outgoing.send(&bytes).is_ok()
     }
 
-    fn document_answer(&self, name: Text) -> NeighbourMessage {
+    fn document_answer(&self, name: Text) -> NodeMessage {
         let content = self.feeds.packed(name.as_str()).unwrap_or_default();
-        NeighbourMessage::Document {
+        NodeMessage::Document {
             name,
             content: content.into(),
         }
@@ -262,7 +263,7 @@
         };
         let answer = answer_message(guest.session, guest.request, response);
         // A link that has failed ends in its reader.
-        let _ = self.send_message(&guest.outgoing, &NeighbourMessage::Answer(answer));
+        let _ = self.send_message(&guest.outgoing, &NodeMessage::Answer(answer));
         None
     }
 
@@ -283,19 +284,19 @@
         forwarded: ForwardedRequest,
     ) {
         if let Some(message) = statement_message(session.0, request, forwarded) {
-            self.tell_neighbour(holder, &NeighbourMessage::Forward(message));
+            self.tell_neighbour(holder, &NodeMessage::Forward(message));
         }
     }
 
     /// Tells a holder that a session has ended.
     pub(crate) fn close_forwarded(self: &Rc<Self>, holder: NodeId, session: SessionId) {
         if self.links.borrow().contains_key(&holder) {
-            let message = NeighbourMessage::CloseSession { session: session.0 };
+            let message = NodeMessage::CloseSession { session: session.0 };
             self.tell_neighbour(holder, &message);
         }
     }
 
-    pub(crate) fn tell_neighbour(self: &Rc<Self>, holder: NodeId, message: &NeighbourMessage) {
+    pub(crate) fn tell_neighbour(self: &Rc<Self>, holder: NodeId, message: &NodeMessage) {
         let bytes = frame(message);
         self.traffic.sent(TrafficKind::of(message), bytes.len());
         let node = Rc::clone(self);
@@ -341,7 +342,7 @@
             let kind = TrafficKind::of(&message);
             self.traffic.received(kind, reader.last_length());
             match message {
-                NeighbourMessage::Answer(answer) => {
+                NodeMessage::Answer(answer) => {
                     let (session, request) = (SessionId(answer.session), answer.request);
                     self.handle(Event::ForwardAnswered {
                         holder,
@@ -350,7 +351,7 @@
                         response: response_of(answer),
                     });
                 }
-                NeighbourMessage::Position {
+                NodeMessage::Position {
                     service,
                     asked_at_microseconds,
                     position,
@@ -360,7 +361,7 @@
                     let asked_at = Time(asked_at_microseconds);
                     self.take_position(&service, position.into(), asked_at, age);
                 }
-                NeighbourMessage::Lead {
+                NodeMessage::LeaderStatus {
                     service,
                     asked_at_microseconds,
                     possible_term,
@@ -375,21 +376,22 @@
                         });
                     }
                 }
-                NeighbourMessage::GrantLimit(message) => {
+                NodeMessage::GrantLimit(message) => {
                     let Some(grant) = grant_of(&message) else {
                         break;
                     };
                     self.handle(Event::LimitGranted(holder, grant));
                 }
-                NeighbourMessage::Alive => self.handle(Event::HolderAlive(holder)),
-                NeighbourMessage::Clock {
+                NodeMessage::Pong => self.handle(Event::HolderAlive(holder)),
+                NodeMessage::Clock {
                     asked_at_microseconds,
-                    told_at_microseconds,
+                    answered_at_microseconds,
                 } => {
-                    let (asked, told) = (Time(asked_at_microseconds), Time(told_at_microseconds));
+                    let (asked, told) =
+                        (Time(asked_at_microseconds), Time(answered_at_microseconds));
                     self.feeds.clock_told(holder, PeerClock::new(asked, told));
                 }
-                NeighbourMessage::FeedState(message) => self.source_answered(holder, message),
+                NodeMessage::FeedState(message) => self.source_answered(holder, message),
                 _ => break,
             }
         }
@@ -403,7 +405,7 @@
             let nodes = members.iter().map(|member| member.node);
             nodes.filter(|node| *node != self.peer.node).collect()
         };
-        let message = NeighbourMessage::AskPosition {
+        let message = NodeMessage::QueryPosition {
             service: Text::new(service.as_str()),
             asked_at_microseconds: self.now().0,
         };
@@ -412,12 +414,12 @@
         }
     }
 
-    fn position_answer(&self, service: Text, asked_at_microseconds: u64) -> NeighbourMessage {
+    fn position_answer(&self, service: Text, asked_at_microseconds: u64) -> NodeMessage {
         let name = ServiceName::new(service.as_str()).ok();
         let proved = name.and_then(|name| self.proved_position(&name));
         let (position, age) = proved.unzip();
         let age = age.unwrap_or_default().as_micros();
-        NeighbourMessage::Position {
+        NodeMessage::Position {
             service,
             asked_at_microseconds,
             position: OptionalFreshness::from(position),
@@ -427,7 +429,7 @@
 
     /// Asks another node what it knows of a service's lead.
     pub(crate) fn ask_lead(self: &Rc<Self>, holder: NodeId, service: &ServiceName) {
-        let message = NeighbourMessage::AskLead {
+        let message = NodeMessage::QueryLeader {
             service: Text::new(service.as_str()),
             asked_at_microseconds: self.now().0,
         };
@@ -435,10 +437,10 @@
     }
 
     /// Answers a question about tenants' limits, as coordinator; none when it is not understood.
-    fn limit_answer(&self, message: &LimitAsk) -> Option<NeighbourMessage> {
+    fn limit_answer(&self, message: &LimitRequest) -> Option<NodeMessage> {
         let (node, ask) = ask_of(message)?;
         let grant = self.grant_limit(node, &ask);
-        Some(NeighbourMessage::GrantLimit(grant_message(grant)))
+        Some(NodeMessage::GrantLimit(grant_message(grant)))
     }
 
     /// What is known of a lead; none where nothing is. It is kept known from now on.
@@ -446,11 +448,11 @@
         self: &Rc<Self>,
         service: Text,
         asked_at_microseconds: u64,
-    ) -> Option<NeighbourMessage> {
+    ) -> Option<NodeMessage> {
         let name = ServiceName::new(service.as_str()).ok()?;
         self.handle(Event::LeadershipQueried(name.clone()));
         let (possible, age) = self.known_lead(&name)?;
-        Some(NeighbourMessage::Lead {
+        Some(NodeMessage::LeaderStatus {
             service,
             asked_at_microseconds,
             possible_term: possible.0,
--- a/crates/stairward-runtime/src/node.rs
+++ b/crates/stairward-runtime/src/node.rs
@@ -17,7 +17,7 @@
 };
 use stairward_limits::{GrantRequest, GrantResponse, LimitOptions};
 use stairward_membership::Profile;
-use stairward_protocol::neighbour::NeighbourMessage;
+use stairward_protocol::node_message::NodeMessage;
 use stairward_types::{
     BackendId, Freshness, LogEvent, NodeId, RegionName, ServiceName, Term, Time, ZoneName,
 };
@@ -360,7 +360,7 @@
                 forwarded,
             } => self.forward(holder, session, request, forwarded),
             Effect::PingHolder { holder } => {
-                self.tell_neighbour(holder, &NeighbourMessage::AskAlive);
+                self.tell_neighbour(holder, &NodeMessage::Ping);
             }
             Effect::HolderLivenessChanged { holder, is_silent } => {
                 self.log.holder(now, holder, is_silent)
@@ -390,7 +390,7 @@
             Effect::QueryLeadership { holder, service } => self.ask_lead(holder, &service),
             Effect::RequestLimitGrant(node, ask) => {
                 let message = ask_message(self.peer.node, ask);
-                self.tell_neighbour(node, &NeighbourMessage::AskLimit(message));
+                self.tell_neighbour(node, &NodeMessage::RequestLimit(message));
             }
             Effect::RecordFleetSize(nodes) => self.record_fleet(nodes),
             Effect::CoordinatorChanged {
--- a/crates/stairward-runtime/src/relayed_questions.rs
+++ b/crates/stairward-runtime/src/relayed_questions.rs
@@ -9,7 +9,7 @@
 use rand::seq::IteratorRandom as _;
 use stairward_engine::{Event, OpenFailure, OpenTarget};
 use stairward_failover::{MemberCallResult, MemberStatus};
-use stairward_protocol::neighbour::{MemberQuestionMessage, MemberReachMessage, NeighbourMessage};
+use stairward_protocol::node_message::{MemberReplyMessage, MemberRequestMessage, NodeMessage};
 use stairward_protocol::{OptionalFreshness, Text};
 use stairward_types::{BackendId, BackendRole, Freshness, NodeId, ServiceName, Term, Time};
 
@@ -106,7 +106,7 @@
         // A node that misses it believes the new leader a little later.
         self.tell_once(
             users,
-            &NeighbourMessage::SettleLead {
+            &NodeMessage::PromotionEnded {
                 service: Text::new(service.as_str()),
             },
         );
@@ -115,7 +115,7 @@
     /// Tells some other nodes which back ends this one finds silent.
     pub(crate) fn report_silent(self: &Rc<Self>, silent: &BTreeSet<BackendId>) {
         let backends: Vec<_> = silent.iter().map(|id| Text::new(id.as_str())).collect();
-        let message = NeighbourMessage::Silent {
+        let message = NodeMessage::SilentBackends {
             node: self.peer.node.0,
             count: u16::try_from(backends.len()).unwrap_or(u16::MAX),
             backends,
@@ -142,7 +142,7 @@
             if is_silent {
                 let found = stairward_failover::Event::FoundSilent(backend.clone());
                 node.tell_duty(found);
-                let message = NeighbourMessage::ConfirmSilent {
+                let message = NodeMessage::ConfirmSilentBackend {
                     node: node.peer.node.0,
                     backend: Text::new(backend.as_str()),
                 };
@@ -152,7 +152,7 @@
     }
 
     /// Tells nodes something that needs no answer, each on a connection of its own.
-    fn tell_once(&self, nodes: impl IntoIterator<Item = NodeId>, message: &NeighbourMessage) {
+    fn tell_once(&self, nodes: impl IntoIterator<Item = NodeId>, message: &NodeMessage) {
         let message = frame(message);
         for node in nodes {
             let address = self.users.borrow().get(&node).map(|user| user.address);
@@ -182,7 +182,7 @@
         self.traffic.opened(OpeningKind::OneShotMade);
         let telling = async {
             let (mut reader, outgoing) = connect(address).await?;
-            let message = NeighbourMessage::RevokeLead {
+            let message = NodeMessage::RevokeLeader {
                 service: Text::new(service.as_str()),
                 term: term.0,
             };
@@ -190,7 +190,7 @@
             reader.next().await
         };
         match tokio::time::timeout(RELAY_PATIENCE, telling).await {
-            Ok(Some(NeighbourMessage::LeadRevoked { newest })) => Some(Term(newest)),
+            Ok(Some(NodeMessage::LeaderRevoked { newest })) => Some(Term(newest)),
             _ => None,
         }
     }
@@ -213,10 +213,10 @@
         self.traffic.opened(OpeningKind::OneShotMade);
         let asking = async {
             let (mut reader, outgoing) = connect(address).await?;
-            let question = NeighbourMessage::AskMember(message);
+            let question = NodeMessage::ForwardMemberRequest(message);
             outgoing.send(&frame(&question)).ok()?;
             match reader.next().await? {
-                NeighbourMessage::MemberReach(reach) => Some(reach_of(&reach)),
+                NodeMessage::MemberReply(reach) => Some(reach_of(&reach)),
                 _ => None,
             }
         };
@@ -230,19 +230,19 @@
     /// Asks a member for a peer; none when the question is not understood.
     pub(crate) async fn ask_for_peer(
         self: &Rc<Self>,
-        message: &MemberQuestionMessage,
-    ) -> Option<NeighbourMessage> {
+        message: &MemberRequestMessage,
+    ) -> Option<NodeMessage> {
         let (target, question) = question_of(message)?;
         let reach = self.ask_member(target, question).await;
-        Some(NeighbourMessage::MemberReach(reach_message(reach)))
+        Some(NodeMessage::MemberReply(reach_message(reach)))
     }
 }
 
 /// A question as a message; none for one that is not passed on.
-fn question_message(target: &OpenTarget, question: MemberRequest) -> Option<MemberQuestionMessage> {
-    let (question, term) = match question {
-        MemberRequest::StepDown(term) => (MemberQuestionMessage::STEP_DOWN, term),
-        MemberRequest::Hold(term) => (MemberQuestionMessage::HOLD, term),
+fn question_message(target: &OpenTarget, question: MemberRequest) -> Option<MemberRequestMessage> {
+    let (request, term) = match question {
+        MemberRequest::StepDown(term) => (MemberRequestMessage::STEP_DOWN, term),
+        MemberRequest::Hold(term) => (MemberRequestMessage::HOLD, term),
         MemberRequest::Status | MemberRequest::Received(_) | MemberRequest::Resume => {
             return None;
         }
@@ -250,21 +250,21 @@
     let IpAddr::V4(ip) = target.address.ip() else {
         return None;
     };
-    Some(MemberQuestionMessage {
+    Some(MemberRequestMessage {
         service: Text::new(target.service.as_str()),
         backend: Text::new(target.backend.as_str()),
         address: ip.octets(),
         port: target.address.port(),
-        question,
+        request,
         term: term.0,
     })
 }
 
-fn question_of(message: &MemberQuestionMessage) -> Option<(OpenTarget, MemberRequest)> {
+fn question_of(message: &MemberRequestMessage) -> Option<(OpenTarget, MemberRequest)> {
     let term = Term(message.term);
-    let question = match message.question {
-        MemberQuestionMessage::STEP_DOWN => MemberRequest::StepDown(term),
-        MemberQuestionMessage::HOLD => MemberRequest::Hold(term),
+    let question = match message.request {
+        MemberRequestMessage::STEP_DOWN => MemberRequest::StepDown(term),
+        MemberRequestMessage::HOLD => MemberRequest::Hold(term),
         _ => return None,
     };
     let target = OpenTarget {
@@ -276,17 +276,17 @@
     Some((target, question))
 }
 
-fn reach_message(reach: MemberCallResult) -> MemberReachMessage {
+fn reach_message(reach: MemberCallResult) -> MemberReplyMessage {
     let (kind, status) = match reach {
-        MemberCallResult::Silent => (MemberReachMessage::SILENT, None),
-        MemberCallResult::Refused => (MemberReachMessage::REFUSED, None),
-        MemberCallResult::GaveWay(status) => (MemberReachMessage::GAVE_WAY, Some(status)),
+        MemberCallResult::Silent => (MemberReplyMessage::SILENT, None),
+        MemberCallResult::Refused => (MemberReplyMessage::REFUSED, None),
+        MemberCallResult::GaveWay(status) => (MemberReplyMessage::STEPPED_DOWN, Some(status)),
         MemberCallResult::Answered(status) => match status.role {
-            BackendRole::Primary => (MemberReachMessage::PRIMARY, Some(status)),
-            BackendRole::Replica => (MemberReachMessage::REPLICA, Some(status)),
+            BackendRole::Primary => (MemberReplyMessage::PRIMARY, Some(status)),
+            BackendRole::Replica => (MemberReplyMessage::REPLICA, Some(status)),
         },
     };
-    MemberReachMessage {
+    MemberReplyMessage {
         kind,
         term: status.map_or(0, |status| status.term.0),
         received: OptionalFreshness::from(status.map(|status| status.received)),
@@ -295,11 +295,11 @@
 }
 
 /// A message as what came of a question. What is not understood counts as no answer.
-fn reach_of(message: &MemberReachMessage) -> MemberCallResult {
+fn reach_of(message: &MemberReplyMessage) -> MemberCallResult {
     let role = match message.kind {
-        MemberReachMessage::REFUSED => return MemberCallResult::Refused,
-        MemberReachMessage::PRIMARY => BackendRole::Primary,
-        MemberReachMessage::REPLICA | MemberReachMessage::GAVE_WAY => BackendRole::Replica,
+        MemberReplyMessage::REFUSED => return MemberCallResult::Refused,
+        MemberReplyMessage::PRIMARY => BackendRole::Primary,
+        MemberReplyMessage::REPLICA | MemberReplyMessage::STEPPED_DOWN => BackendRole::Replica,
         _ => return MemberCallResult::Silent,
     };
     let Some(received) = Option::<Freshness>::from(message.received) else {
@@ -311,7 +311,7 @@
         received,
         held: Term(message.held),
     };
-    if message.kind == MemberReachMessage::GAVE_WAY {
+    if message.kind == MemberReplyMessage::STEPPED_DOWN {
         MemberCallResult::GaveWay(status)
     } else {
         MemberCallResult::Answered(status)
--- a/crates/stairward-runtime/src/traffic.rs
+++ b/crates/stairward-runtime/src/traffic.rs
@@ -3,7 +3,7 @@
 
 use std::cell::{Cell, RefCell};
 
-use stairward_protocol::neighbour::NeighbourMessage;
+use stairward_protocol::node_message::NodeMessage;
 use stairward_types::{Duration, Time};
 
 /// Pause between two log lines of a node's traffic: six lines a minute, whatever the load.
@@ -47,33 +47,29 @@
     ];
 
     /// The kind of a message.
-    pub fn of(message: &NeighbourMessage) -> Self {
+    pub fn of(message: &NodeMessage) -> Self {
         match message {
-            NeighbourMessage::Forward(_)
-            | NeighbourMessage::Answer(_)
-            | NeighbourMessage::CloseSession { .. } => Self::Forward,
-            NeighbourMessage::AskAlive | NeighbourMessage::Alive => Self::Liveness,
-            NeighbourMessage::FollowFeed { .. }
-            | NeighbourMessage::UnfollowFeed { .. }
-            | NeighbourMessage::FeedTaken { .. }
-            | NeighbourMessage::AskClock { .. }
-            | NeighbourMessage::Clock { .. }
-            | NeighbourMessage::FeedState(_) => Self::Feed,
-            NeighbourMessage::AskDocument { .. } | NeighbourMessage::Document { .. } => {
-                Self::Document
+            NodeMessage::Forward(_) | NodeMessage::Answer(_) | NodeMessage::CloseSession { .. } => {
+                Self::Forward
             }
-            NeighbourMessage::AskLead { .. } | NeighbourMessage::Lead { .. } => Self::Lead,
-            NeighbourMessage::AskPosition { .. } | NeighbourMessage::Position { .. } => {
-                Self::Position
-            }
-            NeighbourMessage::AskLimit(_) | NeighbourMessage::GrantLimit(_) => Self::Limit,
-            NeighbourMessage::RevokeLead { .. }
-            | NeighbourMessage::LeadRevoked { .. }
-            | NeighbourMessage::SettleLead { .. }
-            | NeighbourMessage::Silent { .. }
-            | NeighbourMessage::ConfirmSilent { .. }
-            | NeighbourMessage::AskMember(_)
-            | NeighbourMessage::MemberReach(_) => Self::Failover,
+            NodeMessage::Ping | NodeMessage::Pong => Self::Liveness,
+            NodeMessage::SubscribeFeed { .. }
+            | NodeMessage::UnsubscribeFeed { .. }
+            | NodeMessage::FeedApplied { .. }
+            | NodeMessage::QueryClock { .. }
+            | NodeMessage::Clock { .. }
+            | NodeMessage::FeedState(_) => Self::Feed,
+            NodeMessage::QueryDocument { .. } | NodeMessage::Document { .. } => Self::Document,
+            NodeMessage::QueryLeader { .. } | NodeMessage::LeaderStatus { .. } => Self::Lead,
+            NodeMessage::QueryPosition { .. } | NodeMessage::Position { .. } => Self::Position,
+            NodeMessage::RequestLimit(_) | NodeMessage::GrantLimit(_) => Self::Limit,
+            NodeMessage::RevokeLeader { .. }
+            | NodeMessage::LeaderRevoked { .. }
+            | NodeMessage::PromotionEnded { .. }
+            | NodeMessage::SilentBackends { .. }
+            | NodeMessage::ConfirmSilentBackend { .. }
+            | NodeMessage::ForwardMemberRequest(_)
+            | NodeMessage::MemberReply(_) => Self::Failover,
         }
     }
 
