--- a/crates/stairward-membership/tests/wire.rs
+++ b/crates/stairward-membership/tests/wire.rs
@@ -164,7 +164,7 @@
     let key = key("a shared secret 16");
     check!().with_type::<Vec<u8>>().for_each(|content| {
         let mut bytes = content.clone();
-        let proof = key.prove("membership-datagram", &[content]);
+        let proof = key.sign("membership-datagram", &[content]);
         bytes.extend_from_slice(&proof[..16]);
         let _ = decode(&bytes, &key);
     });
--- a/crates/stairward-protocol/src/authentication.rs
+++ b/crates/stairward-protocol/src/authentication.rs
@@ -50,7 +50,7 @@
     /// # Panics
     /// Never: HMAC takes keys of any length.
     #[must_use]
-    pub fn prove(&self, purpose: &str, parts: &[&[u8]]) -> [u8; PROOF_BYTES] {
+    pub fn sign(&self, purpose: &str, parts: &[&[u8]]) -> [u8; PROOF_BYTES] {
         self.keyed(purpose, parts).finalize().into_bytes().into()
     }
 
--- a/crates/stairward-protocol/src/datagram.rs
+++ b/crates/stairward-protocol/src/datagram.rs
@@ -312,7 +312,7 @@
         let reason = error.to_string();
         DatagramError::Content { reason }
     })?;
-    let proof = key.prove(PROOF_PURPOSE, &[&bytes]);
+    let proof = key.sign(PROOF_PURPOSE, &[&bytes]);
     bytes.extend_from_slice(&proof[..DATAGRAM_PROOF_BYTES]);
     let length = bytes.len();
     ensure!(length <= MAXIMUM_DATAGRAM_BYTES, LengthSnafu { length });
--- a/crates/stairward-protocol/src/peer.rs
+++ b/crates/stairward-protocol/src/peer.rs
@@ -24,7 +24,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub struct Proof {
-    /// See [`crate::ClusterKey::prove`].
+    /// See [`crate::ClusterKey::sign`].
     pub proof: [u8; PROOF_BYTES],
 }
 
--- a/crates/stairward-proxy/src/peer/handshake.rs
+++ b/crates/stairward-proxy/src/peer/handshake.rs
@@ -44,7 +44,7 @@
             reason: "the peer speaks another protocol version"
         }
     );
-    let proof = key.prove(
+    let proof = key.sign(
         PROOF_PURPOSE,
         &[
             &theirs.nonce,
