--- a/crates/stairward-lab/src/configuration/library.rs
+++ b/crates/stairward-lab/src/configuration/library.rs
@@ -19,7 +19,7 @@
     /// # Panics
     /// When the tree is not valid.
     pub(super) fn new(tree: SettingsTree) -> Self {
-        let first = SettingsDocument::first(tree).expect("the tree is valid");
+        let first = SettingsDocument::initial(tree).expect("the tree is valid");
         Self {
             documents: vec![first],
             updates: BTreeMap::new(),
--- a/crates/stairward-lab/src/simulate/configuration.rs
+++ b/crates/stairward-lab/src/simulate/configuration.rs
@@ -38,7 +38,7 @@
     fn absorb(&self, update: &Update) -> Option<SettingsDocument> {
         let decoded = SettingsUpdate::decode(update.whole, &update.document).ok()?;
         match (&self.document, decoded) {
-            (Some(document), decoded) => document.absorb(decoded).ok()?,
+            (Some(document), decoded) => document.apply_update(decoded).ok()?,
             (None, SettingsUpdate::Whole(document)) => Some(*document),
             (None, SettingsUpdate::Edits(_)) => None,
         }
--- a/crates/stairward-lab/src/simulate/layout.rs
+++ b/crates/stairward-lab/src/simulate/layout.rs
@@ -129,7 +129,7 @@
                     .context(SettingSnafu)?;
             }
         }
-        SettingsDocument::first(tree).map_err(|problems| LayoutError::Settings { problems })
+        SettingsDocument::initial(tree).map_err(|problems| LayoutError::Settings { problems })
     }
 
     /// The configuration of a group's stand-in.
--- a/crates/stairward-proxy/src/control/configuration/held.rs
+++ b/crates/stairward-proxy/src/control/configuration/held.rs
@@ -61,7 +61,7 @@
         let decoded =
             SettingsUpdate::decode(update.whole, &update.document).context(UnusableSnafu)?;
         match (&self.document, decoded) {
-            (Some(document), decoded) => document.absorb(decoded).context(UnusableSnafu),
+            (Some(document), decoded) => document.apply_update(decoded).context(UnusableSnafu),
             (None, SettingsUpdate::Whole(document)) => Ok(Some(*document)),
             (None, SettingsUpdate::Edits(_)) => NothingHeldSnafu.fail(),
         }
--- a/crates/stairward-settings/src/check.rs
+++ b/crates/stairward-settings/src/check.rs
@@ -71,7 +71,7 @@
 }
 
 /// Reads a file, tells what it is, and finds everything that is wrong with it. Files that a process
-/// file names are not opened; see [`ProcessSettings::check_named_files`].
+/// file names are not opened; see [`ProcessSettings::check_referenced_files`].
 #[must_use]
 pub fn check_file(path: &Path) -> CheckReport {
     let text = match read(path) {
--- a/crates/stairward-settings/src/document.rs
+++ b/crates/stairward-settings/src/document.rs
@@ -74,7 +74,7 @@
     ///
     /// # Errors
     /// Every problem of the tree.
-    pub fn first(tree: SettingsTree) -> Result<Self, Vec<SettingsProblem>> {
+    pub fn initial(tree: SettingsTree) -> Result<Self, Vec<SettingsProblem>> {
         tree.resolve()?;
         Ok(Self {
             revision: Revision(1),
--- a/crates/stairward-settings/src/problem.rs
+++ b/crates/stairward-settings/src/problem.rs
@@ -108,7 +108,7 @@
     },
     /// The text is empty, too long, or has control characters.
     #[snafu(display("must be 1 to {maximum_bytes} bytes without control characters"))]
-    UnusableText {
+    InvalidText {
         /// Longest text allowed, in bytes.
         maximum_bytes: usize,
     },
@@ -164,7 +164,7 @@
     #[snafu(display(
         "{active} of {members} back ends are active; a majority of {needed} is needed"
     ))]
-    MajorityImpossible {
+    NoActiveMajority {
         /// Back ends in the state active.
         active: usize,
         /// Back ends of the group.
@@ -184,7 +184,7 @@
     },
     /// The value is less than another option's, which must not exceed it.
     #[snafu(display("{value} is less than {other_option} = {other_value}"))]
-    Below {
+    LessThan {
         /// This option's value.
         value: u64,
         /// The option that must not exceed it.
--- a/crates/stairward-settings/src/process/mod.rs
+++ b/crates/stairward-settings/src/process/mod.rs
@@ -172,16 +172,16 @@
             },
             cluster: ClusterSettings {
                 seeds: Vec::new(),
-                key: SecretSource::Given(cluster_key),
+                key: SecretSource::Inline(cluster_key),
             },
             callers: CallerSettings {
-                users: UsersSource::Given(Users::new()),
+                users: UsersSource::Inline(Users::new()),
                 tls: None,
                 maximum_clients: u32::try_from(DEFAULT_MAXIMUM_CLIENTS).unwrap_or(u32::MAX),
                 token_key: None,
             },
             backends: BackendAccessSettings {
-                password: SecretSource::Given(Secret::new("")),
+                password: SecretSource::Inline(Secret::new("")),
                 root_certificate_file: None,
             },
             admin: AdminSettings {
@@ -202,14 +202,12 @@
     /// derived from the address, so that a process that returns there has the same number.
     #[must_use]
     pub fn node_id(&self, peer_address: SocketAddr) -> NodeId {
-        self.node
-            .id
-            .unwrap_or_else(|| derived_node_id(peer_address))
+        self.node.id.unwrap_or_else(|| derive_node_id(peer_address))
     }
 
     /// Reads every file that the settings name, and tells what is wrong with them.
     #[must_use]
-    pub fn check_named_files(&self) -> Vec<SettingsProblem> {
+    pub fn check_referenced_files(&self) -> Vec<SettingsProblem> {
         let mut problems = Vec::new();
         problems.extend(self.load_cluster_key().err());
         problems.extend(self.callers.users.load().err().unwrap_or_default());
@@ -278,7 +276,7 @@
 /// An IPv4 address and its port are the number themselves, so no two nodes share one. Of an IPv6
 /// address it is 53 bits of a hash.
 #[must_use]
-pub fn derived_node_id(peer_address: SocketAddr) -> NodeId {
+pub fn derive_node_id(peer_address: SocketAddr) -> NodeId {
     let port = peer_address.port();
     match peer_address.ip().to_canonical() {
         IpAddr::V4(ip) => NodeId((u64::from(u32::from(ip)) << PORT_BITS) | u64::from(port)),
--- a/crates/stairward-settings/src/process/secret.rs
+++ b/crates/stairward-settings/src/process/secret.rs
@@ -55,7 +55,7 @@
     /// A file; a line end at its end is not part of the secret.
     File(PathBuf),
     /// Given by the program that embeds the node.
-    Given(Secret),
+    Inline(Secret),
 }
 
 impl SecretSource {
@@ -65,7 +65,7 @@
     /// [`SettingsProblem`] when the file cannot be read, is empty or larger than 64 KiB.
     pub fn load(&self) -> Result<Secret, SettingsProblem> {
         match self {
-            Self::Given(secret) => Ok(secret.clone()),
+            Self::Inline(secret) => Ok(secret.clone()),
             Self::File(path) => read_secret(path),
         }
     }
@@ -80,7 +80,7 @@
     /// A TOML file with one `user = "password"` a line.
     File(PathBuf),
     /// Given by the program that embeds the node.
-    Given(Users),
+    Inline(Users),
 }
 
 impl UsersSource {
@@ -90,7 +90,7 @@
     /// Every problem of the file.
     pub fn load(&self) -> Result<Users, Vec<SettingsProblem>> {
         match self {
-            Self::Given(users) => Ok(users.clone()),
+            Self::Inline(users) => Ok(users.clone()),
             Self::File(path) => {
                 let text = read_text(path).map_err(|problem| vec![problem])?;
                 parse_users(path, &text)
--- a/crates/stairward-settings/src/tree/bounds.rs
+++ b/crates/stairward-settings/src/tree/bounds.rs
@@ -83,7 +83,7 @@
         .unwrap_or(SettingsPath::Root);
     let is_caused_by_limit = !is_set(&cause, bound.option);
     if is_caused_by_limit {
-        let kind = ProblemKind::Below {
+        let kind = ProblemKind::LessThan {
             value: bound.limit,
             other_option: bound.option.name(),
             other_value: bound.value,
--- a/crates/stairward-settings/src/tree/validate.rs
+++ b/crates/stairward-settings/src/tree/validate.rs
@@ -130,7 +130,7 @@
     let active = in_state(AdminState::Active);
     let needed = members / 2 + 1;
     if active < needed {
-        let kind = ProblemKind::MajorityImpossible {
+        let kind = ProblemKind::NoActiveMajority {
             active,
             members,
             needed,
--- a/crates/stairward-settings/src/update.rs
+++ b/crates/stairward-settings/src/update.rs
@@ -111,16 +111,16 @@
     ///
     /// # Errors
     /// [`UpdateError`]; the held document stays as it is.
-    pub fn absorb(&self, update: SettingsUpdate) -> Result<Option<Self>, UpdateError> {
+    pub fn apply_update(&self, update: SettingsUpdate) -> Result<Option<Self>, UpdateError> {
         match update {
             SettingsUpdate::Whole(document) => {
                 Ok(Some(*document).filter(|newer| newer.revision() > self.revision()))
             }
-            SettingsUpdate::Edits(edits) => self.absorb_edits(edits),
+            SettingsUpdate::Edits(edits) => self.apply_edits(edits),
         }
     }
 
-    fn absorb_edits(&self, edits: Vec<AppliedEdit>) -> Result<Option<Self>, UpdateError> {
+    fn apply_edits(&self, edits: Vec<AppliedEdit>) -> Result<Option<Self>, UpdateError> {
         let mut reached = self.revision();
         let mut missing = Vec::new();
         for applied in edits {
--- a/crates/stairward-settings/src/value_kind.rs
+++ b/crates/stairward-settings/src/value_kind.rs
@@ -105,7 +105,7 @@
     if length_fits && !text.chars().any(char::is_control) {
         return Ok(());
     }
-    Err(ProblemKind::UnusableText {
+    Err(ProblemKind::InvalidText {
         maximum_bytes: MAXIMUM_TEXT_BYTES,
     })
 }
--- a/crates/stairward-settings/tests/edits.rs
+++ b/crates/stairward-settings/tests/edits.rs
@@ -35,7 +35,7 @@
         tree.set(&place, SettingsOption::Zone, "south-a")
             .expect("a fitting value");
     }
-    SettingsDocument::first(tree).expect("a valid tree")
+    SettingsDocument::initial(tree).expect("a valid tree")
 }
 
 fn edit(change_id: u64, based_on: u64, changes: Vec<Change>) -> Edit {
@@ -240,10 +240,16 @@
     let bytes = update.encode().expect("JSON");
     let read = SettingsUpdate::decode(false, &bytes).expect("an update");
     assert_eq!(read.revision(), Some(newest.revision()));
-    assert_eq!(held.absorb(read).expect("applies"), Some(newest.clone()));
+    assert_eq!(
+        held.apply_update(read).expect("applies"),
+        Some(newest.clone())
+    );
     let halfway = advance(&held, 2);
     let overlapping = newest.update_after(held.revision());
-    assert_eq!(halfway.absorb(overlapping).expect("applies"), Some(newest));
+    assert_eq!(
+        halfway.apply_update(overlapping).expect("applies"),
+        Some(newest)
+    );
 }
 
 #[test]
@@ -256,7 +262,10 @@
     assert!(update.is_whole());
     let bytes = update.encode().expect("JSON");
     let read = SettingsUpdate::decode(true, &bytes).expect("an update");
-    assert_eq!(held.absorb(read).expect("applies"), Some(newest.clone()));
+    assert_eq!(
+        held.apply_update(read).expect("applies"),
+        Some(newest.clone())
+    );
     let one_later = Revision(held.revision().0 + 1);
     let kept = newest.edits_after(one_later).expect("still kept");
     assert_eq!(kept.len(), MAXIMUM_HISTORY_EDITS);
@@ -283,9 +292,9 @@
     let old = first_document();
     let new = advance(&old, 3);
     let whole = SettingsUpdate::Whole(Box::new(old.clone()));
-    assert_eq!(new.absorb(whole).expect("is ignored"), None);
+    assert_eq!(new.apply_update(whole).expect("is ignored"), None);
     let edits = advance(&old, 2).update_after(old.revision());
-    assert_eq!(new.absorb(edits).expect("is ignored"), None);
+    assert_eq!(new.apply_update(edits).expect("is ignored"), None);
 }
 
 #[test]
@@ -293,7 +302,7 @@
     let held = first_document();
     let newest = advance(&held, 3);
     let late = newest.update_after(Revision(2));
-    let refused = held.absorb(late).expect_err("a gap");
+    let refused = held.apply_update(late).expect_err("a gap");
     assert!(matches!(refused, UpdateError::Gap { .. }), "{refused}");
     assert!(SettingsUpdate::decode(true, b"{}").is_err());
     assert!(SettingsUpdate::decode(false, b"\xff").is_err());
--- a/crates/stairward-settings/tests/process_file.rs
+++ b/crates/stairward-settings/tests/process_file.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use stairward_settings::process::{
-    LogFormat, ProcessSettings, Secret, SecretSource, TlsFiles, Users, UsersSource,
-    derive_token_key, derived_node_id,
+    LogFormat, ProcessSettings, Secret, SecretSource, TlsFiles, Users, UsersSource, derive_node_id,
+    derive_token_key,
 };
 use stairward_settings::{ProblemKind, SettingsProblem};
 use stairward_types::{NodeId, RegionName, ResultCode, ZoneName};
@@ -251,10 +251,10 @@
     let peer = address("10.0.0.1:6433");
     assert_eq!(settings.node_id(peer), NodeId(0x0A00_0001_1921));
     let mapped = address("[::ffff:10.0.0.1]:6433");
-    assert_eq!(derived_node_id(mapped), derived_node_id(peer));
+    assert_eq!(derive_node_id(mapped), derive_node_id(peer));
     let version_6 = address("[fd00::1]:6433");
-    assert_ne!(derived_node_id(version_6), derived_node_id(peer));
-    assert!(derived_node_id(version_6).0 < 1 << 53);
+    assert_ne!(derive_node_id(version_6), derive_node_id(peer));
+    assert!(derive_node_id(version_6).0 < 1 << 53);
     settings.node.id = Some(NodeId(5));
     assert_eq!(settings.node_id(peer), NodeId(5));
 }
@@ -295,14 +295,14 @@
         vec![address("127.0.0.1:8080")],
         key.clone(),
     );
-    settings.callers.users = UsersSource::Given(Users::new());
-    settings.backends.password = SecretSource::Given(Secret::new("password"));
-    assert_eq!(settings.check_named_files(), []);
+    settings.callers.users = UsersSource::Inline(Users::new());
+    settings.backends.password = SecretSource::Inline(Secret::new("password"));
+    assert_eq!(settings.check_referenced_files(), []);
     let token_key = settings.load_token_key().expect("a key");
     assert_eq!(token_key, derive_token_key(&key));
     assert_ne!(token_key, key);
-    settings.cluster.key = SecretSource::Given(Secret::new("short"));
-    let problems = settings.check_named_files();
+    settings.cluster.key = SecretSource::Inline(Secret::new("short"));
+    let problems = settings.check_referenced_files();
     assert_eq!(problems.len(), 1);
     assert!(problems[0].to_string().contains("at least 16"));
 }
--- a/crates/stairward-settings/tests/properties.rs
+++ b/crates/stairward-settings/tests/properties.rs
@@ -145,7 +145,7 @@
 
 fn first_document() -> SettingsDocument {
     let tree = SettingsTree::from_toml(TREE).expect("a valid tree");
-    SettingsDocument::first(tree).expect("a valid tree")
+    SettingsDocument::initial(tree).expect("a valid tree")
 }
 
 #[test]
@@ -204,7 +204,7 @@
     let update = newest.update_after(follower.revision());
     let bytes = update.encode().expect("JSON");
     let received = SettingsUpdate::decode(update.is_whole(), &bytes).expect("an update");
-    let newer = follower.absorb(received).expect("the update applies");
+    let newer = follower.apply_update(received).expect("the update applies");
     let held = newer.unwrap_or_else(|| follower.clone());
     assert!(held.revision() >= follower.revision());
     assert_eq!(held, *newest);
--- a/crates/stairward-settings/tests/settings_tree.rs
+++ b/crates/stairward-settings/tests/settings_tree.rs
@@ -305,7 +305,7 @@
     for (first, second, third) in refused {
         let problems = states(first, second, third).expect_err("no majority");
         assert_eq!(problems.len(), 1);
-        let ProblemKind::MajorityImpossible {
+        let ProblemKind::NoActiveMajority {
             members: 3,
             needed: 2,
             ..
@@ -335,7 +335,7 @@
         (&one, &empty),
     ] {
         let changes = from.changes_to(to);
-        let document = SettingsDocument::first(from.clone()).expect("a valid tree");
+        let document = SettingsDocument::initial(from.clone()).expect("a valid tree");
         let edit = Edit {
             change_id: ChangeId(1),
             based_on: document.revision(),
--- a/crates/stairward/src/command/check.rs
+++ b/crates/stairward/src/command/check.rs
@@ -66,7 +66,7 @@
         && report.kind == FileKind::ProcessFile
         && let Ok(settings) = ProcessSettings::load(&file)
     {
-        report.problems.extend(settings.check_named_files());
+        report.problems.extend(settings.check_referenced_files());
     }
     report
 }
