--- a/crates/stairward-protocol/src/node_message.rs
+++ b/crates/stairward-protocol/src/node_message.rs
@@ -1,54 +1,55 @@
-//! Messages between nodes that share databases which elect nobody: documents for a node that can't read
-//! the store, and statements run for a node that holds no connections.
+//! Messages between nodes in front of databases that elect no primary themselves: statements forwarded
+//! to a node that holds connections, documents and feeds for a node that can't read the metadata store,
+//! and coordination of failover and of tenants' limits.
 
 use deku::prelude::*;
 
 use crate::field::{ByteString, OptionalFreshness, Text};
 
-/// A value of a session.
+/// A session variable.
 #[derive(Debug, Clone, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub struct SessionValue {
-    /// Its name.
+    /// The variable's name.
     pub name: ByteString,
-    /// The value.
+    /// The variable's value.
     pub value: ByteString,
 }
 
-/// A statement to run for a session of another node, with all of the session that it needs.
+/// A statement to run for a session of another node, with the session state that it needs.
 #[derive(Debug, Clone, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub struct ForwardedStatement {
-    /// The session, by the sender's number.
+    /// The session id, assigned by the sender.
     pub session: u64,
-    /// The request, by the sender's number; its answer carries it back.
+    /// The request id, assigned by the sender; the answer repeats it.
     pub request: u64,
-    /// The database that the session asked for.
+    /// The database that the session requested.
     pub database: Text,
     /// The revision of the configuration in force at the sender.
     pub revision: u64,
-    /// The tenant whose client it is, as the sender has checked; empty where there is none.
+    /// The client's tenant, as authenticated by the sender; empty when there is none.
     pub tenant: Text,
     /// 1 when the session has a transaction open at the receiver, else 0.
     pub in_transaction: u8,
-    /// How long the sender waits for an answer, in milliseconds.
+    /// Remaining time that the sender waits for an answer, in milliseconds.
     pub time_left_milliseconds: u32,
-    /// The session's newest commit.
+    /// Position of the session's newest commit.
     pub commit: OptionalFreshness,
     #[deku(update = "self.values.len()")]
     value_count: u16,
-    /// The session's values.
+    /// The session's variables.
     #[deku(count = "value_count")]
     pub values: Vec<SessionValue>,
-    /// What the statement runs that was prepared: 0 nothing, 1 a read, 2 a write.
+    /// Access of the prepared statement that is executed: 0 none, 1 read, 2 write.
     pub prepared_access: u8,
-    /// The prepared shape.
+    /// Shape of the prepared statement.
     pub prepared_shape: ByteString,
-    /// The statement's kind, as [`StatementTag`] numbers it.
+    /// The kind of the statement, a [`StatementTag`].
     pub tag: u8,
     /// The caller's id of the statement.
     pub id: ByteString,
-    /// Its text, or the arguments of what was prepared.
+    /// The statement's text, or the arguments of the prepared statement.
     pub text: ByteString,
 }
 
@@ -57,22 +58,22 @@
 pub enum StatementTag {
     /// Opens a transaction.
     Begin = 1,
-    /// Opens a transaction that only reads.
+    /// Opens a read-only transaction.
     BeginRead = 2,
-    /// Ends the transaction and keeps it.
+    /// Commits the transaction.
     Commit = 3,
-    /// Ends the transaction and undoes it.
+    /// Rolls the transaction back.
     Rollback = 4,
-    /// Reads.
+    /// A statement that only reads.
     Read = 5,
-    /// Writes.
+    /// A statement that writes.
     Write = 6,
-    /// Runs what was prepared.
+    /// Executes a prepared statement.
     Execute = 7,
 }
 
 impl StatementTag {
-    /// The kind of a number.
+    /// The kind with this number; none when there is no such kind.
     #[must_use]
     pub const fn from_number(number: u8) -> Option<Self> {
         Some(match number {
@@ -89,7 +90,7 @@
 }
 
 impl ForwardedStatement {
-    /// Sets the values and their count.
+    /// Sets the session's variables and their count.
     #[must_use]
     pub fn with_values(mut self, values: Vec<SessionValue>) -> Self {
         self.value_count = u16::try_from(values.len()).unwrap_or(u16::MAX);
@@ -98,11 +99,11 @@
         self
     }
 
-    /// A statement without values.
+    /// A statement without session variables.
     #[must_use]
     #[allow(
         clippy::too_many_arguments,
-        reason = "one for each field of the message"
+        reason = "one argument for each field of the message"
     )]
     pub fn new(
         session: u64,
@@ -139,68 +140,68 @@
     }
 }
 
-/// How a forwarded statement ended.
+/// The answer to a forwarded statement.
 #[derive(Debug, Clone, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub struct ForwardedAnswer {
-    /// The session, by the other side's number.
+    /// The session id from the request.
     pub session: u64,
-    /// The request, by the other side's number.
+    /// The request id from the request.
     pub request: u64,
     /// 0 completed without a signature, 1 completed with one, 2 refused by the node, 3 failed at the back
     /// end.
     pub outcome: u8,
     /// The result code of a refusal, or the number of the back end's error.
     pub code: u16,
-    /// When the caller may come back, in milliseconds; 0 where that is not said.
+    /// Suggested delay before the caller retries, in milliseconds; 0 when unknown.
     pub retry_after_milliseconds: u32,
     /// The signature, or the text of the error.
     pub text: ByteString,
-    /// 0 no transaction, 1 an open one, 2 a failed one.
+    /// Transaction status: 0 idle, 1 in a transaction, 2 in a failed transaction.
     pub status: u8,
-    /// How far the back end's log had come.
+    /// Log position of the back end.
     pub position: OptionalFreshness,
-    /// Rows.
+    /// Number of rows that follow.
     pub row_count: u32,
     /// The rows.
     #[deku(count = "row_count")]
     pub rows: Vec<ByteString>,
 }
 
-/// A watcher's word of a feed: the objects of one kind that the metadata store holds.
+/// A watcher's report of a feed, which consists of all objects of one kind in the metadata store.
 #[derive(Debug, Clone, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub struct FeedStateMessage {
-    /// The feed.
+    /// The feed's name.
     pub name: Text,
     /// The revision of the watcher's state.
     pub at: u64,
-    /// How long before this message the store confirmed it, in microseconds.
+    /// Time between the store's confirmation of this revision and this message, in microseconds.
     pub age_microseconds: u64,
-    /// A moment at which it was the newest, on the watcher's own clock, in microseconds; 0 where none is known.
+    /// Time on the watcher's own clock at which the revision was the newest, in microseconds; 0 when unknown.
     pub current_at_microseconds: u64,
-    /// What `content` is: [`Self::UNCHANGED`], [`Self::CHANGES`], [`Self::WHOLE`] or [`Self::SINCE`].
+    /// The kind of `content`: [`Self::UNCHANGED`], [`Self::CHANGES`], [`Self::WHOLE`] or [`Self::SINCE`].
     pub kind: u8,
-    /// With [`Self::SINCE`]: the revision that the receiver held; else 0.
+    /// With [`Self::SINCE`], the receiver's revision that the changes start from; else 0.
     pub since: u64,
-    /// With [`Self::SINCE`]: the digest of all objects as the watcher has them; else 0.
+    /// With [`Self::SINCE`], the digest of all objects at the watcher; else 0.
     pub digest: u64,
-    /// The content, compressed.
+    /// The compressed content.
     pub content: ByteString,
 }
 
 impl FeedStateMessage {
-    /// Nothing has changed since the watcher's last word.
+    /// Nothing has changed since the watcher's previous report.
     pub const UNCHANGED: u8 = 0;
-    /// What has changed since then.
+    /// The changes since the watcher's previous report.
     pub const CHANGES: u8 = 1;
     /// All objects.
     pub const WHOLE: u8 = 2;
-    /// What has changed after the revision that the receiver held.
+    /// The changes after the revision that the receiver held.
     pub const SINCE: u8 = 3;
 }
 
-/// A question to a member of a group, to be passed on.
+/// A request to a member of a group, which the receiver forwards to the member.
 #[derive(Debug, Clone, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub struct MemberRequestMessage {
@@ -208,122 +209,124 @@
     pub service: Text,
     /// The member's id.
     pub backend: Text,
-    /// The member's IPv4 address and port.
+    /// The member's IPv4 address.
     pub address: [u8; 4],
-    /// The port.
+    /// The member's port.
     pub port: u16,
-    /// What is asked: [`Self::STEP_DOWN`] or [`Self::HOLD`].
+    /// The request: [`Self::STEP_DOWN`] or [`Self::HOLD`].
     pub request: u8,
-    /// The term that it is asked with.
+    /// The term of the request.
     pub term: u64,
 }
 
 impl MemberRequestMessage {
-    /// Give way to the term.
+    /// Asks the member to step down as primary in favour of the term.
     pub const STEP_DOWN: u8 = 0;
-    /// Don't receive in any term below this one.
+    /// Asks the member to receive no log of terms below this one.
     pub const HOLD: u8 = 1;
 }
 
-/// What came of a question that was passed on.
+/// The result of a forwarded [`MemberRequestMessage`].
 #[derive(Debug, Clone, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub struct MemberReplyMessage {
-    /// [`Self::SILENT`], [`Self::REFUSED`], [`Self::PRIMARY`], [`Self::REPLICA`] or [`Self::STEPPED_DOWN`].
+    /// The result: [`Self::SILENT`], [`Self::REFUSED`], [`Self::PRIMARY`], [`Self::REPLICA`] or
+    /// [`Self::STEPPED_DOWN`].
     pub kind: u8,
     /// The newest term that the member knows.
     pub term: u64,
-    /// How much of the log it has received.
+    /// Log position up to which the member has received.
     pub received: OptionalFreshness,
-    /// Below which term it does not receive.
+    /// The term below which the member receives no log.
     pub held: u64,
 }
 
 impl MemberReplyMessage {
-    /// The member gave no answer.
+    /// The member did not answer.
     pub const SILENT: u8 = 0;
-    /// Nothing listens at its address.
+    /// The connection was refused: nothing listens at the member's address.
     pub const REFUSED: u8 = 1;
-    /// It answered as primary.
+    /// The member answered as primary.
     pub const PRIMARY: u8 = 2;
-    /// It answered as replica.
+    /// The member answered as replica.
     pub const REPLICA: u8 = 3;
-    /// It led until it was asked, and answered as replica.
+    /// The member was primary, stepped down on the request, and answered as replica.
     pub const STEPPED_DOWN: u8 = 4;
 }
 
-/// Operations that a node wants for a tenant with a limit.
+/// A node's demand of operations for one rate-limited tenant.
 #[derive(Debug, Clone, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub struct LimitDemand {
     /// The tenant.
     pub tenant: Text,
-    /// Operations that wait.
+    /// Number of operations that wait.
     pub waiting: u32,
-    /// Operations that will most likely come soon.
+    /// Number of operations expected soon.
     pub ahead: u32,
 }
 
-/// A question to the coordinator of some tenants' limits, and the loan of the sender's share.
+/// A request to the coordinator of a shard of tenants' limits. It may also lend the coordinator the
+/// sender's share of the limits.
 #[derive(Debug, Clone, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub struct LimitRequest {
-    /// The sender.
+    /// The sender's node id.
     pub node: u64,
-    /// The group of tenants.
+    /// The shard of tenants.
     pub shard: u8,
-    /// The question's number; the answer carries it back.
+    /// Sequence number of the request; the grant repeats it.
     pub sequence: u64,
-    /// How many nodes there may be.
+    /// Upper bound of the number of nodes.
     pub nodes: u32,
     /// 1 when the sender lends its share, else 0.
     pub lends: u8,
-    /// The receiver's life and moment that the loan counts from, as it last told them.
+    /// The receiver's incarnation from which the loan counts, as the receiver last reported it.
     pub incarnation: u64,
-    /// The moment, in microseconds of the receiver's clock.
+    /// The time from which the loan counts, in microseconds of the receiver's clock.
     pub lent_at_microseconds: u64,
-    /// How many wants follow.
+    /// Number of demands that follow.
     #[deku(update = "self.wants.len()")]
     pub want_count: u16,
-    /// What is wanted.
+    /// The demands.
     #[deku(count = "want_count")]
     pub wants: Vec<LimitDemand>,
 }
 
-/// What a tenant gets.
+/// The operations granted for one tenant.
 #[derive(Debug, Clone, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub struct LimitGranted {
     /// The tenant.
     pub tenant: Text,
-    /// Operations.
+    /// Number of granted operations.
     pub count: u32,
-    /// Operations that wait and got none.
+    /// Number of waiting operations that were not granted.
     pub unmet: u32,
-    /// When there is most likely room for the first of them.
+    /// Estimated delay until the first of them can be granted, in milliseconds.
     pub retry_after_milliseconds: u32,
-    /// How much later there is for each one after it.
+    /// Estimated additional delay for each further one, in microseconds.
     pub spacing_microseconds: u32,
 }
 
-/// A coordinator's answer.
+/// A coordinator's answer to a [`LimitRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub struct LimitGrant {
-    /// The group of tenants.
+    /// The shard of tenants.
     pub shard: u8,
-    /// The question's number.
+    /// Sequence number of the request.
     pub sequence: u64,
-    /// The sender's life.
+    /// The sender's incarnation.
     pub incarnation: u64,
-    /// The sender's moment, in microseconds of its clock.
+    /// The sender's time, in microseconds of its clock.
     pub at_microseconds: u64,
-    /// How many nodes there may be.
+    /// Upper bound of the number of nodes.
     pub nodes: u32,
-    /// How many tenants follow.
+    /// Number of tenants that follow.
     #[deku(update = "self.granted.len()")]
     pub granted_count: u16,
-    /// One for each want.
+    /// One entry for each demand.
     #[deku(count = "granted_count")]
     pub granted: Vec<LimitGranted>,
 }
@@ -332,13 +335,13 @@
 #[derive(Debug, Clone, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "big", id_type = "u8")]
 pub enum NodeMessage {
-    /// Asks for a document as the other node last read it from the store.
+    /// Requests a document as the receiver last read it from the store.
     #[deku(id = "1")]
     QueryDocument {
         /// The document's name.
         name: Text,
     },
-    /// A document; empty where the node has none.
+    /// A document; its content is empty when the sender has none.
     #[deku(id = "2")]
     Document {
         /// The document's name.
@@ -346,154 +349,157 @@
         /// Its content.
         content: ByteString,
     },
-    /// Run a statement.
+    /// Forwards a statement to run.
     #[deku(id = "3")]
     Forward(ForwardedStatement),
-    /// A statement has ended.
+    /// Answers a forwarded statement.
     #[deku(id = "4")]
     Answer(ForwardedAnswer),
-    /// Asks how far the log of a service's leader had come.
+    /// Requests the log position of a service's leader.
     #[deku(id = "6")]
     QueryPosition {
         /// The service.
         service: Text,
-        /// The sender's own moment; the answer carries it back.
+        /// Time of the query on the sender's clock; the answer repeats it.
         asked_at_microseconds: u64,
     },
-    /// What is known of it.
+    /// Answers [`Self::QueryPosition`] with what the sender knows.
     #[deku(id = "7")]
     Position {
         /// The service.
         service: Text,
-        /// From the question.
+        /// The time from the query.
         asked_at_microseconds: u64,
-        /// The position.
+        /// The leader's log position, if known.
         position: OptionalFreshness,
-        /// How long before this answer the leader was asked.
+        /// Time between the sender's query to the leader and this answer.
         age_microseconds: u64,
     },
-    /// Asks to be told of a feed's state, now and after each change or confirmation.
+    /// Subscribes to a feed's state: the receiver sends it now and after each change or confirmation.
     #[deku(id = "8")]
     SubscribeFeed {
-        /// The feed.
+        /// The feed's name.
         name: Text,
-        /// The revision that the sender holds; 0 where it holds nothing.
+        /// The revision that the sender holds; 0 when it holds none.
         known: u64,
     },
-    /// The sender no longer follows a feed.
+    /// Ends the sender's subscription to a feed.
     #[deku(id = "9")]
     UnsubscribeFeed {
-        /// The feed.
+        /// The feed's name.
         name: Text,
     },
-    /// The sender has taken over what it lacked of a feed, from the receiver or from another watcher.
+    /// The sender has applied the changes of a feed that it lacked, from the receiver or from another
+    /// watcher.
     #[deku(id = "26")]
     FeedApplied {
-        /// The feed.
+        /// The feed's name.
         name: Text,
         /// The revision that the sender holds now.
         held: u64,
     },
-    /// Asks for the receiver's clock, against which moments in its words are placed.
+    /// Requests the receiver's clock, to which the sender relates the times in the receiver's messages.
     #[deku(id = "28")]
     QueryClock {
-        /// The sender's own moment; the answer carries it back.
+        /// Time of the query on the sender's clock; the answer repeats it.
         asked_at_microseconds: u64,
     },
-    /// The clock's reading.
+    /// Answers [`Self::QueryClock`].
     #[deku(id = "29")]
     Clock {
-        /// From the question.
+        /// The time from the query.
         asked_at_microseconds: u64,
-        /// The moment of the answer, on the answerer's own clock.
+        /// Time of this answer on the answering node's clock.
         answered_at_microseconds: u64,
     },
-    /// Asks for a sign of life.
+    /// Checks that the receiver is alive.
     #[deku(id = "11")]
     Ping,
-    /// The sign of life.
+    /// Answers [`Self::Ping`].
     #[deku(id = "12")]
     Pong,
-    /// Tells that a replica is about to be promoted in a term: no leader of a lower one is to be believed any
-    /// more.
+    /// Announces that a replica is about to be promoted in a term: the receiver must no longer accept a
+    /// leader of a lower term.
     #[deku(id = "17")]
     RevokeLeader {
         /// The service.
         service: Text,
-        /// The term.
+        /// The term of the promotion.
         term: u64,
     },
-    /// Tells which back ends the sender finds silent, whole.
+    /// Reports the complete list of back ends that do not answer the sender.
     #[deku(id = "20")]
     SilentBackends {
-        /// The sender.
+        /// The sender's node id.
         node: u64,
-        /// How many back ends follow.
+        /// Number of back ends that follow.
         #[deku(update = "backends.len()")]
         count: u16,
         /// Their ids.
         #[deku(count = "count")]
         backends: Vec<Text>,
     },
-    /// Tells a node that the sender has looked at a back end that it finds silent, and finds it silent too.
+    /// Confirms to a node that reported a back end as silent that the sender has probed it and got no
+    /// answer either.
     #[deku(id = "27")]
     ConfirmSilentBackend {
-        /// The sender.
+        /// The sender's node id.
         node: u64,
         /// The back end's id.
         backend: Text,
     },
-    /// Tells that no promotion that was told of is under way any more.
+    /// Announces that no promotion announced by [`Self::RevokeLeader`] is in progress any more.
     #[deku(id = "19")]
     PromotionEnded {
         /// The service.
         service: Text,
     },
-    /// The sender believes no such leader any more.
+    /// Answers [`Self::RevokeLeader`]: the sender no longer accepts a leader of a lower term.
     #[deku(id = "18")]
     LeaderRevoked {
         /// The newest term of the service that the sender knows to have begun.
         newest: u64,
     },
-    /// Asks what is known of a service's lead.
+    /// Requests the receiver's knowledge of a service's leadership.
     #[deku(id = "15")]
     QueryLeader {
         /// The service.
         service: Text,
-        /// The sender's own moment; the answer carries it back.
+        /// Time of the query on the sender's clock; the answer repeats it.
         asked_at_microseconds: u64,
     },
-    /// What is known of it.
+    /// Answers [`Self::QueryLeader`].
     #[deku(id = "16")]
     LeaderStatus {
         /// The service.
         service: Text,
-        /// From the question.
+        /// The time from the query.
         asked_at_microseconds: u64,
         /// The newest term that may have begun.
         possible_term: u64,
-        /// How long before this answer the members were asked.
+        /// Time between the sender's query to the members and this answer.
         age_microseconds: u64,
     },
-    /// Asks to pass a question on to a member of a group. One such question is asked on a link, which then ends.
+    /// Asks the receiver to forward a request to a member of a group. A link carries one such request and
+    /// is then closed.
     #[deku(id = "13")]
     ForwardMemberRequest(MemberRequestMessage),
-    /// What came of it.
+    /// Answers [`Self::ForwardMemberRequest`].
     #[deku(id = "14")]
     MemberReply(MemberReplyMessage),
-    /// A feed's state at a watcher.
+    /// Reports a feed's state to a subscriber.
     #[deku(id = "10")]
     FeedState(FeedStateMessage),
-    /// Asks for operations of tenants with a limit.
+    /// Requests operations for rate-limited tenants.
     #[deku(id = "21")]
     RequestLimit(LimitRequest),
-    /// The answer.
+    /// Answers [`Self::RequestLimit`].
     #[deku(id = "22")]
     GrantLimit(LimitGrant),
     /// A session of the sender has ended.
     #[deku(id = "5")]
     CloseSession {
-        /// The session, by the sender's number.
+        /// The session id, assigned by the sender.
         session: u64,
     },
 }
--- a/crates/stairward-protocol/tests/node_messages.rs
+++ b/crates/stairward-protocol/tests/node_messages.rs
@@ -1,4 +1,4 @@
-//! Messages between nodes: each reads back as it was written, and no bytes do harm.
+//! Codec of the messages between nodes: round trips, and decoding of arbitrary bytes.
 
 use bytes::BytesMut;
 use stairward_protocol::node_message::{
@@ -67,7 +67,7 @@
     messages
 }
 
-/// What nodes say of leaders, and of back ends that they can't reach.
+/// The messages about leaders and unreachable back ends.
 fn leader_messages(position: OptionalFreshness) -> Vec<NodeMessage> {
     let service = || Text::new("reader-core");
     vec![
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn messages_read_back_as_they_were_written() {
+fn messages_round_trip_through_frames() {
     let mut bytes = BytesMut::new();
     for message in messages() {
         encode_frame(&message, &mut bytes).unwrap();
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn no_bytes_of_a_peer_do_harm() {
+fn decoding_arbitrary_bytes_does_not_panic() {
     check!().for_each(|bytes: &[u8]| {
         let mut buffer = BytesMut::from(bytes);
         while let Ok(Some(_)) = decode_frame::<NodeMessage>(&mut buffer) {}
