--- a/crates/stairward-protocol/src/authentication.rs
+++ b/crates/stairward-protocol/src/authentication.rs
@@ -1,25 +1,25 @@
-//! Proof that a peer knows the cluster key (HMAC-SHA-256, RFC 2104).
+//! Authentication of peers by the shared cluster key (HMAC-SHA-256, RFC 2104).
 
 use hmac::{Hmac, Mac};
 use sha2::Sha256;
 use snafu::{Snafu, ensure};
 
-/// Length of a challenge, in bytes.
+/// Length of a handshake nonce, in bytes.
 pub const NONCE_BYTES: usize = 16;
-/// Length of a proof, in bytes.
+/// Length of a full HMAC-SHA-256 proof, in bytes.
 pub const PROOF_BYTES: usize = 32;
 /// Shortest cluster key accepted, in bytes.
 const MINIMUM_KEY_BYTES: usize = 16;
 
-/// A cluster key that is too short to be safe.
+/// The cluster key is shorter than the minimum.
 #[derive(Debug, Snafu)]
 #[snafu(display("the cluster key has {length} bytes; at least {MINIMUM_KEY_BYTES} are needed"))]
 pub struct InvalidClusterKey {
-    /// Its length, in bytes.
+    /// Length of the rejected key, in bytes.
     length: usize,
 }
 
-/// The secret shared by all nodes of a cluster. Never shown in logs.
+/// The secret shared by all nodes of a cluster. Its `Debug` output is redacted.
 #[derive(Clone)]
 pub struct ClusterKey(Vec<u8>);
 
@@ -30,10 +30,10 @@
 }
 
 impl ClusterKey {
-    /// Wraps the secret's bytes.
+    /// Creates a key from the secret's bytes.
     ///
     /// # Errors
-    /// [`InvalidClusterKey`] when there are fewer than 16.
+    /// [`InvalidClusterKey`] when the secret has fewer than 16 bytes.
     pub fn new(secret: impl Into<Vec<u8>>) -> Result<Self, InvalidClusterKey> {
         let secret = secret.into();
         ensure!(
@@ -45,17 +45,18 @@
         Ok(Self(secret))
     }
 
-    /// Signs the parts, in order, for one purpose; proofs for different purposes never match.
+    /// Computes the HMAC of a purpose label and the parts, in order. The label separates domains: a
+    /// proof made for one purpose does not verify for another.
     ///
     /// # Panics
-    /// Never: HMAC takes keys of any length.
+    /// Never: HMAC accepts keys of any length.
     #[must_use]
     pub fn sign(&self, purpose: &str, parts: &[&[u8]]) -> [u8; PROOF_BYTES] {
         self.keyed(purpose, parts).finalize().into_bytes().into()
     }
 
-    /// Whether `proof`, or its first bytes when it was shortened, was made by this key. Takes the
-    /// same time for every wrong proof.
+    /// Whether `proof` is the HMAC of these inputs under this key, or a prefix of it of at least
+    /// [`NONCE_BYTES`] bytes. The comparison runs in constant time.
     #[must_use]
     pub fn verify(&self, purpose: &str, parts: &[&[u8]], proof: &[u8]) -> bool {
         proof.len() >= NONCE_BYTES
@@ -70,7 +71,7 @@
             Hmac::<Sha256>::new_from_slice(&self.0).expect("HMAC takes keys of any length");
         mac.update(purpose.as_bytes());
         for part in parts {
-            // The length keeps ("ab", "c") and ("a", "bc") apart.
+            // The length prefix keeps ("ab", "c") and ("a", "bc") from having the same HMAC.
             mac.update(&(part.len() as u64).to_be_bytes());
             mac.update(part);
         }
--- a/crates/stairward-protocol/src/datagram.rs
+++ b/crates/stairward-protocol/src/datagram.rs
@@ -1,8 +1,8 @@
 //! Membership datagrams on UDP.
 //!
-//! A datagram is a [`Datagram`] followed by a proof: the first [`DATAGRAM_PROOF_BYTES`] of an
-//! HMAC-SHA-256 over the encoded datagram under the cluster key. [`seal`] and [`open`] are the only
-//! ways in and out, so a packet without a valid proof is never decoded.
+//! A packet is an encoded [`Datagram`] followed by a proof: the first [`DATAGRAM_PROOF_BYTES`] of an
+//! HMAC-SHA-256 over the encoded datagram under the cluster key. Packets are written by [`seal`] and
+//! read by [`open`] only, so a packet without a valid proof is never decoded.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -12,45 +12,45 @@
 use crate::ClusterKey;
 use crate::field::Text;
 
-/// Version of the datagrams; others are refused.
+/// Version of the datagram format; datagrams of other versions are refused.
 pub const DATAGRAM_VERSION: u16 = 1;
 /// Largest datagram sent or accepted, in bytes, its proof included. It fits the smallest path MTU of
 /// IPv6 (1,280 bytes, RFC 8200) with its headers.
 pub const MAXIMUM_DATAGRAM_BYTES: usize = 1_200;
-/// Length of the shortened proof at the end of each datagram, in bytes (RFC 2104, section 5).
+/// Length of the truncated HMAC at the end of each datagram, in bytes (RFC 2104, section 5).
 pub const DATAGRAM_PROOF_BYTES: usize = 16;
-/// Parts of the hashed key space that views and terms are compared by.
+/// Number of buckets of the hashed key space, by whose digests nodes compare members and terms.
 pub const SYNC_BUCKETS: usize = 128;
 
 const PROOF_PURPOSE: &str = "membership-datagram";
 
-/// Why a datagram was refused. Nothing of it takes effect.
+/// Why a datagram was refused. A refused datagram has no effect.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum DatagramError {
-    /// It is too short, or longer than [`MAXIMUM_DATAGRAM_BYTES`].
-    #[snafu(display("a datagram of {length} bytes"))]
+    /// The datagram is shorter than a proof or longer than [`MAXIMUM_DATAGRAM_BYTES`].
+    #[snafu(display("invalid datagram length of {length} bytes"))]
     Length {
-        /// Its length, in bytes.
+        /// Length of the datagram, in bytes.
         length: usize,
     },
-    /// The sender does not know the cluster key, or the datagram was damaged.
-    #[snafu(display("the datagram's proof is wrong"))]
+    /// The sender does not know the cluster key, or the datagram was corrupted.
+    #[snafu(display("the datagram's HMAC does not verify"))]
     Proof,
-    /// The proof is right, the content is not of this version of the protocol.
-    #[snafu(display("the datagram cannot be read: {reason}"))]
+    /// The proof is valid, but the content does not decode in this version of the protocol.
+    #[snafu(display("the datagram cannot be decoded: {reason}"))]
     Content {
-        /// What is wrong with it.
+        /// The decoding error.
         reason: String,
     },
 }
 
-/// Which life of a process, and how often it has answered a suspicion in it.
+/// Version of a member's state, ordered by incarnation and then by refutation, as in SWIM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub struct WireVersion {
-    /// The life.
+    /// The incarnation of the member's process.
     pub incarnation: u64,
-    /// Refutations in it.
+    /// Incremented when the member refutes a suspicion or announces that it leaves.
     pub refutation: u32,
 }
 
@@ -101,19 +101,19 @@
     }
 }
 
-/// What a datagram is for. Numbers are explained where they are used, in the membership crate.
+/// The purpose of a datagram. The membership crate documents how each message is used.
 #[derive(Debug, Clone, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian", id_type = "u8")]
 pub enum WireMessage {
     /// Asks the target for an [`WireMessage::Ack`].
     #[deku(id = "1")]
     Ping {
-        /// Matches the answer to the question; never reused in one life of the sender.
+        /// Correlates the ack with the ping; never reused within one incarnation of the sender.
         sequence: u64,
-        /// The node that should answer; any other at the address stays silent.
+        /// The node that should answer; any other node at the address ignores the ping.
         target: u64,
     },
-    /// Answers a ping.
+    /// Acknowledges a ping.
     #[deku(id = "2")]
     Ack {
         /// The ping's sequence.
@@ -122,117 +122,118 @@
     /// Asks a third node to ping the target on the sender's behalf.
     #[deku(id = "3")]
     IndirectPing {
-        /// Sequence of the answer to the sender.
+        /// Sequence number of the ack or nack to the sender.
         sequence: u64,
         /// The node to ping.
         target: u64,
-        /// Where it listens.
+        /// The target's listening address.
         address: WireAddress,
     },
-    /// The third node is alive and has had no answer from the target.
+    /// Reports that the third node is alive but has had no answer from the target.
     #[deku(id = "4")]
     Nack {
         /// The indirect ping's sequence.
         sequence: u64,
     },
-    /// Asks whoever listens at an address for an ack; the updates hold the sender itself.
+    /// Asks the node that listens at an address, whichever it is, for an ack; the updates contain the
+    /// sender itself.
     #[deku(id = "5")]
     Introduce {
-        /// Matches the answer to the question.
+        /// Correlates the ack with this message.
         sequence: u64,
     },
-    /// Carries updates and rumours only.
+    /// Carries member updates and terms only.
     #[deku(id = "6")]
     Gossip,
-    /// Asks for the members in those buckets whose digests differ.
+    /// Anti-entropy request: asks for the members of the buckets whose digests differ.
     #[deku(id = "7")]
     CompareMembers {
         /// The sender's digests.
         digests: [u32; SYNC_BUCKETS],
     },
-    /// The members of one bucket, in the updates.
+    /// The members of one bucket, carried in the updates.
     #[deku(id = "8")]
     Members {
-        /// Which bucket.
+        /// Index of the bucket.
         bucket: u8,
-        /// 1 when it answers a comparison, and the receiver should send what the sender lacks.
+        /// 1 when it answers a comparison, and the receiver should send what the sender lacks; else 0.
         is_answer: u8,
     },
-    /// Asks for the terms in those buckets whose digests differ.
+    /// Anti-entropy request: asks for the terms of the buckets whose digests differ.
     #[deku(id = "9")]
     CompareTerms {
         /// The sender's digests.
         digests: [u32; SYNC_BUCKETS],
     },
-    /// The terms of one bucket, in the rumours.
+    /// The terms of one bucket, carried in the datagram's terms.
     #[deku(id = "10")]
     Terms {
-        /// Which bucket.
+        /// Index of the bucket.
         bucket: u8,
-        /// 1 when it answers a comparison, and the receiver should send what the sender lacks.
+        /// 1 when it answers a comparison, and the receiver should send what the sender lacks; else 0.
         is_answer: u8,
     },
 }
 
-/// What the sender holds, in short, so that others notice that they lack something.
+/// Summary of the sender's state, by which a receiver notices that it lacks something.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub struct WireDigest {
-    /// Its newest settings revision.
+    /// The sender's newest settings revision.
     pub settings_revision: u64,
-    /// Digest of the members it believes alive.
+    /// Digest of the members that the sender considers alive.
     pub members: u64,
-    /// Digest of the newest terms it knows.
+    /// Digest of the newest terms that the sender knows.
     pub terms: u64,
 }
 
-/// News of one member.
+/// A change of one member's state, spread by gossip.
 #[derive(Debug, Clone, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian", id_type = "u8")]
 pub enum WireUpdate {
-    /// It is alive. Only the member itself starts this news.
+    /// The member is alive. Only the member itself originates this update.
     #[deku(id = "1")]
     Alive {
         /// The member.
         node: u64,
-        /// In which version.
+        /// The version of the member's state.
         version: WireVersion,
-        /// 1 when it has announced a planned stop.
+        /// 1 when it has announced a planned stop, else 0.
         leaving: u8,
-        /// Where it listens, on TCP and on UDP.
+        /// Its listening address, for both TCP and UDP.
         address: WireAddress,
         /// Its region.
         region: Text,
         /// Its zone.
         zone: Text,
     },
-    /// It did not answer.
+    /// The member did not answer a ping.
     #[deku(id = "2")]
     Suspect {
         /// The member.
         node: u64,
-        /// In which version.
+        /// The version of the member's state.
         version: WireVersion,
-        /// How many accusers follow; must be their number.
+        /// Number of accusers that follow; must equal the length of `accusers`.
         accuser_count: u8,
-        /// The nodes that it did not answer.
+        /// The nodes whose pings it did not answer.
         #[deku(count = "accuser_count")]
         accusers: Vec<u64>,
     },
-    /// It did not refute a suspicion in time.
+    /// The member did not refute a suspicion in time.
     #[deku(id = "3")]
     Failed {
         /// The member.
         node: u64,
-        /// In which version.
+        /// The version of the member's state.
         version: WireVersion,
     },
-    /// It has stopped as planned.
+    /// The member has stopped as planned.
     #[deku(id = "4")]
     Left {
         /// The member.
         node: u64,
-        /// In which version.
+        /// The version of the member's state.
         version: WireVersion,
     },
 }
@@ -249,35 +250,36 @@
     pub primary: Text,
 }
 
-/// One membership packet without its proof.
+/// The content of a membership packet, without its proof.
 #[derive(Debug, Clone, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "big")]
 pub struct Datagram {
     /// [`DATAGRAM_VERSION`] of the sender.
     #[deku(assert_eq = "DATAGRAM_VERSION")]
     pub version: u16,
-    /// The sender's place in the fleet.
+    /// The sender's node id.
     pub sender: u64,
-    /// The sender's version.
+    /// The version of the sender's own state.
     pub sender_version: WireVersion,
-    /// What the sender holds.
+    /// Summary of the sender's state.
     pub digest: WireDigest,
-    /// What the datagram is for.
+    /// The purpose of the datagram.
     pub message: WireMessage,
     #[deku(update = "self.updates.len()")]
     update_count: u8,
-    /// News of members.
+    /// Updates of members.
     #[deku(count = "update_count")]
     pub updates: Vec<WireUpdate>,
     #[deku(update = "self.terms.len()")]
     term_count: u8,
-    /// News of terms.
+    /// Newest terms of groups.
     #[deku(count = "term_count")]
     pub terms: Vec<WireTerm>,
 }
 
 impl Datagram {
-    /// Puts a datagram together. Of more than 255 updates or terms, the first 255 are kept.
+    /// Creates a datagram of the current version. Of more than 255 updates or terms, the first 255 are
+    /// kept, since their counts are encoded in one byte.
     #[must_use]
     pub fn new(
         sender: u64,
@@ -319,10 +321,10 @@
     Ok(bytes)
 }
 
-/// Checks a received packet's proof and decodes it.
+/// Verifies the proof of a received packet and decodes its content.
 ///
 /// # Errors
-/// [`DatagramError`] when it has no valid proof or is not of this version.
+/// [`DatagramError`] when the packet has no valid proof or is not of this version.
 pub fn open(packet: &[u8], key: &ClusterKey) -> Result<Datagram, DatagramError> {
     let length = packet.len();
     ensure!(length <= MAXIMUM_DATAGRAM_BYTES, LengthSnafu { length });
@@ -338,7 +340,7 @@
     match Datagram::from_bytes((content, 0)) {
         Ok((([], _), datagram)) => Ok(datagram),
         Ok(_) => ContentSnafu {
-            reason: "bytes follow its end",
+            reason: "trailing bytes follow the content",
         }
         .fail(),
         Err(error) => ContentSnafu {
