--- a/crates/stairward-protocol/src/field.rs
+++ b/crates/stairward-protocol/src/field.rs
@@ -1,9 +1,9 @@
-//! Field types shared by the messages.
+//! Field types shared by several messages.
 
 use deku::prelude::*;
 use stairward_types::{Freshness, LogPosition, Term};
 
-/// Bytes behind their length.
+/// Bytes prefixed by their length.
 #[derive(Debug, Clone, PartialEq, Eq, Default, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub struct ByteString {
@@ -15,10 +15,10 @@
 }
 
 impl ByteString {
-    /// Wraps bytes.
+    /// Creates a field from bytes.
     ///
     /// # Panics
-    /// Never in practice: frames are far shorter than 4 GiB.
+    /// When there are 4 GiB or more, which does not happen in practice: frames are far shorter.
     #[must_use]
     pub fn new(bytes: Vec<u8>) -> Self {
         let length = u32::try_from(bytes.len()).expect("a field is far shorter than 4 GiB");
@@ -32,7 +32,8 @@
     }
 }
 
-/// UTF-8 text behind its length. Invalid UTF-8 reads as a decoding error in [`Text::as_str`].
+/// UTF-8 text prefixed by its length. Decoding does not check the encoding: [`Text::as_str`] returns
+/// an empty string for invalid UTF-8.
 #[derive(Debug, Clone, PartialEq, Eq, Default, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub struct Text {
@@ -42,7 +43,7 @@
 }
 
 impl Text {
-    /// Wraps text; what passes 65,535 bytes is cut off.
+    /// Creates a field from text, truncated to 65,535 bytes.
     #[must_use]
     pub fn new(text: &str) -> Self {
         let kept = text.len().min(usize::from(u16::MAX));
@@ -66,7 +67,7 @@
     }
 }
 
-/// A freshness on the wire.
+/// Wire form of a [`Freshness`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub struct WireFreshness {
@@ -93,10 +94,10 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian", id_type = "u8")]
 pub enum OptionalFreshness {
-    /// Nothing is asked for or known.
+    /// No freshness is requested or known.
     #[deku(id = "0")]
     Absent,
-    /// A freshness is given.
+    /// A freshness is requested or known.
     #[deku(id = "1")]
     Present(WireFreshness),
 }
--- a/crates/stairward-protocol/src/frame.rs
+++ b/crates/stairward-protocol/src/frame.rs
@@ -1,39 +1,39 @@
-//! Framing on TCP: a four-byte length, then one encoded message, a [`crate::PeerMessage`] or a
-//! [`crate::node_message::NodeMessage`].
+//! Framing on TCP: a four-byte length prefix, then one encoded message, which is a
+//! [`crate::PeerMessage`] or a [`crate::node_message::NodeMessage`].
 
 use bytes::{Buf, BufMut, BytesMut};
 use deku::prelude::*;
 use snafu::{ResultExt, Snafu, ensure};
 
-/// Longest frame accepted, without its length field, in bytes.
+/// Longest frame accepted, excluding its length prefix, in bytes.
 pub const MAXIMUM_FRAME_BYTES: usize = 16 * 1024 * 1024;
 
 const LENGTH_BYTES: usize = 4;
 
-/// Why bytes from a peer could not be read, or a message not be written.
+/// Why a frame could not be decoded or a message could not be encoded.
 #[derive(Debug, Snafu)]
 pub enum FrameError {
-    /// The length field is larger than [`MAXIMUM_FRAME_BYTES`].
+    /// The length of the frame exceeds [`MAXIMUM_FRAME_BYTES`].
     #[snafu(display("a frame of {length} bytes is larger than the limit"))]
     TooLarge {
-        /// The claimed length, in bytes.
+        /// The length from the prefix, or of the encoded message, in bytes.
         length: usize,
     },
-    /// The frame does not hold a message of this protocol version.
-    #[snafu(display("a frame does not hold a known message"))]
+    /// The frame's content is no message of this protocol version, or a message cannot be encoded.
+    #[snafu(display("the frame does not contain a valid message"))]
     Malformed {
-        /// What the codec said.
+        /// The error of the codec.
         source: DekuError,
     },
-    /// Bytes follow the message within its frame.
-    #[snafu(display("{count} bytes follow the message in its frame"))]
+    /// The frame is longer than the message in it.
+    #[snafu(display("{count} trailing bytes follow the message in its frame"))]
     TrailingBytes {
-        /// How many.
+        /// Number of trailing bytes.
         count: usize,
     },
 }
 
-/// Appends the message, behind its length, to `output`.
+/// Appends the message, prefixed by its length, to `output`.
 ///
 /// # Errors
 /// [`FrameError::TooLarge`] or [`FrameError::Malformed`]; `output` is then unchanged.
@@ -54,10 +54,10 @@
     Ok(())
 }
 
-/// Takes one whole message off the front of `input`; `None` when more bytes are needed.
+/// Consumes and decodes one whole message from the front of `input`; `None` when more bytes are needed.
 ///
 /// # Errors
-/// [`FrameError`]; the connection must then be closed, since the position of the next frame is lost.
+/// [`FrameError`]; the connection must then be closed, since the start of the next frame is unknown.
 pub fn decode_frame<M: for<'a> DekuContainerRead<'a>>(
     input: &mut BytesMut,
 ) -> Result<Option<M>, FrameError> {
--- a/crates/stairward-protocol/src/lib.rs
+++ b/crates/stairward-protocol/src/lib.rs
@@ -1,10 +1,11 @@
 //! Messages between stairward processes, and their framing.
 //!
-//! Two carriers use these messages. TCP connections carry [`PeerMessage`]s, each behind its length:
-//! multiplexed statement streams between an edge and an owner, and short calls. UDP datagrams carry
-//! membership (see [`datagram`]). All fields are big-endian; every message is encoded by `deku`.
+//! Two transports use these messages. TCP connections carry length-prefixed messages: [`PeerMessage`]s
+//! for multiplexed statement streams between an edge and an owner and for request-reply calls, and
+//! [`node_message::NodeMessage`]s. UDP datagrams carry membership (see [`datagram`]). All fields are
+//! big-endian; every message is encoded by `deku`.
 //!
-//! This crate opens no sockets: it turns messages into bytes and bytes into messages.
+//! This crate only encodes and decodes; it opens no sockets.
 
 #![forbid(unsafe_code)]
 
--- a/crates/stairward-protocol/src/peer.rs
+++ b/crates/stairward-protocol/src/peer.rs
@@ -6,29 +6,29 @@
 use crate::call::{CallReply, CallRequest};
 use crate::stream::{EdgeMessage, OwnerMessage};
 
-/// First message in each direction: who speaks, in which version, and a challenge.
+/// First message in each direction: the sender's identity, its protocol version, and a challenge.
 #[derive(Debug, Clone, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub struct Hello {
-    /// [`crate::PROTOCOL_VERSION`] of the speaker.
+    /// [`crate::PROTOCOL_VERSION`] of the sender.
     pub version: u16,
-    /// The speaker's place in the fleet.
+    /// The sender's node id.
     pub node: u64,
-    /// The speaker's incarnation.
+    /// The sender's incarnation.
     pub incarnation: u64,
-    /// The other side must prove that it knows the cluster key by signing this.
+    /// The challenge: the other side proves that it knows the cluster key by signing this nonce.
     pub nonce: [u8; NONCE_BYTES],
 }
 
-/// Second message in each direction: the answer to the other side's challenge.
+/// Second message in each direction: the response to the other side's challenge.
 #[derive(Debug, Clone, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub struct Proof {
-    /// See [`crate::ClusterKey::sign`].
+    /// The HMAC computed by [`crate::ClusterKey::sign`].
     pub proof: [u8; PROOF_BYTES],
 }
 
-/// Everything that travels on a connection between two nodes.
+/// A message on a TCP connection between two nodes.
 #[derive(Debug, Clone, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "big", id_type = "u8")]
 pub enum PeerMessage {
@@ -41,39 +41,39 @@
     /// A stream message from the edge to the owner.
     #[deku(id = "3")]
     ToOwner {
-        /// The stream, chosen by the edge, never reused on a connection.
+        /// The stream id, chosen by the edge and never reused on a connection.
         stream: u64,
-        /// What it says.
+        /// The message.
         message: EdgeMessage,
     },
     /// A stream message from the owner to the edge.
     #[deku(id = "4")]
     ToEdge {
-        /// The stream it belongs to.
+        /// The stream id.
         stream: u64,
-        /// What it says.
+        /// The message.
         message: OwnerMessage,
     },
-    /// A short question.
+    /// A request of a request-reply call.
     #[deku(id = "5")]
     Call {
-        /// Matches the reply to the call, never reused on a connection.
+        /// The call id, which correlates the reply; never reused on a connection.
         call: u64,
-        /// What is asked.
+        /// The request.
         request: CallRequest,
     },
-    /// Its answer.
+    /// The reply to a call.
     #[deku(id = "6")]
     Reply {
-        /// The call that is answered.
+        /// The id of the call.
         call: u64,
-        /// The answer.
+        /// The reply.
         reply: CallReply,
     },
-    /// The owner has let go of a stream. What it sent before still counts; nothing follows.
+    /// The owner has released a stream. Its earlier messages remain valid; no further ones follow.
     #[deku(id = "7")]
     EndStream {
-        /// The stream.
+        /// The stream id.
         stream: u64,
     },
 }
--- a/crates/stairward-protocol/src/settings.rs
+++ b/crates/stairward-protocol/src/settings.rs
@@ -1,4 +1,5 @@
-//! Exchanges of settings between nodes: each side tells what it holds and sends what the other lacks.
+//! Exchange of settings between nodes: each side announces the revision it holds and sends the update
+//! that the other lacks.
 
 use std::time::Duration;
 
@@ -6,10 +7,10 @@
 
 use crate::field::ByteString;
 
-/// Stands for an age that cannot be told.
+/// Encodes an unknown age, and any age that does not fit.
 const UNKNOWN_AGE_MILLISECONDS: u32 = u32::MAX;
 
-/// An age in whole milliseconds, rounded up, or none.
+/// An optional age in whole milliseconds, rounded up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub struct WireAge {
@@ -33,73 +34,74 @@
     }
 }
 
-/// What the speaker wants to be sent when it holds an older revision.
+/// Which update the sender requests when it holds an older revision than the receiver.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian", id_type = "u8")]
 pub enum WireWantedContent {
-    /// The edits it lacks, or the whole tree when they are not kept any more.
+    /// The edits it lacks, or the whole tree when the history no longer contains all of them.
     #[deku(id = "0")]
     Newer,
     /// The whole tree.
     #[deku(id = "1")]
     WholeTree,
-    /// Nothing for now.
+    /// No update at present.
     #[deku(id = "2")]
     Nothing,
 }
 
-/// What the speaker holds.
+/// State of the sender's settings.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub struct WireSettingsDigest {
     /// The revision in force; 0 for none.
     pub revision: u64,
-    /// How long ago that revision was the newest in the store.
+    /// Time since that revision was known to be the newest in the store.
     pub store_read: WireAge,
-    /// How long ago a watcher of the store was known to be at work.
+    /// Time since a watcher of the store was known to be active.
     pub watcher_heard: WireAge,
-    /// Members in view when the speaker's settings were last proved current; 0 when they never were.
+    /// Number of known members when the sender's settings were last confirmed as current; 0 when they
+    /// never were.
     pub fleet_size: u32,
-    /// 1 when the speaker serves callers.
+    /// 1 when the sender serves callers, else 0.
     pub ready: u8,
-    /// 1 when the speaker watches the store.
+    /// 1 when the sender watches the store, else 0.
     pub watching: u8,
-    /// What it wants to be sent.
+    /// The update that the sender requests.
     pub wanted: WireWantedContent,
 }
 
-/// Settings on the wire.
+/// An update of the settings: edits or a whole tree.
 #[derive(Debug, Clone, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub struct WireSettingsUpdate {
     /// The lowest revision that the edits can be applied to; 0 for a whole tree.
     pub after: u64,
-    /// The revision reached.
+    /// The revision after applying the update.
     pub revision: u64,
     /// 1 for a whole tree, 0 for edits.
     pub whole: u8,
-    /// JSON, as the settings crate writes it.
+    /// The update as JSON, as the settings crate encodes it.
     pub document: ByteString,
 }
 
-/// Settings that may be absent.
+/// A [`WireSettingsUpdate`] that may be absent.
 #[derive(Debug, Clone, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian", id_type = "u8")]
 pub enum OptionalSettingsUpdate {
-    /// Nothing newer, or nothing that can be sent now.
+    /// There is nothing newer, or nothing that can be sent at present.
     #[deku(id = "0")]
     Absent,
-    /// What the other side lacks.
+    /// The update that the receiver lacks.
     #[deku(id = "1")]
     Present(WireSettingsUpdate),
 }
 
-/// One side of an exchange.
+/// One side's message in an exchange.
 #[derive(Debug, Clone, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub struct SettingsExchange {
-    /// What the speaker holds.
+    /// State of the sender's settings.
     pub digest: WireSettingsDigest,
-    /// What the other side may lack.
+    /// The update that the receiver may lack.
     pub update: OptionalSettingsUpdate,
 }
--- a/crates/stairward-protocol/src/stream.rs
+++ b/crates/stairward-protocol/src/stream.rs
@@ -1,16 +1,17 @@
-//! Statement streams: how an edge has an owner run a batch or a transaction on a back end.
+//! Statement streams, by which an edge runs a batch or a transaction on a back end through its owner.
 //!
-//! A stream lives as long as one back-end connection is lent to it: from [`EdgeMessage::Open`] until
-//! the owner says [`OwnerMessage::Refused`], [`OwnerMessage::OutcomeUnknown`], or
-//! [`OwnerMessage::BatchDone`] with an idle transaction status. Within a transaction the edge sends
-//! further [`EdgeMessage::Batch`]es on the same stream. Stream numbers are never used twice on a
-//! connection, so a late message of an ended stream matches nothing and is dropped.
+//! A stream exists while one back-end connection is lent to it: from [`EdgeMessage::Open`] until the
+//! owner sends [`OwnerMessage::Refused`], [`OwnerMessage::OutcomeUnknown`],
+//! [`OwnerMessage::TransactionLost`], or [`OwnerMessage::BatchDone`] with an idle transaction status.
+//! Within a transaction the edge sends further [`EdgeMessage::Batch`]es on the same stream. Stream ids
+//! are never reused on a connection, so a late message of an ended stream matches no stream and is
+//! dropped.
 
 use deku::prelude::*;
 
 use crate::field::{ByteString, OptionalFreshness, Text, WireFreshness};
 
-/// How many bytes of answers an owner may send before the edge grants more.
+/// Initial flow-control window: bytes of answers that an owner may send before the edge grants more.
 pub const INITIAL_WINDOW_BYTES: u32 = 256 * 1024;
 
 /// Whether a batch may write, as the edge classified it.
@@ -29,18 +30,18 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian", id_type = "u8")]
 pub enum WireTransactionStatus {
-    /// Not in a transaction; the stream has ended and its connection is taken back.
+    /// Not in a transaction; the stream has ended and its connection returns to the pool.
     #[deku(id = "0x49")]
     Idle,
-    /// In a transaction; the connection stays with the stream.
+    /// In a transaction; the stream keeps the connection.
     #[deku(id = "0x54")]
     InTransaction,
-    /// In a failed transaction; the connection stays with the stream until it is rolled back.
+    /// In a failed transaction; the stream keeps the connection until the transaction is rolled back.
     #[deku(id = "0x45")]
     Failed,
 }
 
-/// Asks the owner of a back end to lend a connection and run a first batch on it.
+/// Asks the owner of a back end to assign a connection to the stream and run a first batch on it.
 #[derive(Debug, Clone, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub struct Open {
@@ -51,18 +52,20 @@
     /// Whether anything on this stream may write. The owner refuses `Write` unless the back end is
     /// the primary.
     pub access: WireAccess,
-    /// The answer must come from a copy that covers this, or from the primary of at least its term.
+    /// Minimum freshness: the answer must come from a replica that has reached it, or from the primary
+    /// of at least its term.
     pub floor: OptionalFreshness,
-    /// Refuse unless the back end's term is at least this; 0 for any.
+    /// Minimum term of the back end, below which the owner refuses the stream; 0 for any.
     pub expected_term: u64,
     /// Milliseconds left until the caller's deadline.
     pub deadline_milliseconds: u32,
     /// How long the owner may wait for a replica to reach the floor, in milliseconds.
     pub freshness_wait_milliseconds: u32,
-    /// Runs the batch in one transaction with a ledger row for this key; empty for none.
+    /// Idempotency key: the batch runs in one transaction with a ledger row for this key. Empty for
+    /// none.
     pub request_key: Text,
-    /// Whole PostgreSQL frontend messages that set the session up (`SET`, named `Parse`), ending in
-    /// `Sync` or `Query`; their answers are swallowed. Empty for none.
+    /// Whole PostgreSQL frontend messages that set up the session (`SET`, named `Parse`), ending in
+    /// `Sync` or `Query`; the owner discards their answers. Empty for none.
     pub session_setup: ByteString,
     /// The first batch.
     pub batch: Batch,
@@ -72,19 +75,19 @@
 #[derive(Debug, Clone, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub struct Batch {
-    /// Counts the batches of the stream, from 1. A batch out of turn is refused.
+    /// Sequence number of the batch in the stream, from 1. A batch out of sequence is refused.
     pub sequence: u32,
     /// 1 when the batch ends in `Sync` or `Query`, so that a [`OwnerMessage::BatchDone`] follows;
     /// 0 when it ends in `Flush` and only answers follow.
     pub complete: u8,
-    /// 1 when the batch leaves state on the connection (`SET`, named `Parse`) that must be reset
-    /// before another session may use it.
+    /// 1 when the batch leaves session state on the connection (`SET`, named `Parse`) that must be
+    /// reset before another session may use it.
     pub alters_session: u8,
-    /// The messages.
+    /// The frontend messages.
     pub messages: ByteString,
 }
 
-/// From the edge to the owner.
+/// A stream message from the edge to the owner.
 #[derive(Debug, Clone, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian", id_type = "u8")]
 pub enum EdgeMessage {
@@ -94,46 +97,47 @@
     /// Runs a further batch in the stream's transaction.
     #[deku(id = "2")]
     Batch(Batch),
-    /// Grants the owner so many more bytes of answers.
+    /// Extends the flow-control window for answers.
     #[deku(id = "3")]
     Credit {
-        /// How many bytes more.
+        /// Additional bytes that the owner may send.
         bytes: u32,
     },
-    /// The caller cancels what runs. The stream goes on; its outcome is reported as usual.
+    /// The caller cancels the running statement. The stream continues and reports its outcome as usual.
     #[deku(id = "4")]
     Cancel,
-    /// The caller is gone or gives up: roll back, or close the connection if unsure.
+    /// The caller has disconnected or gives up: the owner rolls back, or closes the connection when the
+    /// transaction's state is uncertain.
     #[deku(id = "5")]
     Abandon,
 }
 
-/// A back end's state, sent along with answers and refusals as a hint for routing.
+/// A back end's state, attached to answers and refusals as a routing hint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub struct BackendHint {
-    /// Its freshness when last asked.
+    /// Its freshness at the last query.
     pub freshness: WireFreshness,
-    /// 1 when it was the primary of that term.
+    /// 1 when it was the primary of that term, else 0.
     pub is_primary: u8,
-    /// Requests waiting for it.
+    /// Number of requests queued for it.
     pub waiting: u16,
 }
 
-/// From the owner to the edge.
+/// A stream message from the owner to the edge.
 #[derive(Debug, Clone, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian", id_type = "u8")]
 pub enum OwnerMessage {
-    /// A connection was lent; the first byte goes to the back end after this.
+    /// A connection was assigned. Sent before the first byte of the batch goes to the back end.
     #[deku(id = "1")]
     Admitted(BackendHint),
-    /// Nothing of the batch ran: refused before its first byte went to the back end. Ends the
+    /// The batch was refused before its first byte went to the back end, so none of it ran. Ends the
     /// stream.
     #[deku(id = "2")]
     Refused {
         /// A [`stairward_types::ResultCode`] of the class *not run*.
         code: u16,
-        /// When it may be worth asking again, in milliseconds; 0 for unknown.
+        /// Suggested delay before a retry, in milliseconds; 0 for unknown.
         retry_after_milliseconds: u32,
         /// The back end's state.
         hint: BackendHint,
@@ -141,13 +145,13 @@
     /// Whole PostgreSQL backend messages of the answer, without `ReadyForQuery`.
     #[deku(id = "3")]
     Answer {
-        /// The messages.
+        /// The backend messages.
         messages: ByteString,
     },
-    /// The batch has ended and, if it committed writes, the fence was proved.
+    /// The batch has ended. If it committed writes, the fence was confirmed first.
     #[deku(id = "4")]
     BatchDone {
-        /// The batch.
+        /// Sequence number of the batch.
         sequence: u32,
         /// The transaction status; `Idle` ends the stream.
         status: WireTransactionStatus,
@@ -155,10 +159,10 @@
         committed_writes: u8,
         /// A result code of the class *answered*.
         code: u16,
-        /// The state at or past which everything this batch read or committed lies.
+        /// The back end's state, which covers everything that the batch read or committed.
         hint: BackendHint,
     },
-    /// The batch was sent and its outcome cannot be told. Ends the stream.
+    /// The batch was sent to the back end and its outcome is unknown. Ends the stream.
     #[deku(id = "5")]
     OutcomeUnknown {
         /// A result code of the class *outcome unknown*.
@@ -166,8 +170,8 @@
         /// The back end's state.
         hint: BackendHint,
     },
-    /// The stream's transaction was open and not being committed when its connection was lost: all
-    /// of it was or will be rolled back. Ends the stream.
+    /// The connection was lost while the stream's transaction was open and no commit was in progress,
+    /// so the whole transaction has been or will be rolled back. Ends the stream.
     #[deku(id = "6")]
     TransactionLost {
         /// The back end's state.
