--- a/crates/stairward-settings/src/document.rs
+++ b/crates/stairward-settings/src/document.rs
@@ -1,4 +1,4 @@
-//! The settings as the platform's store keeps them: a tree, its revision and the latest edits.
+//! The settings as persisted in the platform's store: a tree, its revision and the most recent edits.
 
 use std::collections::VecDeque;
 
@@ -11,19 +11,19 @@
 use crate::resolved::ResolvedSettings;
 use crate::tree::SettingsTree;
 
-/// Name of the object in the platform's store.
+/// Name of the document's object in the platform's store.
 pub const SETTINGS_OBJECT: &str = "settings";
 
-/// Most edits kept in the history.
+/// Maximum number of edits in the history.
 pub const MAXIMUM_HISTORY_EDITS: usize = 256;
 
-/// Most changes kept in the history, of all its edits together. The newest edit is always kept, so that
-/// its change id can be found; a large one gives way to the next.
+/// Maximum number of changes in the history, over all its edits. The newest edit is kept even if it
+/// alone exceeds this limit, so that its change id can be looked up; the next edit then displaces it.
 pub const MAXIMUM_HISTORY_CHANGES: usize = 2_000;
 
-/// The settings tree at one revision, with the edits that led to it.
+/// The settings tree at one revision, with its recent edit history.
 ///
-/// The tree is valid as a whole, also after reading one from JSON.
+/// The tree always passes [`SettingsTree::resolve`]; deserialization rejects documents that do not.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(try_from = "StoredDocument", into = "StoredDocument")]
 pub struct SettingsDocument {
@@ -32,7 +32,7 @@
     recent: VecDeque<AppliedEdit>,
 }
 
-/// The JSON form of a document, before it is checked.
+/// Serialized form of a [`SettingsDocument`], not yet validated.
 #[derive(Serialize, Deserialize)]
 struct StoredDocument {
     revision: Revision,
@@ -41,18 +41,18 @@
     recent: VecDeque<AppliedEdit>,
 }
 
-/// A stored document that cannot be used.
+/// Why a stored document was rejected.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum InvalidDocument {
-    /// The tree is not valid as a whole.
+    /// The tree does not pass [`SettingsTree::resolve`].
     #[snafu(display("the tree is not valid: {}", problems.first().map(ToString::to_string).unwrap_or_default()))]
     Tree {
         /// Every problem found.
         problems: Vec<SettingsProblem>,
     },
-    /// The history does not lead, one revision after another, to the document's revision.
-    #[snafu(display("the history does not lead to revision {revision}"))]
+    /// The revisions of the history are not consecutive up to the document's revision.
+    #[snafu(display("the revisions of the history are not consecutive up to revision {revision}"))]
     History {
         /// The document's revision.
         revision: Revision,
@@ -60,7 +60,7 @@
 }
 
 impl SettingsDocument {
-    /// What holds before the first edit: an empty tree at revision 0.
+    /// The document before any edit: an empty tree at revision 0.
     #[must_use]
     pub fn empty() -> Self {
         Self {
@@ -70,10 +70,10 @@
         }
     }
 
-    /// A document with this tree at revision 1, without a history.
+    /// Creates a document with this tree at revision 1 and an empty history.
     ///
     /// # Errors
-    /// Every problem of the tree.
+    /// All problems of the tree.
     pub fn initial(tree: SettingsTree) -> Result<Self, Vec<SettingsProblem>> {
         tree.resolve()?;
         Ok(Self {
@@ -83,7 +83,7 @@
         })
     }
 
-    /// The revision. It grows by one with each edit.
+    /// The revision, which each edit increments by one.
     #[must_use]
     pub const fn revision(&self) -> Revision {
         self.revision
@@ -95,7 +95,7 @@
         &self.tree
     }
 
-    /// The kept history, the oldest edit first.
+    /// The retained edits, oldest first.
     pub fn history(&self) -> impl Iterator<Item = &AppliedEdit> {
         self.recent.iter()
     }
@@ -103,14 +103,14 @@
     /// The settings in force at this revision.
     ///
     /// # Errors
-    /// None in practice: the tree was checked when the document was made.
+    /// None in practice: the tree was validated when the document was created.
     pub fn resolve(&self) -> Result<ResolvedSettings, Vec<SettingsProblem>> {
         let mut resolved = self.tree.resolve()?;
         resolved.revision = self.revision;
         Ok(resolved)
     }
 
-    /// The kept edit with this change id.
+    /// The retained edit with this change id.
     #[must_use]
     pub fn find_change(&self, change_id: ChangeId) -> Option<&AppliedEdit> {
         self.recent
@@ -118,20 +118,20 @@
             .find(|applied| applied.edit.change_id == change_id)
     }
 
-    /// The document after an edit, one revision higher.
+    /// Returns the document after an edit, one revision higher.
     ///
     /// # Errors
-    /// [`EditError`]; this document is as good as before.
+    /// [`EditError`]; `self` is unchanged.
     pub fn apply(&self, edit: &Edit) -> Result<Self, EditError> {
         self.apply_all(std::slice::from_ref(edit))
     }
 
-    /// The document after several edits, each based on the one before. Only the last tree is checked
-    /// as a whole: whoever accepted the edits checked each.
+    /// Returns the document after several edits, each based on the previous one. Only the final tree is
+    /// validated, because the node that accepted the edits has validated each intermediate one.
     pub(crate) fn apply_all(&self, edits: &[Edit]) -> Result<Self, EditError> {
         let mut document = self.clone();
         for edit in edits {
-            document.apply_unchecked(edit)?;
+            document.apply_without_validation(edit)?;
         }
         document
             .tree
@@ -140,9 +140,10 @@
         Ok(document)
     }
 
-    fn apply_unchecked(&mut self, edit: &Edit) -> Result<(), EditError> {
-        if let Some(known) = self.find_change(edit.change_id) {
-            return Err(repeated(known, edit));
+    /// Applies an edit without validating the resulting tree as a whole.
+    fn apply_without_validation(&mut self, edit: &Edit) -> Result<(), EditError> {
+        if let Some(applied) = self.find_change(edit.change_id) {
+            return Err(known_change_id_error(applied, edit));
         }
         if edit.based_on != self.revision {
             return Err(EditError::Conflict {
@@ -151,19 +152,19 @@
                 changed_since: self.edits_after(edit.based_on),
             });
         }
-        edit::make_changes(&mut self.tree, &edit.changes)
+        edit::apply_changes(&mut self.tree, &edit.changes)
             .map_err(|problems| EditError::Invalid { problems })?;
         self.revision = Revision(self.revision.0 + 1);
         self.recent.push_back(AppliedEdit {
             revision: self.revision,
             edit: edit.clone(),
         });
-        trim(&mut self.recent);
+        trim_history(&mut self.recent);
         Ok(())
     }
 
-    /// The edits after a revision, the oldest first; none when the history does not reach back so
-    /// far. Empty for the newest revision and for later ones.
+    /// The edits after a revision, oldest first; `None` when the history does not reach back that far.
+    /// Empty for the newest revision and for later ones.
     #[must_use]
     pub fn edits_after(&self, revision: Revision) -> Option<Vec<AppliedEdit>> {
         if revision >= self.revision {
@@ -181,21 +182,22 @@
     }
 }
 
-fn repeated(known: &AppliedEdit, edit: &Edit) -> EditError {
-    if known.edit == *edit {
+/// The error for an edit whose change id is that of an applied one.
+fn known_change_id_error(applied: &AppliedEdit, edit: &Edit) -> EditError {
+    if applied.edit == *edit {
         EditError::AlreadyApplied {
-            revision: known.revision,
+            revision: applied.revision,
         }
     } else {
         EditError::ChangeIdReused {
             change_id: edit.change_id,
-            revision: known.revision,
+            revision: applied.revision,
         }
     }
 }
 
-/// Drops the oldest edits until the history is within its bounds.
-fn trim(recent: &mut VecDeque<AppliedEdit>) {
+/// Drops the oldest edits until the history is within its limits.
+fn trim_history(recent: &mut VecDeque<AppliedEdit>) {
     let mut changes: usize = recent
         .iter()
         .map(|applied| applied.edit.changes.len())
@@ -221,14 +223,14 @@
         } = stored;
         tree.resolve()
             .map_err(|problems| InvalidDocument::Tree { problems })?;
-        let revisions_to_newest = recent.iter().rev().zip((0..=revision.0).rev());
-        let leads_here = revisions_to_newest
+        let expected_revisions = recent.iter().rev().zip((0..=revision.0).rev());
+        let is_consecutive = expected_revisions
             .clone()
             .all(|(applied, expected)| applied.revision.0 == expected);
-        if !leads_here || revisions_to_newest.count() != recent.len() {
+        if !is_consecutive || expected_revisions.count() != recent.len() {
             return HistorySnafu { revision }.fail();
         }
-        trim(&mut recent);
+        trim_history(&mut recent);
         Ok(Self {
             revision,
             tree,
--- a/crates/stairward-settings/src/edit.rs
+++ b/crates/stairward-settings/src/edit.rs
@@ -1,4 +1,4 @@
-//! Edits of the settings tree, and why one is refused.
+//! Edits of the settings tree, and the reasons for rejecting them.
 
 use std::ops::Not;
 
@@ -12,45 +12,45 @@
 use crate::tree::{SettingsTree, problem};
 use crate::value::Value;
 
-/// Most changes in one edit: enough to bring a site of 3,300 back ends in as a whole.
+/// Maximum number of changes in one edit: enough to import a site of 3,300 back ends in a single edit.
 pub const MAXIMUM_CHANGES: usize = 20_000;
 
-/// One step of an edit.
+/// One change of an edit.
 ///
-/// In JSON, `{"path", "option", "value"}` sets, the same without a value (or with null) takes back,
-/// `{"path", "add": true}` adds and `{"path", "remove": true}` removes.
+/// In JSON, `{"path", "option", "value"}` sets an option, the same without a value (or with null) unsets
+/// it, `{"path", "add": true}` adds a place and `{"path", "remove": true}` removes one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(try_from = "ChangeForm", into = "ChangeForm")]
 pub enum Change {
-    /// Sets an option, adding the place when it is new.
+    /// Sets an option, adding the place if it does not exist.
     Set {
-        /// Where.
+        /// The place.
         path: SettingsPath,
-        /// Which option.
+        /// The option.
         option: SettingsOption,
-        /// To what.
+        /// The new value.
         value: Value,
     },
-    /// Takes an option back, so that the place inherits it again.
+    /// Unsets an option, so that the place inherits it again.
     Unset {
-        /// Where.
+        /// The place.
         path: SettingsPath,
-        /// Which option.
+        /// The option.
         option: SettingsOption,
     },
-    /// Adds a place with nothing set; one that is there stays as it is.
+    /// Adds a place with no options set; an existing place is left unchanged.
     Add {
-        /// Which place.
+        /// The place.
         path: SettingsPath,
     },
-    /// Removes a place and all below it.
+    /// Removes a place and all places below it.
     Remove {
-        /// Which place.
+        /// The place.
         path: SettingsPath,
     },
 }
 
-/// The JSON form of a [`Change`].
+/// Serialized form of a [`Change`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ChangeForm {
@@ -65,19 +65,21 @@
     remove: bool,
 }
 
-/// A change that does not name exactly one of an option, `"add": true` and `"remove": true`.
+/// A change that does not have exactly one of an option, `"add": true` and `"remove": true`.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
-#[snafu(display("a change at {path} names one of an option, \"add\": true and \"remove\": true"))]
+#[snafu(display(
+    "the change at {path} must have exactly one of an option, \"add\": true and \"remove\": true"
+))]
 pub struct AmbiguousChange {
-    /// Where.
+    /// The place of the change.
     pub path: SettingsPath,
 }
 
 impl Change {
-    /// Builds a change from the fields of its JSON form.
+    /// Creates a change from the fields of its JSON form.
     ///
     /// # Errors
-    /// [`AmbiguousChange`] when the fields do not name exactly one change.
+    /// [`AmbiguousChange`] when the fields do not describe exactly one change.
     pub fn from_parts(
         path: SettingsPath,
         option: Option<SettingsOption>,
@@ -109,7 +111,7 @@
 
 impl From<Change> for ChangeForm {
     fn from(change: Change) -> Self {
-        let at = |path| Self {
+        let empty = |path| Self {
             path,
             option: None,
             value: None,
@@ -124,45 +126,46 @@
             } => Self {
                 option: Some(option),
                 value: Some(value),
-                ..at(path)
+                ..empty(path)
             },
             Change::Unset { path, option } => Self {
                 option: Some(option),
-                ..at(path)
+                ..empty(path)
             },
             Change::Add { path } => Self {
                 add: true,
-                ..at(path)
+                ..empty(path)
             },
             Change::Remove { path } => Self {
                 remove: true,
-                ..at(path)
+                ..empty(path)
             },
         }
     }
 }
 
-/// What an operator wants changed, all of it or nothing.
+/// A set of changes that an operator requests; applied atomically.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Edit {
-    /// Chosen at random by whoever edits; tells after a lost reply whether the edit took effect.
+    /// Random id chosen by the client, by which it can find out after a lost reply whether the edit was
+    /// applied.
     pub change_id: ChangeId,
-    /// The revision the operator looked at.
+    /// The revision that the operator edited.
     pub based_on: Revision,
-    /// The changes, made in this order.
+    /// The changes, applied in this order.
     pub changes: Vec<Change>,
 }
 
-/// An edit that took effect.
+/// An edit that was applied.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AppliedEdit {
-    /// The revision it made.
+    /// The revision that the edit created.
     pub revision: Revision,
     /// The edit.
     pub edit: Edit,
 }
 
-/// Why an edit was not applied. In every case the document is unchanged.
+/// Why an edit was not applied. The document is unchanged in every case.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum EditError {
@@ -171,38 +174,40 @@
         "the settings are at revision {newest}, the edit is based on {based_on}: look at the newer revision"
     ))]
     Conflict {
-        /// The revision the edit is based on.
+        /// The revision that the edit is based on.
         based_on: Revision,
         /// The newest revision.
         newest: Revision,
-        /// What changed since; none when that lies before the kept history. Then it cannot be told
-        /// either whether an edit with this change id took effect long ago.
+        /// The edits applied since; `None` when the history does not reach back that far. In that case
+        /// an edit with this change id may also have been applied earlier than the history shows.
         changed_since: Option<Vec<AppliedEdit>>,
     },
-    /// An edit with this change id has taken effect before.
-    #[snafu(display("the edit took effect before, as revision {revision}"))]
+    /// The same edit has already been applied.
+    #[snafu(display("the edit was already applied as revision {revision}"))]
     AlreadyApplied {
-        /// The revision it made.
+        /// The revision that it created.
         revision: Revision,
     },
-    /// Another edit, with other changes, has used the change id.
-    #[snafu(display("another edit has used change id {change_id}, as revision {revision}"))]
+    /// A different edit has already used the change id.
+    #[snafu(display(
+        "change id {change_id} was already used by another edit, revision {revision}"
+    ))]
     ChangeIdReused {
         /// The change id.
         change_id: ChangeId,
-        /// The revision the other edit made.
+        /// The revision that the other edit created.
         revision: Revision,
     },
-    /// A change does not fit the schema, or the tree would not be valid as a whole.
-    #[snafu(display("the settings would not be valid: {}", join(problems)))]
+    /// A change violates the schema, or the resulting tree would not be valid as a whole.
+    #[snafu(display("the settings would not be valid: {}", join_problems(problems)))]
     Invalid {
-        /// Every problem found.
+        /// All problems found.
         problems: Vec<SettingsProblem>,
     },
 }
 
 impl EditError {
-    /// The result code to show; none when the edit has in fact taken effect.
+    /// The result code to report; `None` for [`Self::AlreadyApplied`], since the edit is in effect.
     #[must_use]
     pub const fn code(&self) -> Option<ResultCode> {
         match self {
@@ -213,21 +218,21 @@
     }
 }
 
-fn join(problems: &[SettingsProblem]) -> String {
+fn join_problems(problems: &[SettingsProblem]) -> String {
     let lines: Vec<_> = problems.iter().map(ToString::to_string).collect();
     lines.join("; ")
 }
 
-/// Makes the changes of an edit, without checking the tree as a whole. After an error the tree is to
-/// be dropped: some changes may have been made.
-pub(crate) fn make_changes(
+/// Applies the changes of an edit without validating the tree as a whole. After an error the caller
+/// must discard the tree, because some of the changes may have been applied.
+pub(crate) fn apply_changes(
     tree: &mut SettingsTree,
     changes: &[Change],
 ) -> Result<(), Vec<SettingsProblem>> {
-    check_size(changes)?;
+    check_change_count(changes)?;
     let problems: Vec<_> = changes
         .iter()
-        .filter_map(|change| make_change(tree, change).err())
+        .filter_map(|change| apply_change(tree, change).err())
         .collect();
     if problems.is_empty() {
         Ok(())
@@ -236,7 +241,7 @@
     }
 }
 
-fn check_size(changes: &[Change]) -> Result<(), Vec<SettingsProblem>> {
+fn check_change_count(changes: &[Change]) -> Result<(), Vec<SettingsProblem>> {
     if changes.len() <= MAXIMUM_CHANGES {
         return Ok(());
     }
@@ -247,7 +252,7 @@
     Err(vec![problem(&SettingsPath::Root, None, kind)])
 }
 
-fn make_change(tree: &mut SettingsTree, change: &Change) -> Result<(), SettingsProblem> {
+fn apply_change(tree: &mut SettingsTree, change: &Change) -> Result<(), SettingsProblem> {
     match change {
         Change::Set {
             path,
--- a/crates/stairward-settings/src/update.rs
+++ b/crates/stairward-settings/src/update.rs
@@ -1,4 +1,4 @@
-//! What one node sends another so that it catches up: the edits it lacks, or the whole document.
+//! Updates by which one node brings another to a newer revision: the missing edits or the whole document.
 
 use snafu::{ResultExt, Snafu};
 use stairward_types::Revision;
@@ -9,52 +9,54 @@
 /// Largest encoded update accepted, in bytes.
 pub const MAXIMUM_UPDATE_BYTES: usize = 16 << 20;
 
-/// A way from an older revision to a newer one.
+/// An update from an older revision to a newer one.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SettingsUpdate {
     /// The whole document.
     Whole(Box<SettingsDocument>),
-    /// Edits, the oldest first, whose revisions follow one another.
+    /// Edits with consecutive revisions, oldest first.
     Edits(Vec<AppliedEdit>),
 }
 
-/// An update that could not be used; what was held before stays in force.
+/// Why an update was rejected. The document that it was applied to stays in force.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum UpdateError {
-    /// The bytes are no update.
-    #[snafu(display("the update cannot be read: {source}"))]
+    /// The update cannot be encoded as or decoded from JSON.
+    #[snafu(display("the update is malformed: {source}"))]
     Malformed {
-        /// What the JSON reader said.
+        /// The error of the JSON codec.
         source: serde_json::Error,
     },
-    /// The bytes are more than [`MAXIMUM_UPDATE_BYTES`].
+    /// The encoded update is larger than [`MAXIMUM_UPDATE_BYTES`].
     #[snafu(display("the update has {bytes} bytes, more than {MAXIMUM_UPDATE_BYTES}"))]
     TooLarge {
-        /// How many there are.
+        /// Size of the update, in bytes.
         bytes: usize,
     },
-    /// Edits between the held revision and the update's first are missing: fetch the whole document.
-    #[snafu(display("the update starts at revision {first}, {held} is held"))]
+    /// Edits between the local revision and the update's first one are missing. Recovery needs the
+    /// whole document.
+    #[snafu(display("the update starts at revision {first}, but the local revision is {held}"))]
     Gap {
-        /// The revision held.
+        /// The local revision.
         held: Revision,
-        /// The update's first revision.
+        /// The first revision of the update.
         first: Revision,
     },
-    /// An edit does not apply, so the sender holds another history: fetch the whole document.
+    /// An edit does not apply, so the sender's history has diverged from the local one. Recovery needs
+    /// the whole document.
     #[snafu(display("the update does not apply: {source}"))]
     DoesNotApply {
-        /// Why.
+        /// Why the edit was rejected.
         source: EditError,
     },
 }
 
 impl SettingsUpdate {
-    /// Encodes as JSON.
+    /// Encodes the update as JSON.
     ///
     /// # Errors
-    /// [`UpdateError::Malformed`] when JSON cannot express it, which does not happen.
+    /// [`UpdateError::Malformed`] when serialization fails, which does not happen for these types.
     pub fn encode(&self) -> Result<Vec<u8>, UpdateError> {
         match self {
             Self::Whole(document) => serde_json::to_vec(document),
@@ -63,10 +65,11 @@
         .context(MalformedSnafu)
     }
 
-    /// Decodes what [`SettingsUpdate::encode`] wrote; `whole` says which of the two forms it is.
+    /// Decodes the output of [`SettingsUpdate::encode`]. `whole` selects between a whole document and
+    /// edits, which the JSON itself does not tell apart.
     ///
     /// # Errors
-    /// [`UpdateError`] when the bytes are too many or not of that form.
+    /// [`UpdateError`] when there are too many bytes or they are not of the selected form.
     pub fn decode(whole: bool, bytes: &[u8]) -> Result<Self, UpdateError> {
         if bytes.len() > MAXIMUM_UPDATE_BYTES {
             return TooLargeSnafu { bytes: bytes.len() }.fail();
@@ -79,13 +82,13 @@
         .context(MalformedSnafu)
     }
 
-    /// Whether it is a whole document.
+    /// Whether the update is a whole document.
     #[must_use]
     pub const fn is_whole(&self) -> bool {
         matches!(self, Self::Whole(_))
     }
 
-    /// The revision reached by taking it in; none when it holds nothing.
+    /// The revision after applying the update; `None` for an update without edits.
     #[must_use]
     pub fn revision(&self) -> Option<Revision> {
         match self {
@@ -96,8 +99,8 @@
 }
 
 impl SettingsDocument {
-    /// What brings a node that holds `after` to this revision: the edits when the history reaches
-    /// back so far, or else the whole document.
+    /// The update that brings a node from revision `after` to this one: the edits when the history
+    /// reaches back that far, otherwise the whole document.
     #[must_use]
     pub fn update_after(&self, after: Revision) -> SettingsUpdate {
         match self.edits_after(after) {
@@ -106,11 +109,11 @@
         }
     }
 
-    /// Takes an update in. Returns the newer document, or none when the update holds nothing newer:
-    /// a revision never goes down.
+    /// Applies an update and returns the newer document, or `None` when the update contains nothing
+    /// newer: the revision never decreases.
     ///
     /// # Errors
-    /// [`UpdateError`]; the held document stays as it is.
+    /// [`UpdateError`]; `self` is unchanged.
     pub fn apply_update(&self, update: SettingsUpdate) -> Result<Option<Self>, UpdateError> {
         match update {
             SettingsUpdate::Whole(document) => {
--- a/crates/stairward-settings/tests/edits.rs
+++ b/crates/stairward-settings/tests/edits.rs
@@ -1,4 +1,4 @@
-//! Edits, conflicts, change ids, the kept history, and updates between nodes.
+//! Edits, conflicts, change ids, the retained history, and updates between nodes.
 
 use stairward_settings::{
     Change, Edit, EditError, MAXIMUM_CHANGES, MAXIMUM_HISTORY_CHANGES, MAXIMUM_HISTORY_EDITS,
@@ -31,9 +31,9 @@
         let place = backend(name);
         let address = format!("10.0.0.{number}:5432");
         tree.set(&place, SettingsOption::Address, address)
-            .expect("a fitting value");
+            .expect("a valid value");
         tree.set(&place, SettingsOption::Zone, "south-a")
-            .expect("a fitting value");
+            .expect("a valid value");
     }
     SettingsDocument::initial(tree).expect("a valid tree")
 }
@@ -46,13 +46,13 @@
     }
 }
 
-/// An edit that sets the root's slots, on top of a document.
+/// An edit that sets the root's slots, based on a document's revision.
 fn slots_edit(document: &SettingsDocument, change_id: u64, slots: u64) -> Edit {
     let change = set(&SettingsPath::Root, SettingsOption::Slots, slots);
     edit(change_id, document.revision().0, vec![change])
 }
 
-/// A document after so many further edits, whose change ids follow its revision.
+/// The document after a number of further edits, whose change ids are derived from the revision.
 fn advance(document: &SettingsDocument, edits: u64) -> SettingsDocument {
     (0..edits).fold(document.clone(), |document, _| {
         let change_id = 1_000 + document.revision().0;
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn an_edit_makes_the_next_revision() {
+fn an_edit_increments_the_revision() {
     let first = first_document();
     let second = first
         .apply(&slots_edit(&first, 1, 9))
@@ -81,12 +81,12 @@
 }
 
 #[test]
-fn of_two_edits_on_one_revision_the_second_is_refused_and_shown_the_first() {
+fn a_second_edit_on_the_same_revision_conflicts_and_lists_the_first() {
     let first = first_document();
-    let winner = slots_edit(&first, 1, 9);
-    let loser = slots_edit(&first, 2, 8);
-    let second = first.apply(&winner).expect("a valid edit");
-    let refused = second.apply(&loser).expect_err("a conflict");
+    let accepted = slots_edit(&first, 1, 9);
+    let conflicting = slots_edit(&first, 2, 8);
+    let second = first.apply(&accepted).expect("a valid edit");
+    let refused = second.apply(&conflicting).expect_err("a conflict");
     assert_eq!(refused.code(), Some(ResultCode::EditConflict));
     let EditError::Conflict {
         newest,
@@ -98,11 +98,11 @@
     };
     assert_eq!(newest, Revision(2));
     assert_eq!(changed.len(), 1);
-    assert_eq!(changed[0].edit, winner);
+    assert_eq!(changed[0].edit, accepted);
 }
 
 #[test]
-fn an_edit_ahead_of_the_settings_is_refused() {
+fn an_edit_based_on_a_future_revision_is_refused() {
     let first = first_document();
     let ahead = edit(1, 7, Vec::new());
     let refused = first.apply(&ahead).expect_err("a conflict");
@@ -110,11 +110,11 @@
 }
 
 #[test]
-fn the_change_id_tells_that_an_edit_took_effect() {
+fn a_repeated_change_id_reports_the_applied_edit() {
     let first = first_document();
     let sent_twice = slots_edit(&first, 1, 9);
     let later = advance(&first.apply(&sent_twice).expect("a valid edit"), 3);
-    let repeated = later.apply(&sent_twice).expect_err("applied before");
+    let repeated = later.apply(&sent_twice).expect_err("already applied");
     let revision = Revision(2);
     assert_eq!(repeated, EditError::AlreadyApplied { revision });
     let other = slots_edit(&later, 1, 9);
@@ -123,16 +123,16 @@
 }
 
 #[test]
-fn two_edits_valid_alone_are_refused_together() {
+fn an_edit_that_is_invalid_after_an_accepted_one_is_refused() {
     let first = first_document();
     let leave = |name: &str| set(&backend(name), SettingsOption::AdminState, "leaving");
     let a_leaves = first
         .apply(&edit(1, 1, vec![leave("a")]))
-        .expect("valid alone");
+        .expect("a valid edit");
     assert!(first.apply(&edit(2, 1, vec![leave("b")])).is_ok());
     let both = a_leaves
         .apply(&edit(2, 2, vec![leave("b")]))
-        .expect_err("no majority is left");
+        .expect_err("no active majority");
     assert_eq!(both.code(), Some(ResultCode::InvalidSettings));
     let EditError::Invalid { problems } = both else {
         panic!("{both:?}");
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn an_edit_is_made_whole_or_not_at_all() {
+fn an_edit_with_one_invalid_change_is_refused_as_a_whole() {
     let first = first_document();
     let unset = Change::Unset {
         path: backend("a"),
@@ -150,17 +150,19 @@
     let missing = Change::Remove {
         path: path("region/west"),
     };
-    let good = set(&SettingsPath::Root, SettingsOption::Slots, 9);
-    let unsuitable = set(&SettingsPath::Root, SettingsOption::Slots, "many");
-    for bad in [unset, missing, unsuitable] {
-        let changes = vec![good.clone(), bad];
-        let refused = first.apply(&edit(1, 1, changes)).expect_err("a bad change");
+    let valid = set(&SettingsPath::Root, SettingsOption::Slots, 9);
+    let wrong_type = set(&SettingsPath::Root, SettingsOption::Slots, "many");
+    for invalid in [unset, missing, wrong_type] {
+        let changes = vec![valid.clone(), invalid];
+        let refused = first
+            .apply(&edit(1, 1, changes))
+            .expect_err("an invalid change");
         assert_eq!(refused.code(), Some(ResultCode::InvalidSettings));
     }
 }
 
 #[test]
-fn a_member_is_replaced_in_steps_and_removed() {
+fn a_member_can_be_replaced_in_several_edits() {
     let mut document = first_document();
     let new = backend("d");
     let steps = [
@@ -191,7 +193,7 @@
 }
 
 #[test]
-fn changes_are_read_as_operators_send_them() {
+fn changes_round_trip_through_their_json_form() {
     let forms = [
         r#"{"path":"root","option":"slots","value":3}"#,
         r#"{"path":"root","option":"slots","value":null}"#,
@@ -232,7 +234,7 @@
 }
 
 #[test]
-fn a_node_that_missed_edits_catches_up_by_them() {
+fn a_node_that_missed_edits_catches_up_with_edits() {
     let held = first_document();
     let newest = advance(&held, 5);
     let update = newest.update_after(held.revision());
@@ -253,7 +255,7 @@
 }
 
 #[test]
-fn a_node_that_missed_too_many_gets_the_whole_document() {
+fn a_node_behind_the_history_gets_the_whole_document() {
     let held = first_document();
     let newest = advance(&held, MAXIMUM_HISTORY_EDITS as u64 + 1);
     assert_eq!(newest.history().count(), MAXIMUM_HISTORY_EDITS);
@@ -267,12 +269,12 @@
         Some(newest.clone())
     );
     let one_later = Revision(held.revision().0 + 1);
-    let kept = newest.edits_after(one_later).expect("still kept");
+    let kept = newest.edits_after(one_later).expect("still in the history");
     assert_eq!(kept.len(), MAXIMUM_HISTORY_EDITS);
 }
 
 #[test]
-fn a_large_edit_is_kept_only_until_the_next() {
+fn an_edit_larger_than_the_history_is_dropped_by_the_next() {
     let first = first_document();
     let change = set(&SettingsPath::Root, SettingsOption::Slots, 9);
     let changes = vec![change; MAXIMUM_HISTORY_CHANGES + 1];
@@ -288,7 +290,7 @@
 }
 
 #[test]
-fn a_revision_never_goes_down() {
+fn updates_do_not_lower_the_revision() {
     let old = first_document();
     let new = advance(&old, 3);
     let whole = SettingsUpdate::Whole(Box::new(old.clone()));
@@ -298,7 +300,7 @@
 }
 
 #[test]
-fn edits_that_do_not_fit_are_refused() {
+fn updates_with_gaps_or_malformed_bytes_are_refused() {
     let held = first_document();
     let newest = advance(&held, 3);
     let late = newest.update_after(Revision(2));
@@ -309,7 +311,7 @@
 }
 
 #[test]
-fn a_stored_document_is_checked_when_read() {
+fn invalid_stored_documents_are_refused() {
     let document = advance(&first_document(), 2);
     let json = serde_json::to_value(&document).expect("JSON");
     let read: SettingsDocument = serde_json::from_value(json.clone()).expect("a document");
