--- a/crates/stairward-settings/src/check.rs
+++ b/crates/stairward-settings/src/check.rs
@@ -1,4 +1,4 @@
-//! Checks a file of either kind: a process file or a settings tree.
+//! Validation of a configuration file of either kind: a process file or a settings tree.
 
 use std::fmt;
 use std::path::{Path, PathBuf};
@@ -12,7 +12,7 @@
 use crate::toml_text::MAXIMUM_FILE_BYTES;
 use crate::tree::{REGION_TABLE, ROOT_TABLE, SettingsTree};
 
-/// What a file is.
+/// The kind of a file.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FileKind {
@@ -34,19 +34,19 @@
     }
 }
 
-/// What was found in a file.
+/// The result of checking a file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CheckReport {
-    /// The file.
+    /// Path of the file.
     pub file: PathBuf,
-    /// What it is.
+    /// The detected kind of the file.
     pub kind: FileKind,
-    /// Everything that is wrong with it, in the order of its lines.
+    /// All problems found, in line order.
     pub problems: Vec<SettingsProblem>,
 }
 
 impl CheckReport {
-    /// Whether nothing is wrong.
+    /// Whether no problem was found.
     #[must_use]
     pub const fn is_valid(&self) -> bool {
         self.problems.is_empty()
@@ -70,11 +70,11 @@
     }
 }
 
-/// Reads a file, tells what it is, and finds everything that is wrong with it. Files that a process
-/// file names are not opened; see [`ProcessSettings::check_referenced_files`].
+/// Reads a file, detects its kind and reports all its problems. Files referenced by a process file are
+/// not opened; see [`ProcessSettings::check_referenced_files`].
 #[must_use]
 pub fn check_file(path: &Path) -> CheckReport {
-    let text = match read(path) {
+    let text = match read_file(path) {
         Ok(text) => text,
         Err(reason) => {
             let kind = ProblemKind::Unreadable { reason };
@@ -88,20 +88,23 @@
     check_text(path, &text)
 }
 
-fn read(path: &Path) -> Result<String, String> {
+fn read_file(path: &Path) -> Result<String, String> {
     let size = std::fs::metadata(path)
         .map_err(|error| error.to_string())?
         .len();
     if size > MAXIMUM_FILE_BYTES as u64 {
-        return Err(format!("it is larger than {MAXIMUM_FILE_BYTES} bytes"));
+        return Err(format!(
+            "the file is larger than {MAXIMUM_FILE_BYTES} bytes"
+        ));
     }
     std::fs::read_to_string(path).map_err(|error| error.to_string())
 }
 
-/// Checks a file's text.
+/// Like [`check_file`], for text that has already been read. `path` is used for the report and to
+/// resolve relative paths.
 #[must_use]
 pub fn check_text(path: &Path, text: &str) -> CheckReport {
-    let kind = recognise(text);
+    let kind = detect_kind(text);
     let directory = path.parent().unwrap_or(Path::new(""));
     let problems = match kind {
         FileKind::ProcessFile => ProcessSettings::from_toml(text, directory).err(),
@@ -118,8 +121,9 @@
     }
 }
 
-/// Tells the kinds apart by their tables, as far as the text can be read.
-fn recognise(text: &str) -> FileKind {
+/// Detects the kind by the names of top-level tables. Works on text with syntax errors, as far as it
+/// can be parsed.
+fn detect_kind(text: &str) -> FileKind {
     let (document, _) = DeTable::parse_recoverable(text);
     let has_table = |name: &str| document.get_ref().contains_key(name);
     if has_table(ROOT_TABLE) || has_table(REGION_TABLE) {
--- a/crates/stairward-settings/src/lib.rs
+++ b/crates/stairward-settings/src/lib.rs
@@ -1,10 +1,10 @@
 //! Process file and settings tree: schema, inheritance, validation, edits.
 //!
-//! Two kinds of settings exist. The *process file* tells one process its own addresses and place.
-//! The *settings tree* is shared by the fleet: root, regions, services and groups, each level
-//! inheriting from the one above. [`ResolvedSettings`] is the tree with inheritance applied, which
-//! is all the other crates see. [`SettingsDocument`] is the tree with its revision and latest edits,
-//! as the platform's store keeps it.
+//! There are two kinds of settings. The *process file* configures one process: its addresses, its
+//! region and zone, its keys. The *settings tree* is shared by the fleet: root, regions, services,
+//! groups and back ends, each level inheriting from the one above. [`ResolvedSettings`] is the tree
+//! with inheritance applied, as the data path uses it. [`SettingsDocument`] is the tree with its
+//! revision and recent edits, as persisted in the platform's store.
 
 #![forbid(unsafe_code)]
 
--- a/crates/stairward-settings/src/path.rs
+++ b/crates/stairward-settings/src/path.rs
@@ -1,4 +1,4 @@
-//! Places in the settings tree, and how they are written.
+//! Paths that identify places in the settings tree, and their text form.
 
 use std::fmt;
 use std::str::FromStr;
@@ -34,9 +34,9 @@
     }
 }
 
-/// A place in the settings tree.
+/// The path of a place in the settings tree. A place is a scope at which options can be set.
 ///
-/// Written `root`, or as pairs of level and name joined by `/`, for example
+/// Its text form is `root`, or pairs of level and name joined by `/`, for example
 /// `region/south/service/reader-core/group/reader-core-1/backend/reader-core-1-a`.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
@@ -53,29 +53,29 @@
     Backend(RegionName, ServiceName, GroupId, BackendId),
 }
 
-/// Text that is not a place in the settings tree.
+/// Why a text is not a valid [`SettingsPath`].
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum InvalidPath {
-    /// The levels are not in the order of the tree.
+    /// The text is neither `root` nor pairs of level and name in the order of the tree.
     #[snafu(display(
         "{text:?} is not a path: write root, or region/NAME/service/NAME/group/NAME/backend/NAME up to the level meant"
     ))]
     UnknownShape {
-        /// The refused text.
+        /// The rejected text.
         text: String,
     },
-    /// A name in it breaks the rules for names.
+    /// A name in the path is not valid.
     #[snafu(display("{text:?} is not a path: {source}"))]
     BadName {
-        /// The refused text.
+        /// The rejected name.
         text: String,
-        /// Which rule the name breaks.
+        /// The violated rule.
         source: InvalidName,
     },
 }
 
 impl SettingsPath {
-    /// The level this place is at.
+    /// The level of the place.
     #[must_use]
     pub const fn level(&self) -> Level {
         match self {
@@ -87,7 +87,7 @@
         }
     }
 
-    /// The place one level up; none for the root.
+    /// The place one level up; `None` for the root.
     #[must_use]
     pub fn parent(&self) -> Option<Self> {
         match self {
@@ -101,21 +101,21 @@
         }
     }
 
-    /// This place and those above it, the most specific first.
+    /// This place and its ancestors, the most specific first.
     pub fn self_and_ancestors(&self) -> impl Iterator<Item = Self> {
         std::iter::successors(Some(self.clone()), Self::parent)
     }
 
-    /// Whether `self` is `other` or lies below it.
+    /// Whether `self` is `other` or one of its descendants.
     #[must_use]
     pub fn is_within(&self, other: &Self) -> bool {
         self.self_and_ancestors().any(|place| place == *other)
     }
 
-    /// The place one level down with this name; an error when the name is bad or nothing lies below.
+    /// The place with this name one level down.
     ///
     /// # Errors
-    /// [`InvalidPath`] says which.
+    /// [`InvalidPath`] when the name is not valid or `self` is a back end, which has no children.
     pub fn child(&self, name: &str) -> Result<Self, InvalidPath> {
         let context = || BadNameSnafu { text: name };
         match self.clone() {
@@ -135,7 +135,7 @@
         }
     }
 
-    /// The level below this one; none below a back end.
+    /// The level below this one; `None` below a back end.
     #[must_use]
     pub const fn child_level(&self) -> Option<Level> {
         match self {
@@ -147,7 +147,7 @@
         }
     }
 
-    /// The region named in the path; none at the root.
+    /// The region in the path; `None` for the root.
     #[must_use]
     pub const fn region(&self) -> Option<&RegionName> {
         match self {
@@ -189,9 +189,9 @@
         let unknown_shape = || UnknownShapeSnafu { text }.build();
         let mut path = Self::Root;
         let mut parts = text.split('/');
-        while let Some(level_word) = parts.next() {
+        while let Some(level_name) = parts.next() {
             let level = path.child_level().ok_or_else(unknown_shape)?;
-            if level_word != level.to_string() {
+            if level_name != level.to_string() {
                 return Err(unknown_shape());
             }
             let name = parts.next().ok_or_else(unknown_shape)?;
--- a/crates/stairward-settings/src/problem.rs
+++ b/crates/stairward-settings/src/problem.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with a process file or a settings tree, and where.
+//! Problems reported by the validation of process files and settings trees.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -8,23 +8,23 @@
 
 use crate::path::Level;
 
-/// One thing that is wrong, and where.
+/// A validation problem and its location.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SettingsProblem {
-    /// The place in the settings tree, or the table of the process file.
+    /// The path in the settings tree, the table of the process file, or the name of a file.
     pub path: String,
-    /// The option, when the problem is with one.
+    /// The option, when the problem concerns one.
     pub option: Option<String>,
-    /// The line, counted from 1, when it came from a file.
+    /// The line number, counted from 1, when the problem has a line in a file.
     pub line: Option<usize>,
     /// [`ResultCode::InvalidSettings`] or [`ResultCode::InvalidProcessFile`].
     pub code: ResultCode,
-    /// What is wrong.
+    /// The kind of the problem.
     pub kind: Box<ProblemKind>,
 }
 
 impl SettingsProblem {
-    /// The problem as text without its line, for those who show the line themselves.
+    /// Formats the problem without its line, for callers that print the line separately.
     #[must_use]
     pub fn without_line(&self) -> String {
         let mut place = self.path.clone();
@@ -47,23 +47,23 @@
 
 impl std::error::Error for SettingsProblem {}
 
-/// What is wrong.
+/// The kind of a problem.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum ProblemKind {
     /// The file cannot be read.
     #[snafu(display("cannot be read: {reason}"))]
     Unreadable {
-        /// What the operating system said.
+        /// The error of the operating system.
         reason: String,
     },
     /// The text is not TOML.
     #[snafu(display("not TOML: {message}"))]
     Syntax {
-        /// What the parser said.
+        /// The error of the parser.
         message: String,
     },
-    /// Neither a process file nor a settings tree.
+    /// The file is neither a process file nor a settings tree.
     #[snafu(display(
         "neither a process file (with [node] and [listen]) nor a settings tree (with [root] or [region.NAME])"
     ))]
@@ -71,144 +71,144 @@
     /// No option or table has this name.
     #[snafu(display("unknown name{}", suggestion.as_ref().map(|name| format!(", did you mean {name}?")).unwrap_or_default()))]
     UnknownName {
-        /// The nearest known name.
+        /// The most similar known name, if any is similar enough.
         suggestion: Option<String>,
     },
-    /// The path does not fit the tree.
+    /// The path is not valid.
     #[snafu(display("{message}"))]
     BadPath {
-        /// Why.
+        /// The reason.
         message: String,
     },
     /// The value is of another type.
     #[snafu(display("must be {expected}, is {found}"))]
     WrongType {
-        /// What it must be.
+        /// The required type.
         expected: &'static str,
-        /// What it is.
+        /// The type found.
         found: &'static str,
     },
     /// The number is out of range.
     #[snafu(display("{value} is not within {minimum} to {maximum}"))]
     OutOfRange {
-        /// The refused number.
+        /// The rejected number.
         value: u64,
-        /// Least number allowed.
+        /// Smallest valid number.
         minimum: u64,
-        /// Greatest number allowed.
+        /// Largest valid number.
         maximum: u64,
     },
-    /// The word is not one of those allowed.
+    /// The text is not one of the valid words.
     #[snafu(display("{value:?} is not one of {}", choices.join(", ")))]
     NotAChoice {
-        /// The refused word.
+        /// The rejected word.
         value: String,
-        /// The words allowed.
+        /// The valid words.
         choices: &'static [&'static str],
     },
     /// The text is empty, too long, or has control characters.
     #[snafu(display("must be 1 to {maximum_bytes} bytes without control characters"))]
     InvalidText {
-        /// Longest text allowed, in bytes.
+        /// Maximum length, in bytes.
         maximum_bytes: usize,
     },
-    /// The name breaks the rules for names.
+    /// The name is not valid.
     #[snafu(display("{source}"))]
     BadName {
-        /// Which rule.
+        /// The violated rule.
         source: InvalidName,
     },
-    /// The text is not an IP number and a port.
+    /// The text is not an IP address and a port.
     #[snafu(display("{value:?} is not an IP number and a port, such as 10.0.0.7:5432"))]
     BadAddress {
-        /// The refused text.
+        /// The rejected text.
         value: String,
     },
     /// The option may not be set at this level.
     #[snafu(display("may not be set at level {level}, only from {highest} to {lowest}"))]
     NotAllowedHere {
-        /// The level it was set at.
+        /// The level at which it was set.
         level: Level,
-        /// The most general level allowed.
+        /// The most general level at which it may be set.
         highest: Level,
-        /// The most specific level allowed.
+        /// The most specific level at which it may be set.
         lowest: Level,
     },
     /// A required option is not set.
     #[snafu(display("must be set"))]
     Missing,
-    /// The option to be taken back is not set at this place.
+    /// The option to unset is not set at this place.
     #[snafu(display("is not set here"))]
     NotSet,
-    /// The place to be removed is not in the tree.
-    #[snafu(display("there is no such place"))]
+    /// The place to remove is not in the tree.
+    #[snafu(display("no such place in the settings tree"))]
     NoSuchPlace,
-    /// Two places have a name that must be unique in the fleet.
+    /// Two places have the same name, which must be unique in the fleet.
     #[snafu(display("the name is already used by {other}"))]
     DuplicateName {
-        /// The other place.
+        /// Path of the other place.
         other: String,
     },
-    /// Two back ends have the same address.
+    /// Two back ends, or two listeners of a process, have the same address.
     #[snafu(display("{address} is already used by {other}"))]
     DuplicateAddress {
         /// The address.
         address: SocketAddr,
-        /// The other back end's place.
+        /// Path of the other back end, or name of the other listener.
         other: String,
     },
     /// A group has no back end.
     #[snafu(display("the group has no back end"))]
     NoBackends,
-    /// The active back ends are too few to confirm writes.
+    /// Too few back ends are active to form a majority that confirms writes.
     #[snafu(display(
         "{active} of {members} back ends are active; a majority of {needed} is needed"
     ))]
     NoActiveMajority {
-        /// Back ends in the state active.
+        /// Number of back ends in state `active`.
         active: usize,
-        /// Back ends of the group.
+        /// Number of back ends of the group.
         members: usize,
-        /// How many must be active.
+        /// Number of back ends that must be active.
         needed: usize,
     },
-    /// The value contradicts another option's.
+    /// The value exceeds that of another option, which is its upper bound.
     #[snafu(display("{value} exceeds {other_option} = {other_value}"))]
     Exceeds {
         /// This option's value.
         value: u64,
-        /// The option it must not exceed.
+        /// The option that bounds it.
         other_option: &'static str,
-        /// That option's value.
+        /// The bounding option's value.
         other_value: u64,
     },
-    /// The value is less than another option's, which must not exceed it.
+    /// The value is less than that of another option, for which it is the upper bound.
     #[snafu(display("{value} is less than {other_option} = {other_value}"))]
     LessThan {
         /// This option's value.
         value: u64,
-        /// The option that must not exceed it.
+        /// The option that it bounds.
         other_option: &'static str,
-        /// That option's value.
+        /// The bounded option's value.
         other_value: u64,
     },
     /// There are more entries than the limit.
     #[snafu(display("{count} entries, at most {maximum} are allowed"))]
     TooMany {
-        /// How many there are.
+        /// Number of entries.
         count: usize,
-        /// How many are allowed.
+        /// Maximum number of entries.
         maximum: usize,
     },
-    /// The key is too short to be safe.
+    /// The key is shorter than the minimum.
     #[snafu(display("the key has {bytes} bytes, at least {minimum} are needed"))]
     ShortKey {
-        /// How many it has.
+        /// Length of the key, in bytes.
         bytes: usize,
-        /// How many are needed.
+        /// Minimum length, in bytes.
         minimum: usize,
     },
-    /// The admin interface would be reachable by others without protection.
+    /// The admin interface listens on an address other than loopback without a token and TLS.
     #[snafu(display("an address that is not loopback needs [admin] token_file and [admin.tls]"))]
     UnprotectedAdmin,
 }
--- a/crates/stairward-settings/src/resolved.rs
+++ b/crates/stairward-settings/src/resolved.rs
@@ -1,4 +1,4 @@
-//! The settings tree after inheritance: what is in force for each group and service.
+//! The settings tree with inheritance applied: effective settings of each service, group and back end.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,7 +8,7 @@
     AdminState, BackendId, FenceStrength, GroupId, RegionName, Revision, ServiceName, ZoneName,
 };
 
-/// All settings in force at one revision.
+/// All effective settings at one revision.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct ResolvedSettings {
     /// The revision of the tree they were resolved from.
@@ -17,12 +17,12 @@
     pub groups: BTreeMap<GroupId, GroupSettings>,
     /// Every service, by name.
     pub services: BTreeMap<ServiceName, ServiceSettings>,
-    /// The group of every back end, built from `groups`.
+    /// Index from back end to group, derived from `groups`.
     group_of: BTreeMap<BackendId, GroupId>,
 }
 
 impl ResolvedSettings {
-    /// Puts settings together.
+    /// Creates resolved settings and the index of back ends.
     #[must_use]
     pub fn new(
         revision: Revision,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The group a back end is a member of, and its own settings.
+    /// Looks up a back end: the settings of its group and its own.
     #[must_use]
     pub fn backend(&self, backend: &BackendId) -> Option<(&GroupSettings, &BackendSettings)> {
         let group = self.groups.get(self.group_of.get(backend)?)?;
@@ -53,70 +53,70 @@
     }
 }
 
-/// What is in force for one service.
+/// Effective settings of one service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServiceSettings {
-    /// Its share of a contended back end relative to other services.
+    /// Weight of the service's share of a contended back end, relative to other services.
     pub weight: u32,
 }
 
-/// What is in force for one database group.
+/// Effective settings of one database group.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct GroupSettings {
-    /// The group's name, also the database name callers ask for.
+    /// The group's name, which is also the database name that callers connect to.
     pub group: GroupId,
     /// The service it belongs to.
     pub service: ServiceName,
     /// Its members, by name.
     pub backends: BTreeMap<BackendId, BackendSettings>,
-    /// User that proxies log in as at the back ends.
+    /// User name with which proxies log in to the back ends.
     pub backend_user: String,
-    /// Deadline of a request that names none.
+    /// Deadline of a request that does not specify one.
     pub request_timeout: Duration,
-    /// How long a replica may be waited for before going elsewhere.
+    /// Maximum wait for a replica to reach the required position before the request is routed elsewhere.
     pub freshness_wait: Duration,
-    /// How stale, beyond the session's own floor, a read may be; zero refuses only what the floor
-    /// refuses.
+    /// Maximum staleness of a read, beyond what the session's freshness floor requires. Zero sets no
+    /// bound besides the floor.
     pub maximum_staleness: Duration,
-    /// What must be proved before a write is acknowledged.
+    /// What a majority must confirm before a write is acknowledged.
     pub fence: FenceStrength,
-    /// How long the proof may take before the outcome is called unknown.
+    /// Maximum time for that confirmation, after which the outcome of the write is unknown.
     pub fence_timeout: Duration,
-    /// Requests that may wait, per edge, for a new primary.
+    /// Maximum number of requests per edge that wait for a new primary.
     pub hold_queue_requests: usize,
-    /// Bytes of requests that may wait, per edge, for a new primary.
+    /// Maximum size of the requests per edge that wait for a new primary, in bytes.
     pub hold_queue_bytes: usize,
-    /// How long a request may wait for a new primary.
+    /// Maximum time that a request waits for a new primary.
     pub hold_queue_time: Duration,
-    /// Requests waiting at one owner for one back end.
+    /// Maximum number of requests that wait at one owner for one back end.
     pub admission_queue_requests: usize,
-    /// Retries allowed, in thousandths of recent successes.
+    /// Maximum share of retries, in thousandths of recent successes.
     pub retry_budget_permille: u32,
-    /// How long transactions on a leaving back end may go on.
+    /// Maximum time that transactions on a leaving back end may continue.
     pub leave_timeout: Duration,
     /// Largest message accepted from a caller, in bytes.
     pub maximum_message_bytes: usize,
-    /// How long ledger rows of request keys are kept.
+    /// Retention time of the ledger rows of request keys.
     pub request_key_retention: Duration,
 }
 
-/// What is in force for one back end.
+/// Effective settings of one back end.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BackendSettings {
     /// Its name.
     pub backend: BackendId,
-    /// Where it listens.
+    /// Its listening address.
     pub address: SocketAddr,
-    /// The region it stands in.
+    /// Its region.
     pub region: RegionName,
-    /// The zone it stands in.
+    /// Its zone.
     pub zone: ZoneName,
-    /// What operators have said about it.
+    /// The state set by operators.
     pub admin_state: AdminState,
-    /// Connections all proxies together may hold.
+    /// Maximum number of connections from all proxies together.
     pub connection_limit: u32,
-    /// Statements that may run at once.
+    /// Maximum number of concurrent statements.
     pub slots: u32,
-    /// New connections opened at once.
+    /// Maximum number of connections being opened concurrently.
     pub opening_limit: u32,
 }
--- a/crates/stairward-settings/src/schema.rs
+++ b/crates/stairward-settings/src/schema.rs
@@ -1,5 +1,5 @@
-//! The one table of options in the settings tree. docs/CONFIGURATION.md documents the same table; a
-//! test compares the two.
+//! The schema of the settings tree: a single table of all its options. docs/CONFIGURATION.md documents
+//! the same table; a test compares the two.
 
 use std::fmt;
 
@@ -11,20 +11,20 @@
 use crate::value::Value;
 use crate::value_kind::ValueKind;
 
-/// The unit a number counts in.
+/// The unit of an option's values.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Unit {
-    /// Not a quantity.
+    /// The value is not a quantity.
     None,
-    /// Thousandths of a second.
+    /// Milliseconds.
     Milliseconds,
     /// Seconds.
     Seconds,
     /// Bytes.
     Bytes,
-    /// Thousandths of a whole.
+    /// Thousandths, as a ratio.
     Permille,
-    /// A number of things.
+    /// A number of items.
     Count,
 }
 
@@ -41,16 +41,16 @@
     }
 }
 
-/// The value of an option that no level sets.
+/// The value of an option that is not set at any level.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DefaultValue {
     /// A number.
     Integer(u64),
     /// A text.
     Text(&'static str),
-    /// The region in the path.
+    /// The region in the place's path.
     RegionOfPath,
-    /// There is none; it must be set.
+    /// There is no default; the option must be set.
     Required,
 }
 
@@ -65,38 +65,38 @@
     }
 }
 
-/// One option of the settings tree, as the schema describes it.
+/// The schema of one option of the settings tree.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OptionSchema {
-    /// How it is written.
+    /// The name in files and on the wire.
     pub name: &'static str,
-    /// What its values look like.
+    /// The type of its values.
     pub kind: ValueKind,
     /// The unit of its values.
     pub unit: Unit,
-    /// Its value when no level sets it.
+    /// The value when no level sets the option.
     pub default: DefaultValue,
-    /// The most general level that may set it.
+    /// The most general level at which it may be set.
     pub highest: Level,
-    /// The most specific level that may set it.
+    /// The most specific level at which it may be set.
     pub lowest: Level,
-    /// What it does, in one line.
+    /// One-line description.
     pub documentation: &'static str,
 }
 
 impl OptionSchema {
-    /// Whether this level may set the option.
+    /// Whether the option may be set at this level.
     #[must_use]
     pub fn is_allowed_at(&self, level: Level) -> bool {
         (self.highest..=self.lowest).contains(&level)
     }
 }
 
-/// A name that no option has.
+/// A name that is not the name of any option.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display("no option is called {name:?}"))]
 pub struct UnknownOption {
-    /// The refused name.
+    /// The rejected name.
     pub name: String,
 }
 
@@ -115,10 +115,10 @@
         }
 
         impl SettingsOption {
-            /// Every option, in the order of the documentation.
+            /// All options, in the order of the documentation.
             pub const ALL: &'static [Self] = &[$(Self::$option,)+];
 
-            /// The option's row of the schema.
+            /// The schema of the option.
             #[must_use]
             pub const fn schema(self) -> OptionSchema {
                 match self {
@@ -148,10 +148,10 @@
 /// One mebibyte, in bytes.
 const MEBIBYTE: u64 = 1 << 20;
 
-/// Words for `fence`.
+/// Values of `fence`.
 pub(crate) const FENCE_TERM: &str = "term";
 pub(crate) const FENCE_POSITION: &str = "position";
-/// Words for `admin_state`.
+/// Values of `admin_state`.
 pub(crate) const STATE_JOINING: &str = "joining";
 pub(crate) const STATE_ACTIVE: &str = "active";
 pub(crate) const STATE_LEAVING: &str = "leaving";
@@ -204,16 +204,16 @@
 }
 
 impl SettingsOption {
-    /// How it is written.
+    /// The name in files and on the wire.
     #[must_use]
     pub const fn name(self) -> &'static str {
         self.schema().name
     }
 
-    /// The option with this name.
+    /// Looks up an option by its name.
     ///
     /// # Errors
-    /// [`UnknownOption`] when there is none.
+    /// [`UnknownOption`] when no option has this name.
     pub fn from_name(name: &str) -> Result<Self, UnknownOption> {
         Self::ALL
             .iter()
@@ -224,10 +224,10 @@
             })
     }
 
-    /// Checks that a level may set this option to this value.
+    /// Checks that the option may be set to this value at this level.
     ///
     /// # Errors
-    /// The [`ProblemKind`] that says why not.
+    /// The [`ProblemKind`] that describes the violation.
     pub fn check(self, level: Level, value: &Value) -> Result<(), ProblemKind> {
         let schema = self.schema();
         if !schema.is_allowed_at(level) {
--- a/crates/stairward-settings/src/value.rs
+++ b/crates/stairward-settings/src/value.rs
@@ -4,19 +4,19 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A value as operators write it and as the store keeps it. What it must look like is said by the
-/// option's [`crate::ValueKind`].
+/// A value as operators write it and as the store persists it. The option's [`crate::ValueKind`]
+/// defines which values are valid.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Value {
-    /// A whole number; its unit is the option's.
+    /// A whole number in the option's unit.
     Integer(u64),
     /// Text: a name, an address or one of several choices.
     Text(String),
 }
 
 impl Value {
-    /// Reads a value from a command line: digits are a number, all else is text.
+    /// Parses a command-line argument: an unsigned 64-bit integer becomes a number, anything else text.
     #[must_use]
     pub fn from_argument(argument: &str) -> Self {
         argument
@@ -24,7 +24,7 @@
             .map_or_else(|_| Self::Text(argument.to_owned()), Self::Integer)
     }
 
-    /// The number, if it is one.
+    /// The number, if the value is one.
     #[must_use]
     pub const fn as_integer(&self) -> Option<u64> {
         match self {
@@ -33,7 +33,7 @@
         }
     }
 
-    /// The text, if it is text.
+    /// The text, if the value is text.
     #[must_use]
     pub fn as_text(&self) -> Option<&str> {
         match self {
@@ -42,7 +42,7 @@
         }
     }
 
-    /// What it is, for messages.
+    /// The type of the value, for messages.
     #[must_use]
     pub const fn type_name(&self) -> &'static str {
         match self {
--- a/crates/stairward-settings/src/value_kind.rs
+++ b/crates/stairward-settings/src/value_kind.rs
@@ -1,4 +1,4 @@
-//! What values of an option look like, and the check that a value does.
+//! Value types of options and their validation.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -8,17 +8,17 @@
 use crate::problem::ProblemKind;
 use crate::value::Value;
 
-/// Longest text accepted as a value, in bytes.
+/// Maximum length of a text value, in bytes.
 pub const MAXIMUM_TEXT_BYTES: usize = 63;
 
-/// What values of an option look like.
+/// The type of an option's values, with its constraints.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ValueKind {
-    /// A whole number within a range, both ends allowed.
+    /// A whole number within an inclusive range.
     Integer {
-        /// Least value.
+        /// Smallest valid value.
         minimum: u64,
-        /// Greatest value.
+        /// Largest valid value.
         maximum: u64,
     },
     /// One of these words.
@@ -27,15 +27,15 @@
     Text,
     /// A name: 1 to 63 of `a-z`, `0-9`, `-`, `_`, `.`.
     Name,
-    /// An IP number and a port, for example `10.0.0.7:5432`.
+    /// An IP address and a port other than 0, for example `10.0.0.7:5432`.
     Address,
 }
 
 impl ValueKind {
-    /// Checks that a value is of this kind and within its range.
+    /// Checks that a value has this type and satisfies its constraints.
     ///
     /// # Errors
-    /// The [`ProblemKind`] that says what is wrong with it.
+    /// The [`ProblemKind`] that describes the violation.
     pub fn check(self, value: &Value) -> Result<(), ProblemKind> {
         match (self, value) {
             (Self::Integer { minimum, maximum }, Value::Integer(number)) => {
@@ -52,7 +52,7 @@
         }
     }
 
-    /// What a value has to be, for messages.
+    /// The required type, for messages.
     #[must_use]
     pub const fn type_name(self) -> &'static str {
         match self {
