--- a/crates/stairward-settings/src/process/load.rs
+++ b/crates/stairward-settings/src/process/load.rs
@@ -1,4 +1,4 @@
-//! A process file from TOML, with the line of everything that is wrong.
+//! Loads a process file from TOML and reports each problem with its line.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -16,10 +16,10 @@
 use crate::toml_text::{self, LineIndex};
 
 impl ProcessSettings {
-    /// Reads a process file.
+    /// Loads a process file.
     ///
     /// # Errors
-    /// Every problem found, each with its line where it has one.
+    /// All problems found, with their lines where known.
     pub fn load(path: &Path) -> Result<Self, Vec<SettingsProblem>> {
         let text = std::fs::read_to_string(path).map_err(|error| {
             let kind = ProblemKind::Unreadable {
@@ -31,11 +31,11 @@
         Self::from_toml(&text, directory)
     }
 
-    /// Reads a process file's text. Files named in it by a relative path are meant to lie in
-    /// `directory`; they are not opened.
+    /// Parses a process file. Relative paths in it are resolved against `directory`; the files that
+    /// they refer to are not opened.
     ///
     /// # Errors
-    /// Every problem found, each with its line where it has one.
+    /// All problems found, with their lines where known.
     pub fn from_toml(text: &str, directory: &Path) -> Result<Self, Vec<SettingsProblem>> {
         let lines = LineIndex::new(text);
         let document = toml_text::parse(text, &lines, ResultCode::InvalidProcessFile)
@@ -150,7 +150,7 @@
         })
     }
 
-    /// The admin interface must be loopback, or protected by a token and TLS.
+    /// Reads `[admin]`. An admin interface on an address other than loopback requires a token and TLS.
     fn read_admin(&mut self, listen: Option<ListenSettings>) -> AdminSettings {
         let token = self.secret("admin", "token_file");
         let tls = self.tls("admin.tls");
--- a/crates/stairward-settings/src/process/mod.rs
+++ b/crates/stairward-settings/src/process/mod.rs
@@ -1,5 +1,5 @@
-//! What one process must know before it can learn anything from others: its addresses, its place and
-//! its keys. Read from a TOML file, or built by a program that embeds nodes.
+//! Bootstrap settings of one process, which it needs before it can reach other nodes: its addresses, its
+//! region and zone, and its keys. Loaded from a TOML file, or built by a program that embeds nodes.
 
 mod load;
 mod reader;
@@ -22,13 +22,14 @@
 use crate::problem::{ProblemKind, SettingsProblem};
 use schema::{DEFAULT_DRAIN_TIMEOUT_MS, DEFAULT_MAXIMUM_CLIENTS};
 
-/// Fewest bytes of a cluster key.
+/// Minimum length of a cluster key, in bytes.
 pub const MINIMUM_CLUSTER_KEY_BYTES: usize = 16;
 
-/// What the token key is derived for, so that it differs from other keys of the cluster key.
+/// Label for the derivation of the token key, which separates it from other keys derived from the
+/// cluster key.
 const TOKEN_KEY_PURPOSE: &[u8] = b"stairward session token key, version 1";
 
-/// Everything in a process file.
+/// The settings of a process file, one field for each table.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ProcessSettings {
     /// `[node]`
@@ -51,103 +52,103 @@
     pub drain: DrainSettings,
 }
 
-/// The node's place in the fleet.
+/// Identity and location of the node.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct NodeSettings {
-    /// Its number; derived from the peer address when not given.
+    /// The node id; derived from the peer address when not set.
     pub id: Option<NodeId>,
-    /// Its region.
+    /// The region in which it runs.
     pub region: RegionName,
-    /// Its zone.
+    /// The zone in which it runs.
     pub zone: ZoneName,
 }
 
-/// Where the process listens.
+/// Listening addresses of the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ListenSettings {
-    /// For callers.
+    /// Address for callers.
     pub client: SocketAddr,
-    /// For other nodes, TCP and UDP.
+    /// Address for other nodes, for both TCP and UDP.
     pub peer: SocketAddr,
-    /// For operators.
+    /// Address for operators.
     pub admin: SocketAddr,
 }
 
-/// The platform's object API.
+/// Connection to the platform's object API.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PlatformSettings {
-    /// Its addresses, tried in turn.
+    /// Addresses of the API, tried in turn.
     pub addresses: Vec<SocketAddr>,
 }
 
-/// The other nodes.
+/// Connection to the other nodes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClusterSettings {
-    /// Peer addresses to begin with.
+    /// Initial peer addresses for joining the cluster.
     pub seeds: Vec<SocketAddr>,
-    /// The key shared by all nodes.
+    /// The cluster key, shared by all nodes.
     pub key: SecretSource,
 }
 
-/// The callers' side.
+/// Connections from callers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CallerSettings {
-    /// Who may log in.
+    /// The users that may log in.
     pub users: UsersSource,
-    /// The certificate shown; no TLS without it.
+    /// The server certificate; TLS is disabled without one.
     pub tls: Option<TlsFiles>,
-    /// Client connections accepted at once.
+    /// Maximum number of concurrent client connections.
     pub maximum_clients: u32,
-    /// The key of session tokens; derived from the cluster key when not given.
+    /// The key that protects session tokens; derived from the cluster key when not set.
     pub token_key: Option<SecretSource>,
 }
 
-/// The back ends' side.
+/// Connections to back ends.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BackendAccessSettings {
-    /// The password proxies log in with.
+    /// The password with which proxies log in.
     pub password: SecretSource,
-    /// PEM file of the certificates that may sign back ends' certificates; no TLS without it.
+    /// PEM file of the trusted root certificates; TLS is disabled without one.
     pub root_certificate_file: Option<PathBuf>,
 }
 
 /// The admin interface.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AdminSettings {
-    /// The token operators must show; none is asked for without it.
+    /// The token required of operators; no token is required without one.
     pub token: Option<SecretSource>,
-    /// Its certificate; no TLS without it.
+    /// The server certificate; TLS is disabled without one.
     pub tls: Option<TlsFiles>,
 }
 
-/// How talkative the log is, and in which form.
+/// Level and format of the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LogSettings {
-    /// One of [`LOG_LEVELS`].
+    /// Minimum severity, one of [`LOG_LEVELS`].
     pub level: &'static str,
-    /// The form of its lines.
+    /// Format of the log lines.
     pub format: LogFormat,
 }
 
-/// The form of log lines.
+/// Format of log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LogFormat {
-    /// For people.
+    /// Human-readable text.
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// The planned stop.
+/// Drain before a planned stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DrainSettings {
-    /// How long it may take.
+    /// Maximum duration, after which remaining work is cut off.
     pub timeout: Duration,
 }
 
 impl ProcessSettings {
-    /// Settings for a node embedded in a program: all listeners on ephemeral loopback ports, no
-    /// files, no TLS, no admin token. Change the fields as needed.
+    /// Settings for a node embedded in a program: all listeners on ephemeral loopback ports, no users,
+    /// no files, no TLS, no admin token. Callers may change the fields as needed.
     #[must_use]
     pub fn embedded(
         region: RegionName,
@@ -198,14 +199,14 @@
         }
     }
 
-    /// The node's number when it listens for peers at this address: the configured one, or one
-    /// derived from the address, so that a process that returns there has the same number.
+    /// The node id: the configured one, or one derived from the address at which the node listens for
+    /// peers, so that a process restarted at the same address keeps its id.
     #[must_use]
     pub fn node_id(&self, peer_address: SocketAddr) -> NodeId {
         self.node.id.unwrap_or_else(|| derive_node_id(peer_address))
     }
 
-    /// Reads every file that the settings name, and tells what is wrong with them.
+    /// Reads all files referenced by the settings and reports the problems with them.
     #[must_use]
     pub fn check_referenced_files(&self) -> Vec<SettingsProblem> {
         let mut problems = Vec::new();
@@ -231,10 +232,10 @@
         problems
     }
 
-    /// Reads the key shared by all nodes.
+    /// Loads the cluster key.
     ///
     /// # Errors
-    /// [`SettingsProblem`] when the file cannot be read or the key is shorter than
+    /// [`SettingsProblem`] when the key cannot be read or is shorter than
     /// [`MINIMUM_CLUSTER_KEY_BYTES`].
     pub fn load_cluster_key(&self) -> Result<Secret, SettingsProblem> {
         let key = self.cluster.key.load()?;
@@ -254,10 +255,10 @@
         })
     }
 
-    /// Reads the key of session tokens, or derives it from the cluster key.
+    /// Loads the key that protects session tokens, or derives it from the cluster key.
     ///
     /// # Errors
-    /// [`SettingsProblem`] when a file cannot be read.
+    /// [`SettingsProblem`] when a key cannot be loaded.
     pub fn load_token_key(&self) -> Result<Secret, SettingsProblem> {
         match &self.callers.token_key {
             Some(source) => source.load(),
@@ -266,15 +267,16 @@
     }
 }
 
-/// Bits of a port number.
+/// Width of a port number, in bits.
 const PORT_BITS: u32 = 16;
-/// Derived numbers stay below this many bits, so that JSON readers hold them exactly.
+/// Width of derived node ids, in bits: JSON parsers that use doubles represent integers exactly up to
+/// this width.
 const NODE_ID_BITS: u32 = 53;
 
-/// The number of a node that listens for peers at this address.
+/// Derives a node id from the address at which the node listens for peers.
 ///
-/// An IPv4 address and its port are the number themselves, so no two nodes share one. Of an IPv6
-/// address it is 53 bits of a hash.
+/// An IPv4 address and port are encoded in the id directly, so distinct addresses have distinct ids. An
+/// IPv6 address and port are hashed to 53 bits.
 #[must_use]
 pub fn derive_node_id(peer_address: SocketAddr) -> NodeId {
     let port = peer_address.port();
@@ -294,11 +296,12 @@
     }
 }
 
-/// The key of session tokens derived from a cluster key: HMAC-SHA-256 of a fixed purpose.
+/// Derives the key that protects session tokens: the HMAC-SHA-256 of a fixed label under the cluster
+/// key.
 #[must_use]
 pub fn derive_token_key(cluster_key: &Secret) -> Secret {
     let Ok(mut mac) = Hmac::<Sha256>::new_from_slice(cluster_key.expose()) else {
-        unreachable!("HMAC takes keys of any length");
+        unreachable!("HMAC accepts keys of any length");
     };
     mac.update(TOKEN_KEY_PURPOSE);
     Secret::new(mac.finalize().into_bytes().to_vec())
--- a/crates/stairward-settings/src/process/reader.rs
+++ b/crates/stairward-settings/src/process/reader.rs
@@ -1,4 +1,4 @@
-//! Reads single options of a process file by the schema, and collects what is wrong.
+//! Reads individual options of a process file according to the schema, and collects problems.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -14,7 +14,7 @@
 use crate::toml_text::{self, LineIndex};
 use crate::value::Value;
 
-/// Most addresses in one list.
+/// Maximum number of addresses in one list.
 const MAXIMUM_ADDRESSES: usize = 256;
 
 pub(super) fn problem(
@@ -32,7 +32,7 @@
     }
 }
 
-fn is_table(name: &str) -> bool {
+fn is_known_table(name: &str) -> bool {
     PROCESS_OPTIONS.iter().any(|option| option.table == name)
 }
 
@@ -50,7 +50,8 @@
 }
 
 impl<'file> Reader<'file> {
-    /// Finds names that the schema does not know, in this table and those below.
+    /// Reports names that the schema does not define, in this table and its subtables. The document
+    /// itself has the empty table name.
     pub(super) fn check_names(&mut self, table: &str, content: &DeTable<'_>) {
         for (key, value) in content {
             let name = key.get_ref().as_ref();
@@ -61,8 +62,8 @@
                 format!("{table}.{name}")
             };
             match value.get_ref().as_table() {
-                Some(content) if is_table(&inner) => self.check_names(&inner, content),
-                None if is_table(&inner) => {
+                Some(content) if is_known_table(&inner) => self.check_names(&inner, content),
+                None if is_known_table(&inner) => {
                     let kind = ProblemKind::WrongType {
                         expected: "a table",
                         found: value.get_ref().type_str(),
@@ -77,12 +78,12 @@
 
     fn add_unknown_name(&mut self, table: &str, name: &str, line: Option<usize>) {
         let suggestion = if table.is_empty() {
-            toml_text::nearest_name(name, PROCESS_OPTIONS.iter().map(|option| option.table))
+            toml_text::closest_name(name, PROCESS_OPTIONS.iter().map(|option| option.table))
         } else {
             let known = PROCESS_OPTIONS
                 .iter()
                 .filter(|option| option.table == table);
-            toml_text::nearest_name(name, known.map(|option| option.name))
+            toml_text::closest_name(name, known.map(|option| option.name))
         };
         let path = if table.is_empty() { "file" } else { table };
         let kind = ProblemKind::UnknownName { suggestion };
@@ -114,7 +115,7 @@
         Some(content)
     }
 
-    /// The value in the file; a required one that is missing becomes a problem.
+    /// The value of an option in the file. Reports a problem when a required option is missing.
     fn value(&mut self, table: &str, name: &str) -> Option<&'file Spanned<DeValue<'file>>> {
         let content = self.table(table);
         let value = content.and_then(|content| content.get(name));
@@ -129,7 +130,7 @@
         value
     }
 
-    /// Adds a problem with the line of the option, if it is there, or else of its table.
+    /// Adds a problem with the line of the option if it is in the file, otherwise the line of its table.
     pub(super) fn add_problem(&mut self, table: &str, name: &str, kind: ProblemKind) {
         let line = self.line_of(table, name);
         self.problems.push(problem(table, Some(name), line, kind));
@@ -147,7 +148,7 @@
         Some(self.lines.line(&key.span()))
     }
 
-    /// The option's value read by `read`, whose failure becomes a problem.
+    /// Converts the option's value with `read`. Reports a problem when that fails.
     fn read_value<T>(
         &mut self,
         table: &str,
@@ -164,7 +165,7 @@
         }
     }
 
-    /// The number in the file, or the default when there is none.
+    /// The integer in the file, or the default of the schema.
     pub(super) fn integer(&mut self, table: &'static str, name: &'static str) -> Option<u64> {
         let schema = option_schema(table, name)?;
         if let Some(number) = self.read_value(table, name, |value| read_integer(schema, value)) {
@@ -176,7 +177,7 @@
         }
     }
 
-    /// The word in the file, or the default when there is none.
+    /// The word in the file, or the default of the schema.
     pub(super) fn word(&mut self, table: &'static str, name: &'static str) -> Option<&'static str> {
         let schema = option_schema(table, name)?;
         if let Some(word) = self.read_value(table, name, |value| read_word(schema, value)) {
--- a/crates/stairward-settings/src/process/schema.rs
+++ b/crates/stairward-settings/src/process/schema.rs
@@ -1,29 +1,29 @@
-//! The one table of options in the process file. docs/CONFIGURATION.md documents the same table; a
-//! test compares the two.
+//! The schema of the process file: a single table of all its options. docs/CONFIGURATION.md documents
+//! the same table; a test compares the two.
 
 use std::fmt;
 
 use crate::schema::Unit;
 
-/// What values of a process file option look like.
+/// The type of a process file option's values, with its constraints.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProcessValueKind {
-    /// A whole number within a range, both ends allowed.
+    /// A whole number within an inclusive range.
     Integer {
-        /// Least value.
+        /// Smallest valid value.
         minimum: u64,
-        /// Greatest value.
+        /// Largest valid value.
         maximum: u64,
     },
     /// One of these words.
     Choice(&'static [&'static str]),
     /// A name: 1 to 63 of `a-z`, `0-9`, `-`, `_`, `.`.
     Name,
-    /// An IP number and a port.
+    /// An IP address and a port other than 0.
     Address,
     /// A list of addresses.
     Addresses,
-    /// A file; a relative one is looked for beside the process file.
+    /// A file; a relative path is resolved against the directory of the process file.
     File,
 }
 
@@ -42,18 +42,18 @@
     }
 }
 
-/// What is used when an option is not in the file.
+/// The default of an option that is not in the file.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProcessDefault {
-    /// It must be there.
+    /// There is no default; the option is required.
     Required,
-    /// It must be there when its table is.
+    /// The option is required if its table is present.
     RequiredInTable,
     /// A number.
     Integer(u64),
     /// A word.
     Word(&'static str),
-    /// What the words say.
+    /// A computed or absent value, described in words.
     Described(&'static str),
 }
 
@@ -71,20 +71,20 @@
 /// One option of the process file.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ProcessOption {
-    /// The table it stands in, such as `listen` or `callers.tls`.
+    /// The table that contains it, such as `listen` or `callers.tls`.
     pub table: &'static str,
     /// Its name in the table.
     pub name: &'static str,
-    /// What its values look like.
+    /// The type of its values.
     pub kind: ProcessValueKind,
-    /// What is used when it is not there.
+    /// The default when it is not in the file.
     pub default: ProcessDefault,
-    /// What it does, in one line.
+    /// One-line description.
     pub documentation: &'static str,
 }
 
 impl ProcessOption {
-    /// The unit of its values, told by the end of its name.
+    /// The unit of its values, derived from the suffix of its name.
     #[must_use]
     pub fn unit(&self) -> Unit {
         match self.kind {
@@ -115,22 +115,22 @@
     ProcessValueKind::Integer { minimum, maximum }
 }
 
-/// Words for the log level, the least talkative first.
+/// Log levels, the least verbose first.
 pub const LOG_LEVELS: &[&str] = &["error", "warn", "info", "debug", "trace"];
-/// Words for the log format.
+/// Log formats.
 pub const LOG_FORMATS: &[&str] = &["text", "json"];
 
-/// Clients accepted when the file does not say.
+/// Default maximum number of client connections.
 pub(crate) const DEFAULT_MAXIMUM_CLIENTS: u64 = 5_000;
-/// Time for a planned stop when the file does not say, in milliseconds.
+/// Default maximum duration of a drain, in milliseconds.
 pub(crate) const DEFAULT_DRAIN_TIMEOUT_MS: u64 = 30_000;
-/// Greatest node id: SQL and JSON readers hold it exactly.
+/// Largest node id: SQL and JSON readers represent it exactly.
 const MAXIMUM_NODE_ID: u64 = (1 << 53) - 1;
 
 use ProcessDefault::{Described, Integer, Required, RequiredInTable, Word};
 use ProcessValueKind::{Address, Addresses, Choice, File, Name};
 
-/// Every option of the process file, in the order of the documentation.
+/// All options of the process file, in the order of the documentation.
 pub const PROCESS_OPTIONS: &[ProcessOption] = &[
     option(
         "node",
--- a/crates/stairward-settings/src/process/secret.rs
+++ b/crates/stairward-settings/src/process/secret.rs
@@ -1,4 +1,4 @@
-//! Keys, passwords and certificates: where a process takes them from.
+//! Sources of keys, passwords and certificates.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -19,24 +19,24 @@
 /// Largest users file accepted, in bytes.
 const MAXIMUM_USERS_BYTES: usize = 4 << 20;
 
-/// Bytes that must not appear in logs.
+/// Secret bytes. Their `Debug` output is redacted, so that they do not appear in logs.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Secret(Vec<u8>);
 
 impl Secret {
-    /// Wraps bytes.
+    /// Creates a secret from bytes.
     #[must_use]
     pub fn new(bytes: impl Into<Vec<u8>>) -> Self {
         Self(bytes.into())
     }
 
-    /// The bytes themselves.
+    /// The secret bytes.
     #[must_use]
     pub fn expose(&self) -> &[u8] {
         &self.0
     }
 
-    /// The bytes as text; none when they are not UTF-8.
+    /// The secret as text; `None` when it is not valid UTF-8.
     #[must_use]
     pub fn expose_text(&self) -> Option<&str> {
         std::str::from_utf8(&self.0).ok()
@@ -49,17 +49,17 @@
     }
 }
 
-/// Where a key or password comes from.
+/// The source of a key or password.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SecretSource {
-    /// A file; a line end at its end is not part of the secret.
+    /// A file; trailing line breaks are not part of the secret.
     File(PathBuf),
-    /// Given by the program that embeds the node.
+    /// The secret itself, for programs that embed nodes.
     Inline(Secret),
 }
 
 impl SecretSource {
-    /// Reads it, anew each time.
+    /// Loads the secret. Files are read again on each call.
     ///
     /// # Errors
     /// [`SettingsProblem`] when the file cannot be read, is empty or larger than 64 KiB.
@@ -71,23 +71,23 @@
     }
 }
 
-/// The users that may log in, and their passwords.
+/// The users that may log in, with their passwords.
 pub type Users = BTreeMap<String, Secret>;
 
-/// Where the users come from.
+/// The source of the users.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum UsersSource {
-    /// A TOML file with one `user = "password"` a line.
+    /// A TOML file with one `user = "password"` per line.
     File(PathBuf),
-    /// Given by the program that embeds the node.
+    /// The users themselves, for programs that embed nodes.
     Inline(Users),
 }
 
 impl UsersSource {
-    /// Reads them, anew each time.
+    /// Loads the users. Files are read again on each call.
     ///
     /// # Errors
-    /// Every problem of the file.
+    /// All problems of the file.
     pub fn load(&self) -> Result<Users, Vec<SettingsProblem>> {
         match self {
             Self::Inline(users) => Ok(users.clone()),
@@ -102,7 +102,7 @@
 /// A certificate chain and its private key, both PEM files.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TlsFiles {
-    /// The certificate chain, the server's own first.
+    /// The certificate chain, starting with the server's own certificate.
     pub certificate_file: PathBuf,
     /// The private key.
     pub key_file: PathBuf,
@@ -132,7 +132,7 @@
         .read_to_end(&mut bytes)
         .map_err(|error| unreadable(path, error))?;
     if bytes.len() > maximum_bytes {
-        let reason = format!("it is larger than {maximum_bytes} bytes");
+        let reason = format!("the file is larger than {maximum_bytes} bytes");
         return Err(unreadable(path, reason));
     }
     Ok(bytes)
@@ -147,7 +147,7 @@
         bytes.pop();
     }
     if bytes.is_empty() {
-        return Err(unreadable(path, "it is empty"));
+        return Err(unreadable(path, "the file is empty"));
     }
     Ok(Secret(bytes))
 }
--- a/crates/stairward-settings/src/toml_text.rs
+++ b/crates/stairward-settings/src/toml_text.rs
@@ -1,4 +1,5 @@
-//! What both kinds of TOML file share: lines of spans, and the parser's errors as problems.
+//! TOML parsing shared by process files and settings trees: line numbers of spans, and syntax errors
+//! as [`SettingsProblem`]s.
 
 use std::ops::Range;
 
@@ -12,7 +13,7 @@
 /// Largest file accepted, in bytes.
 pub(crate) const MAXIMUM_FILE_BYTES: usize = 16 << 20;
 
-/// Where each line of a text starts.
+/// Byte offsets of the line starts of a text, for mapping spans to line numbers.
 pub(crate) struct LineIndex {
     starts: Vec<usize>,
 }
@@ -25,13 +26,13 @@
         }
     }
 
-    /// The line, counted from 1, in which a span starts.
+    /// The line number, counted from 1, at which a span starts.
     pub(crate) fn line(&self, span: &Range<usize>) -> usize {
         self.starts.partition_point(|start| *start <= span.start)
     }
 }
 
-/// Parses a text, or says at which line it is not TOML.
+/// Parses TOML; a syntax error becomes a problem with its line and the given code.
 pub(crate) fn parse<'text>(
     text: &'text str,
     lines: &LineIndex,
@@ -54,7 +55,7 @@
         .map_err(|error| syntax_problem(error.message(), error.span()))
 }
 
-/// A TOML value as an option's value.
+/// Converts a TOML value to an option's value.
 pub(crate) fn option_value(value: &DeValue<'_>) -> Result<Value, ProblemKind> {
     if let Some(number) = value.as_integer() {
         let digits = number.as_str().replace('_', "");
@@ -74,17 +75,17 @@
     })
 }
 
-/// Least likeness, by Jaro and Winkler's measure, of a name that is suggested for a misspelt one.
-const LEAST_LIKENESS: f64 = 0.8;
+/// Minimum Jaro-Winkler similarity at which a known name is suggested for an unknown one.
+const MINIMUM_SIMILARITY: f64 = 0.8;
 
-/// The known name most like a misspelt one, if any is much like it.
-pub(crate) fn nearest_name<'name>(
-    wrong: &str,
+/// The known name most similar to an unknown one, if any reaches [`MINIMUM_SIMILARITY`].
+pub(crate) fn closest_name<'name>(
+    unknown: &str,
     known: impl Iterator<Item = &'name str>,
 ) -> Option<String> {
     known
-        .map(|name| (strsim::jaro_winkler(wrong, name), name))
-        .filter(|(likeness, _)| *likeness >= LEAST_LIKENESS)
+        .map(|name| (strsim::jaro_winkler(unknown, name), name))
+        .filter(|(similarity, _)| *similarity >= MINIMUM_SIMILARITY)
         .max_by(|(left, _), (right, _)| left.total_cmp(right))
         .map(|(_, name)| name.to_owned())
 }
--- a/crates/stairward-settings/src/tree/bounds.rs
+++ b/crates/stairward-settings/src/tree/bounds.rs
@@ -1,4 +1,4 @@
-//! Values that must not exceed others, such as a wait within a request and the request's own time.
+//! Bounds between options, such as waits within a request, which must not exceed the request's timeout.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use crate::resolved::{BackendSettings, GroupSettings};
 use crate::schema::SettingsOption;
 
-/// A value that must not exceed another.
+/// A constraint that the value of one option must not exceed that of another.
 pub(super) struct Bound {
     option: SettingsOption,
     value: u64,
@@ -16,8 +16,8 @@
     limit: u64,
 }
 
-/// No wait within a request may outlast the request, and a queue that holds requests must have room
-/// for the largest one.
+/// Bounds of a group: no wait within a request may exceed the request's timeout, and a hold queue that
+/// admits requests must have room for the largest message.
 pub(super) fn group_bounds(group: &GroupSettings) -> Vec<Bound> {
     let within_request = |option: SettingsOption, wait: Duration| Bound {
         option,
@@ -41,7 +41,8 @@
     bounds
 }
 
-/// Statements and openings each need a connection of the back end's limit.
+/// Bounds of a back end: concurrent statements and connection openings each use a connection, so neither
+/// may exceed the connection limit.
 pub(super) fn backend_bounds(backend: &BackendSettings) -> Vec<Bound> {
     let within_limit = |option: SettingsOption, value: u32| Bound {
         option,
@@ -59,8 +60,8 @@
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// The bounds that are broken, each told of the option that causes it, at the place that sets it.
-pub(super) fn contradictions(
+/// The violated bounds. Each is reported for the option that causes it, at the place that sets it.
+pub(super) fn violations(
     tree: &SettingsTree,
     path: &SettingsPath,
     bounds: &[Bound],
@@ -68,11 +69,11 @@
     bounds
         .iter()
         .filter(|bound| bound.value > bound.limit)
-        .map(|bound| contradiction(tree, path, bound))
+        .map(|bound| violation(tree, path, bound))
         .collect()
 }
 
-fn contradiction(tree: &SettingsTree, path: &SettingsPath, bound: &Bound) -> SettingsProblem {
+fn violation(tree: &SettingsTree, path: &SettingsPath, bound: &Bound) -> SettingsProblem {
     let is_set = |place: &SettingsPath, option: SettingsOption| {
         tree.options_at(place)
             .is_some_and(|options| options.contains_key(&option))
--- a/crates/stairward-settings/src/tree/difference.rs
+++ b/crates/stairward-settings/src/tree/difference.rs
@@ -1,29 +1,30 @@
-//! The changes that lead from one tree to another, so that a whole file can be sent as one edit.
+//! The changes that turn one tree into another, by which a whole file is submitted as a single edit.
 
 use super::{PlaceOptions, SettingsTree};
 use crate::edit::Change;
 use crate::path::SettingsPath;
 
 impl SettingsTree {
-    /// The changes that make this tree equal to `target`: first removals, then the rest in the order
-    /// of the places. Empty when the trees are equal.
+    /// The changes that make this tree equal to `target`: first removals, then the others in path order.
+    /// Empty when the trees are equal.
     #[must_use]
     pub fn changes_to(&self, target: &Self) -> Vec<Change> {
         let mut changes: Vec<_> = self
             .removed_places(target)
             .map(|path| Change::Remove { path: path.clone() })
             .collect();
-        for (path, wanted) in target.places() {
+        for (path, desired) in target.places() {
             match self.options_at(path) {
-                Some(present) => changes.extend(option_changes(path, present, wanted)),
-                None if wanted.is_empty() => changes.push(Change::Add { path: path.clone() }),
-                None => changes.extend(option_changes(path, &PlaceOptions::new(), wanted)),
+                Some(current) => changes.extend(option_changes(path, current, desired)),
+                None if desired.is_empty() => changes.push(Change::Add { path: path.clone() }),
+                None => changes.extend(option_changes(path, &PlaceOptions::new(), desired)),
             }
         }
         changes
     }
 
-    /// Places that `target` lacks although it has the place above them.
+    /// The topmost places that `target` lacks: those whose parent it has. Removing them removes all
+    /// places below.
     fn removed_places<'tree>(
         &'tree self,
         target: &'tree Self,
@@ -40,23 +41,23 @@
 
 fn option_changes(
     path: &SettingsPath,
-    present: &PlaceOptions,
-    wanted: &PlaceOptions,
+    current: &PlaceOptions,
+    desired: &PlaceOptions,
 ) -> Vec<Change> {
-    let taken_back = present
+    let unset = current
         .keys()
-        .filter(|option| !wanted.contains_key(option))
+        .filter(|option| !desired.contains_key(option))
         .map(|option| Change::Unset {
             path: path.clone(),
             option: *option,
         });
-    let set = wanted
+    let set = desired
         .iter()
-        .filter(|(option, value)| present.get(option) != Some(value))
+        .filter(|(option, value)| current.get(option) != Some(value))
         .map(|(option, value)| Change::Set {
             path: path.clone(),
             option: *option,
             value: value.clone(),
         });
-    taken_back.chain(set).collect()
+    unset.chain(set).collect()
 }
--- a/crates/stairward-settings/src/tree/explain.rs
+++ b/crates/stairward-settings/src/tree/explain.rs
@@ -1,4 +1,4 @@
-//! Which value is in force at a place, and where it comes from.
+//! The effective values at a place, and their origin.
 
 use std::fmt;
 
@@ -9,15 +9,15 @@
 use crate::schema::{DefaultValue, SettingsOption};
 use crate::value::Value;
 
-/// Where a value in force comes from.
+/// The origin of an effective value.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Origin {
-    /// It is set at this place, which is the place itself or one above it.
+    /// The value is set at this path, which is the place itself or one of its ancestors.
     SetAt(SettingsPath),
-    /// No place sets it; it is the schema's default.
+    /// The value is not set; it is the default of the schema.
     Default,
-    /// No place sets it and the schema has no default.
+    /// The value is not set, and the schema has no default.
     Missing,
 }
 
@@ -31,18 +31,18 @@
     }
 }
 
-/// One option at one place: its value and where that comes from.
+/// The effective value of one option at one place, and its origin.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct ExplainedValue {
     /// The option.
     pub option: SettingsOption,
-    /// The value in force; none when it has to be set and is not.
+    /// The effective value; `None` when a required option is not set.
     pub value: Option<Value>,
-    /// Where it comes from.
+    /// The origin of the value.
     pub origin: Origin,
 }
 
-/// What is set at a place and at those above it, the place itself first.
+/// The options set at a place and its ancestors, the place itself first.
 pub(super) struct Inheritance<'tree> {
     path: &'tree SettingsPath,
     places: Vec<(SettingsPath, &'tree PlaceOptions)>,
@@ -60,12 +60,12 @@
         Self { path, places }
     }
 
-    /// The place's own path.
+    /// The path of the place.
     pub(super) const fn path(&self) -> &'tree SettingsPath {
         self.path
     }
 
-    /// The value in force; none when it has to be set and is not.
+    /// The effective value; `None` when a required option is not set.
     pub(super) fn value(&self, option: SettingsOption) -> Option<Value> {
         let set = self
             .places
@@ -94,8 +94,8 @@
 }
 
 impl SettingsTree {
-    /// Every option that matters at a place, its value in force and where that comes from; none when
-    /// there is no such place.
+    /// The effective values of all options that may be set at the place's level or above it, with their
+    /// origins; `None` when there is no such place.
     #[must_use]
     pub fn explain(&self, path: &SettingsPath) -> Option<Vec<ExplainedValue>> {
         self.options_at(path)?;
@@ -108,7 +108,7 @@
         Some(explained)
     }
 
-    /// One option's value in force at a place, and where that comes from.
+    /// The effective value of one option at a place, and its origin.
     #[must_use]
     pub fn explain_option(&self, path: &SettingsPath, option: SettingsOption) -> ExplainedValue {
         Inheritance::new(self, path).explain(option)
--- a/crates/stairward-settings/src/tree/load.rs
+++ b/crates/stairward-settings/src/tree/load.rs
@@ -1,4 +1,4 @@
-//! A settings tree from TOML, with the line of everything that is wrong.
+//! Loads a settings tree from TOML and reports each problem with its line.
 
 use std::collections::BTreeMap;
 
@@ -12,19 +12,19 @@
 use crate::schema::SettingsOption;
 use crate::toml_text::{self, LineIndex};
 
-/// The table that holds the root's options.
+/// Name of the table with the root's options.
 pub(crate) const ROOT_TABLE: &str = "root";
-/// The table that holds the regions.
+/// Name of the table with the regions.
 pub(crate) const REGION_TABLE: &str = "region";
 
 impl SettingsTree {
-    /// Reads a tree from TOML and checks it as a whole.
+    /// Parses a tree from TOML and validates it as a whole.
     ///
-    /// Options of the whole fleet stand in `[root]`, others in tables named like their path, for
-    /// example `[region.south.service.reader-core]`.
+    /// Options of the whole fleet are in `[root]`, others in tables named after their path, for example
+    /// `[region.south.service.reader-core]`.
     ///
     /// # Errors
-    /// Every problem found, each with its line where it has one.
+    /// All problems found, with their lines where known.
     pub fn from_toml(text: &str) -> Result<Self, Vec<SettingsProblem>> {
         let mut loader = Loader::new(text);
         match toml_text::parse(text, &loader.lines, ResultCode::InvalidSettings) {
@@ -34,7 +34,7 @@
         if let Err(problems) = loader.tree.resolve() {
             let with_lines: Vec<_> = problems
                 .into_iter()
-                .filter(|problem| !loader.is_consequence(problem))
+                .filter(|problem| !loader.is_caused_by_rejected_value(problem))
                 .map(|problem| loader.with_line(problem))
                 .collect();
             loader.problems.extend(with_lines);
@@ -75,7 +75,7 @@
                 other => {
                     let known = [ROOT_TABLE, REGION_TABLE].into_iter();
                     let kind = ProblemKind::UnknownName {
-                        suggestion: toml_text::nearest_name(other, known),
+                        suggestion: toml_text::closest_name(other, known),
                     };
                     self.add_problem(&SettingsPath::Root, other, line, kind);
                 }
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Reads a table of places, such as `region`, whose keys are their names.
+    /// Reads a table of child places, such as `region`, keyed by their names.
     fn read_children(&mut self, parent: &SettingsPath, line: usize, value: &Spanned<DeValue<'_>>) {
         let level = parent.child_level().map(|level| level.to_string());
         let level = level.unwrap_or_default();
@@ -144,7 +144,7 @@
         let Ok(option) = SettingsOption::from_name(name) else {
             let known = SettingsOption::ALL.iter().map(|option| option.name());
             let kind = ProblemKind::UnknownName {
-                suggestion: toml_text::nearest_name(name, known),
+                suggestion: toml_text::closest_name(name, known),
             };
             self.add_problem(path, name, line, kind);
             return;
@@ -182,14 +182,15 @@
         self.problems.push(problem);
     }
 
-    /// Whether a value is missing only because the one in the file was refused.
-    fn is_consequence(&self, problem: &SettingsProblem) -> bool {
-        let is_refused =
-            |told: &SettingsProblem| told.path == problem.path && told.option == problem.option;
-        *problem.kind == ProblemKind::Missing && self.problems.iter().any(is_refused)
+    /// Whether a value is reported as missing only because the value in the file was rejected.
+    fn is_caused_by_rejected_value(&self, problem: &SettingsProblem) -> bool {
+        let is_rejected = |reported: &SettingsProblem| {
+            reported.path == problem.path && reported.option == problem.option
+        };
+        *problem.kind == ProblemKind::Missing && self.problems.iter().any(is_rejected)
     }
 
-    /// Adds the line of the option in force, or else of the place.
+    /// Adds the line at which the effective value of the option is set, otherwise the line of the place.
     fn with_line(&self, problem: SettingsProblem) -> SettingsProblem {
         let Ok(path) = problem.path.parse::<SettingsPath>() else {
             return problem;
--- a/crates/stairward-settings/src/tree/mod.rs
+++ b/crates/stairward-settings/src/tree/mod.rs
@@ -1,4 +1,4 @@
-//! The settings tree: values set at places, each place inheriting from the one above.
+//! The settings tree: options set at places, each of which inherits from its parent.
 
 mod bounds;
 mod difference;
@@ -21,16 +21,16 @@
 use crate::schema::SettingsOption;
 use crate::value::Value;
 
-/// Most places a tree may have, of all levels together. Bounds the memory of every node.
+/// Maximum number of places in a tree, over all levels. Bounds the memory use of every node.
 pub const MAXIMUM_PLACES: usize = 20_000;
 
-/// The options set at one place.
+/// The options set at one place, without inherited ones.
 pub type PlaceOptions = BTreeMap<SettingsOption, Value>;
 
-/// Values set at places: root, regions, services, groups, back ends.
+/// Options set at places: the root, regions, services, groups and back ends.
 ///
-/// Every value in it fits its option and level, and every place has its parent. Whether the tree is
-/// valid as a whole is said by [`SettingsTree::resolve`].
+/// Invariants: each value conforms to the schema of its option, each option may be set at its level, and
+/// the parent of each place is in the tree. [`SettingsTree::resolve`] validates the tree as a whole.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(
     try_from = "BTreeMap<SettingsPath, PlaceOptions>",
@@ -48,7 +48,7 @@
     }
 }
 
-/// A document whose tree has a value that does not fit the schema.
+/// A serialized tree with a value that violates the schema.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display("{problem}"))]
 pub struct InvalidTree {
@@ -57,13 +57,13 @@
 }
 
 impl SettingsTree {
-    /// A tree in which nothing is set.
+    /// Creates a tree with no options set.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Adds a place, and those above it, with nothing set. A place that is there keeps its options.
+    /// Adds a place and its missing ancestors with no options set. Existing places keep their options.
     pub fn add_place(&mut self, path: &SettingsPath) {
         for place in path.self_and_ancestors() {
             if self.places.contains_key(&place) {
@@ -73,10 +73,11 @@
         }
     }
 
-    /// Sets an option, adding the place when it is new.
+    /// Sets an option, adding the place if it does not exist.
     ///
     /// # Errors
-    /// [`SettingsProblem`] when the value does not fit the option, or the option not the level.
+    /// [`SettingsProblem`] when the value is not valid for the option, or the option may not be set at
+    /// the level of the place.
     pub fn set(
         &mut self,
         path: &SettingsPath,
@@ -94,32 +95,33 @@
         Ok(())
     }
 
-    /// Takes an option back, so that the place inherits it again. The place itself stays.
+    /// Unsets an option, so that the place inherits it again, and returns the previous value. The place
+    /// itself remains in the tree.
     pub fn unset(&mut self, path: &SettingsPath, option: SettingsOption) -> Option<Value> {
         self.places.get_mut(path)?.remove(&option)
     }
 
-    /// Removes a place and all below it; of the root, only what lies below and is set. Returns
-    /// whether the place was there.
+    /// Removes a place and all its descendants. Removing the root clears its options and all other
+    /// places, but the root itself remains. Returns whether the place existed.
     pub fn remove(&mut self, path: &SettingsPath) -> bool {
-        let was_there = self.places.contains_key(path);
+        let existed = self.places.contains_key(path);
         self.places.retain(|place, _| !place.is_within(path));
         self.add_place(&SettingsPath::Root);
-        was_there
+        existed
     }
 
-    /// What is set at a place itself, without inheritance; none when there is no such place.
+    /// The options set at a place itself, without inheritance; `None` when there is no such place.
     #[must_use]
     pub fn options_at(&self, path: &SettingsPath) -> Option<&PlaceOptions> {
         self.places.get(path)
     }
 
-    /// Every place, with what is set there.
+    /// All places in path order, with the options set at each.
     pub fn places(&self) -> impl Iterator<Item = (&SettingsPath, &PlaceOptions)> {
         self.places.iter()
     }
 
-    /// Every place directly below this one.
+    /// The children of a place.
     pub fn children<'tree>(
         &'tree self,
         path: &'tree SettingsPath,
@@ -130,7 +132,7 @@
     }
 }
 
-/// A problem at a place of the tree.
+/// Creates a problem at a place of the tree.
 pub(crate) fn problem(
     path: &SettingsPath,
     option: Option<SettingsOption>,
--- a/crates/stairward-settings/src/tree/resolve.rs
+++ b/crates/stairward-settings/src/tree/resolve.rs
@@ -1,4 +1,4 @@
-//! Inheritance applied: from the tree to what is in force for each group and service.
+//! Resolution of a tree to the effective settings of each service, group and back end.
 
 use std::str::FromStr;
 use std::time::Duration;
@@ -14,11 +14,11 @@
 use crate::value::Value;
 
 impl SettingsTree {
-    /// Applies inheritance and checks the tree as a whole. The result has revision 0; whoever knows
-    /// the revision sets it.
+    /// Applies inheritance and validates the tree as a whole. The result has revision 0, since a tree
+    /// does not know its revision; the caller sets it.
     ///
     /// # Errors
-    /// Every problem found; at least one.
+    /// All problems found; at least one.
     pub fn resolve(&self) -> Result<ResolvedSettings, Vec<SettingsProblem>> {
         let mut problems = validate::check_names(self);
         let mut resolved = ResolvedSettings::default();
@@ -40,7 +40,7 @@
                 }
             }
         }
-        problems.extend(validate::check_whole(self, &resolved));
+        problems.extend(validate::check_consistency(self, &resolved));
         if problems.is_empty() {
             let ResolvedSettings {
                 groups, services, ..
@@ -120,8 +120,8 @@
     }
 }
 
-/// Reads values in force at one place. A required value that is not set becomes a problem; a value
-/// of the wrong kind cannot be in a tree.
+/// Reads the effective values at one place. A required value that is not set is reported as a problem;
+/// a tree contains no values of the wrong type.
 struct Values<'tree> {
     inheritance: Inheritance<'tree>,
     problems: &'tree mut Vec<SettingsProblem>,
--- a/crates/stairward-settings/src/tree/validate.rs
+++ b/crates/stairward-settings/src/tree/validate.rs
@@ -1,19 +1,19 @@
-//! Checks of the tree as a whole: what no single option can tell.
+//! Validation of the tree as a whole, across options and places.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
 use stairward_types::AdminState;
 
-use super::bounds::{backend_bounds, contradictions, group_bounds};
+use super::bounds::{backend_bounds, group_bounds, violations};
 use super::{MAXIMUM_PLACES, SettingsTree, problem};
 use crate::path::{Level, SettingsPath};
 use crate::problem::{ProblemKind, SettingsProblem};
 use crate::resolved::{GroupSettings, ResolvedSettings};
 use crate::schema::SettingsOption;
 
-/// Checks that services, groups and back ends have names unique in the fleet, and that the tree is
-/// not too large.
+/// Checks that the names of services, groups and back ends are unique in the fleet, and that the tree
+/// does not exceed [`MAXIMUM_PLACES`].
 pub(super) fn check_names(tree: &SettingsTree) -> Vec<SettingsProblem> {
     let mut problems = Vec::new();
     let count = tree.places().count();
@@ -40,7 +40,7 @@
     problems
 }
 
-/// The name of a place that must be unique among places of its level.
+/// The name of a place, if it must be unique among the places of its level.
 fn unique_name(path: &SettingsPath) -> Option<&str> {
     match path {
         SettingsPath::Root | SettingsPath::Region(_) => None,
@@ -50,8 +50,8 @@
     }
 }
 
-/// Checks what is in force: addresses, members and limits that contradict each other.
-pub(super) fn check_whole(
+/// Checks the effective settings for duplicate addresses, members of groups and violated bounds.
+pub(super) fn check_consistency(
     tree: &SettingsTree,
     resolved: &ResolvedSettings,
 ) -> Vec<SettingsProblem> {
@@ -65,7 +65,7 @@
                 if let Some(settings) = resolved.groups.get(group) {
                     let members = member_counts.get(path).copied().unwrap_or_default();
                     check_members(path, members, settings, &mut problems);
-                    problems.extend(contradictions(tree, path, &group_bounds(settings)));
+                    problems.extend(violations(tree, path, &group_bounds(settings)));
                 }
             }
             SettingsPath::Backend(_, _, group, backend) => {
@@ -74,7 +74,7 @@
                     .get(group)
                     .and_then(|group| group.backends.get(backend));
                 let Some(settings) = settings else { continue };
-                problems.extend(contradictions(tree, path, &backend_bounds(settings)));
+                problems.extend(violations(tree, path, &backend_bounds(settings)));
                 if let Some(other) = addresses.insert(settings.address, path) {
                     let kind = ProblemKind::DuplicateAddress {
                         address: settings.address,
@@ -85,10 +85,10 @@
             }
         }
     }
-    without_repetitions(problems)
+    deduplicate(problems)
 }
 
-/// How many back ends the tree has below each group.
+/// Counts the back ends of each group in the tree.
 fn count_members(tree: &SettingsTree) -> BTreeMap<SettingsPath, usize> {
     let mut counts = BTreeMap::new();
     for (path, _) in tree.places() {
@@ -102,9 +102,10 @@
     counts
 }
 
-/// A group needs members, and a majority of them must be in use: members that join or leave cannot be
-/// counted on to confirm writes. A group whose members all join is being set up. Members without an
-/// address or zone are problems of their own.
+/// Checks that a group has members and that a majority of them is active, because joining and leaving
+/// members cannot be relied upon to confirm writes. A group whose members are all joining is being set
+/// up and exempt. Groups with members that lack an address or zone are skipped, since those are reported
+/// as problems of their own.
 fn check_members(
     path: &SettingsPath,
     members: usize,
@@ -122,9 +123,9 @@
             .filter(|backend| backend.admin_state == state)
             .count()
     };
-    let are_all_usable = group.backends.len() == members;
+    let are_all_resolved = group.backends.len() == members;
     let is_being_set_up = in_state(AdminState::Joining) == members;
-    if !are_all_usable || is_being_set_up {
+    if !are_all_resolved || is_being_set_up {
         return;
     }
     let active = in_state(AdminState::Active);
@@ -139,18 +140,18 @@
     }
 }
 
-/// Drops repetitions of a problem that many places inherit.
-fn without_repetitions(problems: Vec<SettingsProblem>) -> Vec<SettingsProblem> {
+/// Removes duplicates, which arise when many places inherit the same cause.
+fn deduplicate(problems: Vec<SettingsProblem>) -> Vec<SettingsProblem> {
     let mut seen = BTreeSet::new();
     problems
         .into_iter()
         .filter(|problem| {
-            let told = (
+            let key = (
                 problem.path.clone(),
                 problem.option.clone(),
                 problem.kind.to_string(),
             );
-            seen.insert(told)
+            seen.insert(key)
         })
         .collect()
 }
--- a/crates/stairward-settings/tests/configuration_page.rs
+++ b/crates/stairward-settings/tests/configuration_page.rs
@@ -1,4 +1,4 @@
-//! docs/CONFIGURATION.md says what the two schemas say, both ways.
+//! Compares the option tables of docs/CONFIGURATION.md with the two schemas, in both directions.
 
 use std::collections::BTreeSet;
 use std::path::Path;
@@ -6,7 +6,7 @@
 use stairward_settings::SettingsOption;
 use stairward_settings::process::PROCESS_OPTIONS;
 
-/// Cells of a row of either table; the first is the option's name in code marks.
+/// Number of cells in a row of either table; the first is the option's name in backticks.
 const CELLS: usize = 6;
 
 fn rows_of_section(heading: &str) -> BTreeSet<Vec<String>> {
--- a/crates/stairward-settings/tests/examples.rs
+++ b/crates/stairward-settings/tests/examples.rs
@@ -1,4 +1,4 @@
-//! The example files are valid and hold the sizes of the two sites.
+//! The example files are valid and contain the sizes of the two sites.
 
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn lintas_has_its_sizes_and_lets_browsing_be_stale() {
+fn lintas_example_has_its_sizes_and_allows_stale_reads() {
     let settings = resolve("lintas.toml");
     assert_sizes(&settings, ["kul-a", "sgp-b", "jhb-a"], 5, 40);
     for group in settings.groups.values() {
@@ -55,12 +55,12 @@
 }
 
 #[test]
-fn krvny_most_has_its_sizes_and_holds_more_requests() {
+fn krvny_most_example_has_its_sizes_and_a_longer_hold_queue_time() {
     let settings = resolve("krvny-most.toml");
     assert_sizes(&settings, ["ba-hall-a", "za-hall-b", "ke-hall-c"], 10, 100);
     let lintas = resolve("lintas.toml");
-    let lintas_holds = |group: &stairward_settings::GroupSettings| group.hold_queue_time;
-    let longest_of_lintas = lintas.groups.values().map(lintas_holds).max();
+    let hold_queue_time = |group: &stairward_settings::GroupSettings| group.hold_queue_time;
+    let longest_of_lintas = lintas.groups.values().map(hold_queue_time).max();
     for group in settings.groups.values() {
         assert!(Some(group.hold_queue_time) > longest_of_lintas);
         assert!(group.hold_queue_time <= group.request_timeout);
--- a/crates/stairward-settings/tests/process_file.rs
+++ b/crates/stairward-settings/tests/process_file.rs
@@ -1,4 +1,4 @@
-//! The process file: everything it can say, and everything that is refused, with its line.
+//! The process file: all its options and defaults, and the problems reported with their lines.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -55,7 +55,7 @@
 timeout_ms = 1500
 "#;
 
-const LEAST: &str = r#"[node]
+const MINIMAL: &str = r#"[node]
 region = "south"
 zone = "south-a"
 [listen]
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn every_option_is_taken_over() {
+fn every_option_is_read() {
     let settings = read(FULL).expect("a valid file");
     assert_eq!(settings.node.id, Some(NodeId(17)));
     assert_eq!(settings.node.zone.as_str(), "south-a");
@@ -114,8 +114,8 @@
 }
 
 #[test]
-fn options_left_out_have_their_defaults() {
-    let settings = read(LEAST).expect("a valid file");
+fn omitted_options_have_their_defaults() {
+    let settings = read(MINIMAL).expect("a valid file");
     assert_eq!(settings.node.id, None);
     assert!(settings.cluster.seeds.is_empty());
     assert_eq!(settings.callers.maximum_clients, 5_000);
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn each_bad_line_is_told() {
+fn each_invalid_value_is_reported_with_its_line() {
     let cases = [
         (
             "zone = \"south-a\"",
@@ -186,37 +186,40 @@
             "3600001 is not",
         ),
     ];
-    for (good, bad, message) in cases {
-        let text = LEAST.replacen(good, bad, 1);
+    for (valid, invalid, message) in cases {
+        let text = MINIMAL.replacen(valid, invalid, 1);
         let problems = read(&text).expect_err("an invalid file");
-        let told = problems
+        let reported = problems
             .iter()
             .find(|problem| problem.to_string().contains(message));
-        let told = told.unwrap_or_else(|| panic!("{bad:?}: {problems:?}"));
-        assert_eq!(told.code, ResultCode::InvalidProcessFile);
-        let wrong_lines: Vec<_> = (1..)
+        let reported = reported.unwrap_or_else(|| panic!("{invalid:?}: {problems:?}"));
+        assert_eq!(reported.code, ResultCode::InvalidProcessFile);
+        let changed_lines: Vec<_> = (1..)
             .zip(text.lines())
-            .filter(|(_, line)| !LEAST.lines().any(|good| good == *line))
+            .filter(|(_, line)| !MINIMAL.lines().any(|valid| valid == *line))
             .map(|(number, _)| Some(number))
             .collect();
-        assert!(wrong_lines.contains(&told.line), "{bad:?}: {told}");
+        assert!(
+            changed_lines.contains(&reported.line),
+            "{invalid:?}: {reported}"
+        );
     }
 }
 
 #[test]
-fn what_is_missing_is_told_with_its_table() {
-    let text = LEAST.replace("peer = \"10.0.0.1:6433\"\n", "");
+fn missing_options_are_reported_with_their_table() {
+    let text = MINIMAL.replace("peer = \"10.0.0.1:6433\"\n", "");
     let problems = read(&text).expect_err("an invalid file");
     assert_eq!(problems.len(), 1);
     let place = (problems[0].path.as_str(), problems[0].option.as_deref());
     assert_eq!(place, ("listen", Some("peer")));
     assert_eq!(problems[0].line, Some(4));
-    let nothing = read("").expect_err("an invalid file");
-    assert_eq!(nothing.len(), 9, "one for each required option");
+    let problems_of_empty = read("").expect_err("an invalid file");
+    assert_eq!(problems_of_empty.len(), 9, "one for each required option");
 }
 
 #[test]
-fn half_a_certificate_is_refused() {
+fn a_certificate_without_a_key_is_refused() {
     let text = FULL.replace("key_file = \"client.key\"\n", "");
     let problems = read(&text).expect_err("an invalid file");
     assert_eq!(problems.len(), 1);
@@ -225,7 +228,7 @@
 }
 
 #[test]
-fn an_open_admin_interface_needs_a_token_and_tls() {
+fn an_admin_interface_beyond_loopback_needs_a_token_and_tls() {
     let without_token = FULL.replace("token_file = \"keys/admin\"\n", "");
     let problems = read(&without_token).expect_err("an invalid file");
     assert_eq!(*problems[0].kind, ProblemKind::UnprotectedAdmin);
@@ -235,8 +238,8 @@
 }
 
 #[test]
-fn two_listeners_do_not_share_an_address() {
-    let text = LEAST.replace("10.0.0.1:6433", "10.0.0.1:6432");
+fn listeners_with_the_same_address_are_refused() {
+    let text = MINIMAL.replace("10.0.0.1:6433", "10.0.0.1:6432");
     let problems = read(&text).expect_err("an invalid file");
     assert!(
         problems[0]
@@ -246,8 +249,8 @@
 }
 
 #[test]
-fn a_node_id_follows_from_the_peer_address() {
-    let mut settings = read(LEAST).expect("a valid file");
+fn a_node_id_is_derived_from_the_peer_address() {
+    let mut settings = read(MINIMAL).expect("a valid file");
     let peer = address("10.0.0.1:6433");
     assert_eq!(settings.node_id(peer), NodeId(0x0A00_0001_1921));
     let mapped = address("[::ffff:10.0.0.1]:6433");
@@ -260,7 +263,7 @@
 }
 
 #[test]
-fn secrets_are_read_from_files_and_never_shown() {
+fn secrets_are_read_from_files_and_redacted_in_debug_output() {
     let directory = Path::new(env!("CARGO_TARGET_TMPDIR"));
     let write = |name: &str, text: &str| {
         let path = directory.join(name);
@@ -277,11 +280,11 @@
     let users = UsersSource::File(write("users", "ann = \"one\"\n\"b.c\" = \"two\"\n"));
     let users = users.load().expect("users");
     assert_eq!(users["b.c"], Secret::new("two"));
-    let bad = UsersSource::File(write(
+    let invalid = UsersSource::File(write(
         "bad-users",
         "ann = \"one\"\nbob = 3\neve = \"\"\n\"\" = \"x\"\n",
     ));
-    let problems = bad.load().expect_err("bad users");
+    let problems = invalid.load().expect_err("invalid users");
     let lines: Vec<_> = problems.iter().map(|problem| problem.line).collect();
     assert_eq!(lines, [Some(2), Some(3), Some(4)]);
 }
--- a/crates/stairward-settings/tests/properties.rs
+++ b/crates/stairward-settings/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Properties that hold for any edits and any text.
+//! Properties that hold for arbitrary edits and arbitrary text.
 
 use std::path::Path;
 
@@ -13,7 +13,7 @@
 const TREE: &str = include_str!("../../../examples/lintas.toml");
 const PROCESS_FILE: &str = include_str!("../../../examples/node.toml");
 
-/// Places that random changes are made at: few, so that changes meet each other.
+/// Places of random changes: few, so that changes interact with each other.
 const PLACES: [&str; 7] = [
     "root",
     "region/malaysia",
@@ -24,9 +24,9 @@
     "region/malaysia/service/reader-core/group/new/backend/new-a",
 ];
 
-/// Changes that fit the schema, by the index of their place. Some are valid only together with
-/// others, some never.
-const FITTING: [(usize, SettingsOption, Setting); 14] = [
+/// Changes that conform to the schema, by the index of their place. In the context of the tree some are
+/// valid only together with others, and some never.
+const CONFORMING: [(usize, SettingsOption, Setting); 14] = [
     (0, SettingsOption::Slots, Setting::Number(8)),
     (0, SettingsOption::ConnectionLimit, Setting::Number(6)),
     (0, SettingsOption::RequestTimeout, Setting::Number(4_000)),
@@ -43,8 +43,8 @@
     (6, SettingsOption::Zone, Setting::Text("kul-a")),
 ];
 
-/// Values of any kind: within ranges, at their ends, and beyond.
-const ANY: [Setting; 8] = [
+/// Values of any type: within ranges, at their limits, and beyond.
+const ANY_VALUE: [Setting; 8] = [
     Setting::Number(0),
     Setting::Number(1),
     Setting::Number(10_000),
@@ -73,7 +73,7 @@
 #[derive(Debug, Clone, TypeGenerator)]
 struct RandomChange {
     kind: u8,
-    fitting: u8,
+    conforming: u8,
     place: u8,
     option: u8,
     value: u8,
@@ -97,7 +97,7 @@
 
 impl RandomChange {
     fn change(&self) -> Change {
-        let (index, option, setting) = pick(&FITTING, self.fitting);
+        let (index, option, setting) = pick(&CONFORMING, self.conforming);
         let any_place = usize::from(self.place) % PLACES.len();
         match self.kind % 16 {
             0 => Change::Remove {
@@ -106,7 +106,7 @@
             1 => Change::Set {
                 path: place(any_place),
                 option: pick(SettingsOption::ALL, self.option),
-                value: pick(&ANY, self.value).into(),
+                value: pick(&ANY_VALUE, self.value).into(),
             },
             2..6 => Change::Unset {
                 path: place(index),
@@ -122,7 +122,7 @@
 }
 
 impl RandomEdit {
-    /// The edit on top of a document: mostly on its newest revision and with a new change id.
+    /// The edit for a document: mostly based on its newest revision and with a new change id.
     fn edit(&self, number: u64, document: &SettingsDocument) -> Edit {
         let newest = document.revision().0;
         let based_on = match self.kind % 16 {
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn edits_keep_the_tree_valid_or_are_refused_and_revisions_only_grow() {
+fn edits_are_refused_or_lead_to_a_valid_tree_and_a_higher_revision() {
     let first = first_document();
     check!()
         .with_type::<Vec<RandomEdit>>()
@@ -167,7 +167,7 @@
         });
 }
 
-/// Applies an edit, checks what came of it, and returns the document in force afterwards.
+/// Applies an edit, checks the result, and returns the document afterwards.
 fn check_edit(document: &SettingsDocument, edit: &Edit) -> SettingsDocument {
     match document.apply(edit) {
         Ok(next) => {
@@ -175,7 +175,7 @@
             assert_eq!(next.revision().0, document.revision().0 + 1);
             let resolved = next.resolve().expect("an accepted tree is valid");
             assert_eq!(resolved.revision, next.revision());
-            let again = next.apply(edit).expect_err("applied before");
+            let again = next.apply(edit).expect_err("already applied");
             let revision = next.revision();
             assert_eq!(again, EditError::AlreadyApplied { revision });
             next
@@ -199,7 +199,7 @@
     }
 }
 
-/// What a node holds after an update went over the wire.
+/// The follower's document after it received an update in encoded form.
 fn catch_up(follower: &SettingsDocument, newest: &SettingsDocument) -> SettingsDocument {
     let update = newest.update_after(follower.revision());
     let bytes = update.encode().expect("JSON");
@@ -212,9 +212,9 @@
 }
 
 /// A valid text with some of its bytes replaced.
-fn damaged(text: &str, damage: &[(u16, u8)]) -> String {
+fn corrupt(text: &str, replacements: &[(u16, u8)]) -> String {
     let mut bytes = text.as_bytes().to_vec();
-    for (position, byte) in damage.iter().take(8) {
+    for (position, byte) in replacements.iter().take(8) {
         let position = usize::from(*position) % bytes.len();
         bytes[position] = *byte;
     }
@@ -222,35 +222,39 @@
 }
 
 #[test]
-fn a_damaged_tree_is_read_or_refused_with_lines_in_the_file() {
-    check!().with_type::<Vec<(u16, u8)>>().for_each(|damage| {
-        let text = damaged(TREE, damage);
-        let lines = text.split('\n').count();
-        match SettingsTree::from_toml(&text) {
-            Ok(tree) => assert!(tree.resolve().is_ok()),
-            Err(problems) => {
-                assert!(!problems.is_empty());
-                let told = problems.iter().filter_map(|problem| problem.line);
-                assert!(told.into_iter().all(|line| (1..=lines).contains(&line)));
+fn a_corrupted_tree_is_read_or_refused_with_lines_in_the_file() {
+    check!()
+        .with_type::<Vec<(u16, u8)>>()
+        .for_each(|replacements| {
+            let text = corrupt(TREE, replacements);
+            let lines = text.split('\n').count();
+            match SettingsTree::from_toml(&text) {
+                Ok(tree) => assert!(tree.resolve().is_ok()),
+                Err(problems) => {
+                    assert!(!problems.is_empty());
+                    let reported = problems.iter().filter_map(|problem| problem.line);
+                    assert!(reported.into_iter().all(|line| (1..=lines).contains(&line)));
+                }
             }
-        }
-    });
+        });
 }
 
 #[test]
-fn a_damaged_process_file_is_read_or_refused() {
-    check!().with_type::<Vec<(u16, u8)>>().for_each(|damage| {
-        let text = damaged(PROCESS_FILE, damage);
-        let settings = ProcessSettings::from_toml(&text, Path::new(""));
-        assert!(
-            settings.is_ok_and(|settings| settings.listen.peer.port() != 0)
-                || !check_text(Path::new("node.toml"), &text).is_valid()
-        );
-    });
+fn a_corrupted_process_file_is_read_or_refused() {
+    check!()
+        .with_type::<Vec<(u16, u8)>>()
+        .for_each(|replacements| {
+            let text = corrupt(PROCESS_FILE, replacements);
+            let settings = ProcessSettings::from_toml(&text, Path::new(""));
+            assert!(
+                settings.is_ok_and(|settings| settings.listen.peer.port() != 0)
+                    || !check_text(Path::new("node.toml"), &text).is_valid()
+            );
+        });
 }
 
 #[test]
-fn any_text_and_any_update_is_read_or_refused() {
+fn arbitrary_text_and_updates_are_read_or_refused() {
     check!().with_type::<Vec<u8>>().for_each(|bytes| {
         let text = String::from_utf8_lossy(bytes);
         let report = check_text(Path::new("any"), &text);
--- a/crates/stairward-settings/tests/settings_tree.rs
+++ b/crates/stairward-settings/tests/settings_tree.rs
@@ -1,4 +1,4 @@
-//! Inheritance, explanations, and everything that makes a tree invalid, with the line of each.
+//! Inheritance, origins of values, and the problems of invalid trees, reported with their lines.
 
 use std::time::Duration;
 
@@ -52,12 +52,12 @@
     SettingsTree::from_toml(text).expect_err("an invalid tree")
 }
 
-/// The tree with a line added to the options of back end `c`.
+/// [`TREE`] with a line added to the options of back end `c`.
 fn with_last_line(line: &str) -> String {
     format!("{TREE}{line}\n")
 }
 
-/// The line, counted from 1, of the only place where `text` occurs.
+/// The line number, counted from 1, of the only occurrence of `text`.
 fn line_of(tree: &str, text: &str) -> usize {
     let lines: Vec<usize> = (1..)
         .zip(tree.lines())
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn explain_names_the_place_each_value_comes_from() {
+fn explain_reports_the_origin_of_each_value() {
     let tree = SettingsTree::from_toml(TREE).expect("a valid tree");
     let explained = tree.explain(&path(GROUP)).expect("the group is there");
     let origin_of = |option: SettingsOption| {
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn unset_inherits_again_and_remove_takes_all_below() {
+fn unset_restores_inheritance_and_remove_includes_descendants() {
     let mut tree = SettingsTree::from_toml(TREE).expect("a valid tree");
     let group = path(GROUP);
     assert_eq!(
@@ -159,17 +159,17 @@
 }
 
 #[test]
-fn a_tree_survives_json() {
+fn a_tree_round_trips_through_json() {
     let tree = SettingsTree::from_toml(TREE).expect("a valid tree");
     let json = serde_json::to_string(&tree).expect("JSON");
     let read: SettingsTree = serde_json::from_str(&json).expect("a tree");
     assert_eq!(read, tree);
-    let unsuitable = r#"{"root": {"slots": "many"}}"#;
-    assert!(serde_json::from_str::<SettingsTree>(unsuitable).is_err());
+    let wrong_type = r#"{"root": {"slots": "many"}}"#;
+    assert!(serde_json::from_str::<SettingsTree>(wrong_type).is_err());
 }
 
 #[test]
-fn paths_are_read_as_they_are_written() {
+fn paths_round_trip_and_invalid_paths_are_refused() {
     for text in ["root", "region/south", GROUP, &format!("{GROUP}/backend/a")] {
         assert_eq!(path(text).to_string(), text);
     }
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn each_bad_value_is_told_with_its_line() {
+fn each_invalid_option_is_reported_with_its_line() {
     let backend = format!("{GROUP}/backend/c");
     let added = TREE.lines().count() + 1;
     let cases = [
@@ -219,7 +219,7 @@
 }
 
 #[test]
-fn structure_that_does_not_fit_the_tree_is_told_with_its_line() {
+fn invalid_structure_is_reported_with_its_line() {
     let cases = [
         ("root = 3\n", 1, "must be a table"),
         ("[regions.south]\n", 1, "did you mean region?"),
@@ -238,7 +238,7 @@
 }
 
 #[test]
-fn several_problems_are_all_told_in_the_order_of_lines() {
+fn all_problems_are_reported_in_line_order() {
     let text = "[root]\nslots = 0\nslot = 1\n\n[region.south]\nweight = 0\n";
     let lines: Vec<_> = problems(text).iter().map(|problem| problem.line).collect();
     assert_eq!(lines, [Some(2), Some(3), Some(6)]);
@@ -250,10 +250,10 @@
     let backend = format!("{GROUP}/backend/a");
     let line = line_of(&text, "backend.a]");
     assert_only_problem(&text, (&backend, Some("zone"), Some(line)), "must be set");
-    let refused = TREE.replace("\"south-a\"", "\"South\"");
-    let line = line_of(&refused, "\"South\"");
+    let invalid_zone = TREE.replace("\"south-a\"", "\"South\"");
+    let line = line_of(&invalid_zone, "\"South\"");
     assert_only_problem(
-        &refused,
+        &invalid_zone,
         (&backend, Some("zone"), Some(line)),
         "is not a name",
     );
@@ -317,7 +317,7 @@
 }
 
 #[test]
-fn the_changes_between_two_trees_lead_from_one_to_the_other() {
+fn the_changes_between_two_trees_turn_one_into_the_other() {
     let one = SettingsTree::from_toml(TREE).expect("a valid tree");
     let other = TREE
         .replace(
@@ -348,7 +348,7 @@
 }
 
 #[test]
-fn waits_do_not_outlast_the_request() {
+fn waits_longer_than_the_request_timeout_are_refused() {
     let cases = [
         "freshness_wait_ms",
         "fence_timeout_ms",
@@ -363,7 +363,7 @@
 }
 
 #[test]
-fn a_contradiction_is_told_once_of_the_option_that_causes_it() {
+fn an_inherited_violation_is_reported_once_for_its_cause() {
     let text = TREE.replace("hold_queue_time_ms = 4000", "slots = 41");
     let text = text.replace("slots = 6\n", "").replace("slots = 7\n", "");
     let line = line_of(&text, "slots = 41");
@@ -381,7 +381,7 @@
 }
 
 #[test]
-fn limits_do_not_contradict_each_other() {
+fn contradictory_limits_are_refused() {
     let added = Some(TREE.lines().count() + 1);
     let backend = format!("{GROUP}/backend/c");
     for option in ["slots", "opening_limit"] {
@@ -393,9 +393,9 @@
     let line = line_of(&text, "hold_queue_bytes");
     let expected = (SERVICE, Some("hold_queue_bytes"), Some(line));
     assert_only_problem(&text, expected, "less than maximum_message_bytes");
-    let holds_nothing = text.replace(
+    let without_queue = text.replace(
         "hold_queue_bytes",
         "hold_queue_requests = 0\nhold_queue_bytes",
     );
-    assert!(SettingsTree::from_toml(&holds_nothing).is_ok());
+    assert!(SettingsTree::from_toml(&without_queue).is_ok());
 }
