--- a/crates/stairward-settings/src/path.rs
+++ b/crates/stairward-settings/src/path.rs
@@ -60,13 +60,13 @@
     #[snafu(display(
         "{text:?} is not a path: write root, or region/NAME/service/NAME/group/NAME/backend/NAME up to the level meant"
     ))]
-    UnknownShape {
+    InvalidStructure {
         /// The rejected text.
         text: String,
     },
     /// A name in the path is not valid.
     #[snafu(display("{text:?} is not a path: {source}"))]
-    BadName {
+    InvalidName {
         /// The rejected name.
         text: String,
         /// The violated rule.
@@ -117,7 +117,7 @@
     /// # Errors
     /// [`InvalidPath`] when the name is not valid or `self` is a back end, which has no children.
     pub fn child(&self, name: &str) -> Result<Self, InvalidPath> {
-        let context = || BadNameSnafu { text: name };
+        let context = || InvalidNameSnafu { text: name };
         match self.clone() {
             Self::Root => RegionName::new(name)
                 .map(Self::Region)
@@ -131,7 +131,7 @@
             Self::Group(region, service, group) => BackendId::new(name)
                 .map(|backend| Self::Backend(region, service, group, backend))
                 .with_context(|_| context()),
-            Self::Backend(..) => UnknownShapeSnafu { text: name }.fail(),
+            Self::Backend(..) => InvalidStructureSnafu { text: name }.fail(),
         }
     }
 
@@ -186,15 +186,15 @@
         if text == "root" {
             return Ok(Self::Root);
         }
-        let unknown_shape = || UnknownShapeSnafu { text }.build();
+        let invalid_structure = || InvalidStructureSnafu { text }.build();
         let mut path = Self::Root;
         let mut parts = text.split('/');
         while let Some(level_name) = parts.next() {
-            let level = path.child_level().ok_or_else(unknown_shape)?;
+            let level = path.child_level().ok_or_else(invalid_structure)?;
             if level_name != level.to_string() {
-                return Err(unknown_shape());
+                return Err(invalid_structure());
             }
-            let name = parts.next().ok_or_else(unknown_shape)?;
+            let name = parts.next().ok_or_else(invalid_structure)?;
             path = path.child(name)?;
         }
         Ok(path)
--- a/crates/stairward-settings/src/problem.rs
+++ b/crates/stairward-settings/src/problem.rs
@@ -76,7 +76,7 @@
     },
     /// The path is not valid.
     #[snafu(display("{message}"))]
-    BadPath {
+    InvalidPath {
         /// The reason.
         message: String,
     },
@@ -114,13 +114,13 @@
     },
     /// The name is not valid.
     #[snafu(display("{source}"))]
-    BadName {
+    InvalidName {
         /// The violated rule.
         source: InvalidName,
     },
     /// The text is not an IP address and a port.
     #[snafu(display("{value:?} is not an IP number and a port, such as 10.0.0.7:5432"))]
-    BadAddress {
+    InvalidAddress {
         /// The rejected text.
         value: String,
     },
--- a/crates/stairward-settings/src/process/reader.rs
+++ b/crates/stairward-settings/src/process/reader.rs
@@ -197,7 +197,7 @@
         self.read_value(table, name, |value| {
             let text = read_text(value)?;
             text.parse()
-                .map_err(|source| ProblemKind::BadName { source })
+                .map_err(|source| ProblemKind::InvalidName { source })
         })
     }
 
@@ -282,7 +282,7 @@
     text.parse()
         .ok()
         .filter(|address: &SocketAddr| address.port() != 0)
-        .ok_or_else(|| ProblemKind::BadAddress {
+        .ok_or_else(|| ProblemKind::InvalidAddress {
             value: text.to_owned(),
         })
 }
--- a/crates/stairward-settings/src/tree/load.rs
+++ b/crates/stairward-settings/src/tree/load.rs
@@ -107,7 +107,7 @@
             match parent.child(key.get_ref()) {
                 Ok(path) => self.read_place(&path, line, value),
                 Err(error) => {
-                    let kind = ProblemKind::BadPath {
+                    let kind = ProblemKind::InvalidPath {
                         message: error.to_string(),
                     };
                     self.add_problem(parent, &level, line, kind);
--- a/crates/stairward-settings/src/value_kind.rs
+++ b/crates/stairward-settings/src/value_kind.rs
@@ -113,14 +113,14 @@
 fn check_name(text: &str) -> Result<(), ProblemKind> {
     RegionName::new(text)
         .map(|_| ())
-        .map_err(|source| ProblemKind::BadName { source })
+        .map_err(|source| ProblemKind::InvalidName { source })
 }
 
 fn check_address(text: &str) -> Result<(), ProblemKind> {
     let address: Option<SocketAddr> = text.parse().ok();
     match address {
         Some(address) if address.port() != 0 => Ok(()),
-        _ => Err(ProblemKind::BadAddress {
+        _ => Err(ProblemKind::InvalidAddress {
             value: text.to_owned(),
         }),
     }
