--- a/crates/stairward-proxy/src/control/configuration/held.rs
+++ b/crates/stairward-proxy/src/control/configuration/held.rs
@@ -61,7 +61,7 @@
         let decoded =
             SettingsUpdate::decode(update.whole, &update.document).context(InvalidUpdateSnafu)?;
         match (&self.document, decoded) {
-            (Some(document), decoded) => document.absorb(decoded).context(InvalidUpdateSnafu),
+            (Some(document), decoded) => document.apply_update(decoded).context(InvalidUpdateSnafu),
             (None, SettingsUpdate::Whole(document)) => Ok(Some(*document)),
             (None, SettingsUpdate::Edits(_)) => NoBaseSnafu.fail(),
         }
--- a/crates/stairward-proxy/src/owner/term_search.rs
+++ b/crates/stairward-proxy/src/owner/term_search.rs
@@ -79,7 +79,7 @@
     let owners = context.cluster.owners(member)?;
     let nodes = std::iter::once(owners.owner).chain(owners.standby);
     for node in nodes {
-        let request = CallRequest::AskBackend {
+        let request = CallRequest::QueryBackend {
             backend: member.as_str().into(),
         };
         let reply = context.network.call(node, request, timeout).await;
--- a/crates/stairward-proxy/src/peer/handshake.rs
+++ b/crates/stairward-proxy/src/peer/handshake.rs
@@ -45,7 +45,7 @@
             reason: "the peer uses a different protocol version"
         }
     );
-    let proof = key.prove(
+    let proof = key.sign(
         PROOF_PURPOSE,
         &[
             &peer_hello.nonce,
--- a/crates/stairward-runtime/src/failover_peers.rs
+++ b/crates/stairward-runtime/src/failover_peers.rs
@@ -9,7 +9,7 @@
 use rand::seq::IteratorRandom as _;
 use stairward_engine::{Event, OpenFailure, OpenTarget};
 use stairward_failover::{MemberCallResult, MemberStatus};
-use stairward_protocol::neighbour::{MemberQuestionMessage, MemberReachMessage, NeighbourMessage};
+use stairward_protocol::node_message::{MemberReplyMessage, MemberRequestMessage, NodeMessage};
 use stairward_protocol::{OptionalFreshness, Text};
 use stairward_types::{BackendId, BackendRole, Freshness, NodeId, ServiceName, Term, Time};
 
@@ -110,7 +110,7 @@
         // A node that misses the message accepts the new leader a little later.
         self.send_once(
             users,
-            &NeighbourMessage::SettleLead {
+            &NodeMessage::PromotionEnded {
                 service: Text::new(service.as_str()),
             },
         );
@@ -119,7 +119,7 @@
     /// Reports the back ends that are silent to this node to the relay peers.
     pub(crate) fn report_silent_backends(self: &Rc<Self>, silent: &BTreeSet<BackendId>) {
         let backends: Vec<_> = silent.iter().map(|id| Text::new(id.as_str())).collect();
-        let message = NeighbourMessage::Silent {
+        let message = NodeMessage::SilentBackends {
             node: self.peer.node.0,
             count: u16::try_from(backends.len()).unwrap_or(u16::MAX),
             backends,
@@ -147,7 +147,7 @@
             if is_silent {
                 let found = stairward_failover::Event::FoundSilent(backend.clone());
                 node.handle_failover_event(found);
-                let message = NeighbourMessage::ConfirmSilent {
+                let message = NodeMessage::ConfirmSilentBackend {
                     node: node.peer.node.0,
                     backend: Text::new(backend.as_str()),
                 };
@@ -157,7 +157,7 @@
     }
 
     /// Sends nodes a message that needs no reply, each over a new connection.
-    fn send_once(&self, nodes: impl IntoIterator<Item = NodeId>, message: &NeighbourMessage) {
+    fn send_once(&self, nodes: impl IntoIterator<Item = NodeId>, message: &NodeMessage) {
         let message = frame(message);
         for node in nodes {
             let address = self
@@ -200,7 +200,7 @@
         self.traffic.opened(OpeningKind::OneShot);
         let sending = async {
             let (mut reader, outgoing) = connect(address).await?;
-            let message = NeighbourMessage::RevokeLead {
+            let message = NodeMessage::RevokeLeader {
                 service: Text::new(service.as_str()),
                 term: term.0,
             };
@@ -208,7 +208,7 @@
             reader.next().await
         };
         match tokio::time::timeout(RELAY_TIMEOUT, sending).await {
-            Ok(Some(NeighbourMessage::LeadRevoked { newest })) => Some(Term(newest)),
+            Ok(Some(NodeMessage::LeaderRevoked { newest })) => Some(Term(newest)),
             _ => None,
         }
     }
@@ -231,10 +231,10 @@
         self.traffic.opened(OpeningKind::OneShot);
         let requesting = async {
             let (mut reader, outgoing) = connect(address).await?;
-            let question = NeighbourMessage::AskMember(message);
+            let question = NodeMessage::ForwardMemberRequest(message);
             outgoing.send(&frame(&question)).ok()?;
             match reader.next().await? {
-                NeighbourMessage::MemberReach(reach) => Some(decode_reach(&reach)),
+                NodeMessage::MemberReply(reach) => Some(decode_reach(&reach)),
                 _ => None,
             }
         };
@@ -248,19 +248,19 @@
     /// Sends a member request on behalf of a peer; none if the message is malformed.
     pub(crate) async fn answer_relayed_request(
         self: &Rc<Self>,
-        message: &MemberQuestionMessage,
-    ) -> Option<NeighbourMessage> {
+        message: &MemberRequestMessage,
+    ) -> Option<NodeMessage> {
         let (target, question) = decode_request(message)?;
         let reach = self.query_member(target, question).await;
-        Some(NeighbourMessage::MemberReach(encode_reach(reach)))
+        Some(NodeMessage::MemberReply(encode_reach(reach)))
     }
 }
 
 /// Converts a member request to a message; none for a kind that is not relayed.
-fn encode_request(target: &OpenTarget, request: MemberRequest) -> Option<MemberQuestionMessage> {
-    let (question, term) = match request {
-        MemberRequest::StepDown(term) => (MemberQuestionMessage::STEP_DOWN, term),
-        MemberRequest::Hold(term) => (MemberQuestionMessage::HOLD, term),
+fn encode_request(target: &OpenTarget, request: MemberRequest) -> Option<MemberRequestMessage> {
+    let (request, term) = match request {
+        MemberRequest::StepDown(term) => (MemberRequestMessage::STEP_DOWN, term),
+        MemberRequest::Hold(term) => (MemberRequestMessage::HOLD, term),
         MemberRequest::Status | MemberRequest::Received(_) | MemberRequest::Resume => {
             return None;
         }
@@ -268,21 +268,21 @@
     let IpAddr::V4(ip) = target.address.ip() else {
         return None;
     };
-    Some(MemberQuestionMessage {
+    Some(MemberRequestMessage {
         service: Text::new(target.service.as_str()),
         backend: Text::new(target.backend.as_str()),
         address: ip.octets(),
         port: target.address.port(),
-        question,
+        request,
         term: term.0,
     })
 }
 
-fn decode_request(message: &MemberQuestionMessage) -> Option<(OpenTarget, MemberRequest)> {
+fn decode_request(message: &MemberRequestMessage) -> Option<(OpenTarget, MemberRequest)> {
     let term = Term(message.term);
-    let question = match message.question {
-        MemberQuestionMessage::STEP_DOWN => MemberRequest::StepDown(term),
-        MemberQuestionMessage::HOLD => MemberRequest::Hold(term),
+    let question = match message.request {
+        MemberRequestMessage::STEP_DOWN => MemberRequest::StepDown(term),
+        MemberRequestMessage::HOLD => MemberRequest::Hold(term),
         _ => return None,
     };
     let target = OpenTarget {
@@ -294,17 +294,17 @@
     Some((target, question))
 }
 
-fn encode_reach(reach: MemberCallResult) -> MemberReachMessage {
+fn encode_reach(reach: MemberCallResult) -> MemberReplyMessage {
     let (kind, status) = match reach {
-        MemberCallResult::Silent => (MemberReachMessage::SILENT, None),
-        MemberCallResult::Refused => (MemberReachMessage::REFUSED, None),
-        MemberCallResult::GaveWay(status) => (MemberReachMessage::GAVE_WAY, Some(status)),
+        MemberCallResult::Silent => (MemberReplyMessage::SILENT, None),
+        MemberCallResult::Refused => (MemberReplyMessage::REFUSED, None),
+        MemberCallResult::GaveWay(status) => (MemberReplyMessage::STEPPED_DOWN, Some(status)),
         MemberCallResult::Answered(status) => match status.role {
-            BackendRole::Primary => (MemberReachMessage::PRIMARY, Some(status)),
-            BackendRole::Replica => (MemberReachMessage::REPLICA, Some(status)),
+            BackendRole::Primary => (MemberReplyMessage::PRIMARY, Some(status)),
+            BackendRole::Replica => (MemberReplyMessage::REPLICA, Some(status)),
         },
     };
-    MemberReachMessage {
+    MemberReplyMessage {
         kind,
         term: status.map_or(0, |status| status.term.0),
         received: OptionalFreshness::from(status.map(|status| status.received)),
@@ -313,11 +313,11 @@
 }
 
 /// Converts a message to the result of a member request. A malformed message counts as no reply.
-fn decode_reach(message: &MemberReachMessage) -> MemberCallResult {
+fn decode_reach(message: &MemberReplyMessage) -> MemberCallResult {
     let role = match message.kind {
-        MemberReachMessage::REFUSED => return MemberCallResult::Refused,
-        MemberReachMessage::PRIMARY => BackendRole::Primary,
-        MemberReachMessage::REPLICA | MemberReachMessage::GAVE_WAY => BackendRole::Replica,
+        MemberReplyMessage::REFUSED => return MemberCallResult::Refused,
+        MemberReplyMessage::PRIMARY => BackendRole::Primary,
+        MemberReplyMessage::REPLICA | MemberReplyMessage::STEPPED_DOWN => BackendRole::Replica,
         _ => return MemberCallResult::Silent,
     };
     let Some(received) = Option::<Freshness>::from(message.received) else {
@@ -329,7 +329,7 @@
         received,
         held: Term(message.held),
     };
-    if message.kind == MemberReachMessage::GAVE_WAY {
+    if message.kind == MemberReplyMessage::STEPPED_DOWN {
         MemberCallResult::GaveWay(status)
     } else {
         MemberCallResult::Answered(status)
--- a/crates/stairward-runtime/src/feeds.rs
+++ b/crates/stairward-runtime/src/feeds.rs
@@ -11,7 +11,7 @@
     Effect, Event, Feed, FeedContent, FeedParameters, FollowerId, MAXIMUM_IMMEDIATE_PUSH_BYTES,
 };
 use stairward_protocol::Text;
-use stairward_protocol::neighbour::{FeedStateMessage, NeighbourMessage};
+use stairward_protocol::node_message::{FeedStateMessage, NodeMessage};
 use stairward_types::{LogEvent, NodeId, StoreRevision, Time};
 use tokio::sync::{Notify, watch};
 
@@ -353,7 +353,7 @@
             let feed = open.feed.borrow();
             (feed.sources().collect::<Vec<_>>(), feed.held_revision())
         };
-        let message = NeighbourMessage::FeedTaken {
+        let message = NodeMessage::FeedApplied {
             name: name.clone(),
             held: held.map_or(0, StoreRevision::number),
         };
@@ -405,7 +405,7 @@
     }
 
     fn query_clock(self: &Rc<Self>, source: NodeId) {
-        let question = NeighbourMessage::AskClock {
+        let question = NodeMessage::QueryClock {
             asked_at_microseconds: self.now().0,
         };
         self.send_to_peer(source, &question);
@@ -472,7 +472,7 @@
             Effect::Follow { source, known } => {
                 // Sent first, so that the clock is known when the first state message arrives.
                 self.query_clock(source);
-                let message = NeighbourMessage::FollowFeed {
+                let message = NodeMessage::SubscribeFeed {
                     name: Text::new(name),
                     known: known.map_or(0, StoreRevision::number),
                 };
@@ -481,7 +481,7 @@
             Effect::Unfollow(source) => {
                 if self.links.borrow().contains_key(&source) {
                     let name = Text::new(name);
-                    self.send_to_peer(source, &NeighbourMessage::UnfollowFeed { name });
+                    self.send_to_peer(source, &NodeMessage::UnsubscribeFeed { name });
                 }
             }
             Effect::Apply { at, content, since } => {
@@ -561,7 +561,7 @@
                 message.content = open.compressed_changes(*since).into();
             }
         }
-        let bytes = frame(&NeighbourMessage::FeedState(message));
+        let bytes = frame(&NodeMessage::FeedState(message));
         let links = self.feeds.follower_links.borrow();
         for outgoing in followers.iter().filter_map(|follower| links.get(follower)) {
             self.traffic.sent(TrafficKind::Feed, bytes.len());
--- a/crates/stairward-runtime/src/peers.rs
+++ b/crates/stairward-runtime/src/peers.rs
@@ -9,7 +9,7 @@
 use rand::seq::IndexedRandom as _;
 use stairward_engine::{Event, ForwardedRequest, Response, SessionId};
 use stairward_membership::PeerClock;
-use stairward_protocol::neighbour::{ForwardedStatement, LimitAsk, NeighbourMessage};
+use stairward_protocol::node_message::{ForwardedStatement, LimitRequest, NodeMessage};
 use stairward_protocol::{OptionalFreshness, Text};
 use stairward_types::{BackendId, Freshness, LogEvent, NodeId, ServiceName, Term, Time};
 use tokio::net::{TcpListener, TcpStream};
@@ -92,56 +92,56 @@
         self: &Rc<Self>,
         link: u64,
         outgoing: &Rc<Outgoing>,
-        message: NeighbourMessage,
+        message: NodeMessage,
     ) -> bool {
         let answer = match message {
-            NeighbourMessage::AskDocument { name } => Some(self.document_reply(name)),
-            NeighbourMessage::Forward(message) => {
+            NodeMessage::QueryDocument { name } => Some(self.document_reply(name)),
+            NodeMessage::Forward(message) => {
                 return self.handle_forwarded(link, outgoing, &message);
             }
-            NeighbourMessage::CloseSession { session } => {
+            NodeMessage::CloseSession { session } => {
                 self.close_remote_session(link, session);
                 None
             }
-            NeighbourMessage::AskPosition {
+            NodeMessage::QueryPosition {
                 service,
                 asked_at_microseconds,
             } => Some(self.position_reply(service, asked_at_microseconds)),
-            NeighbourMessage::FollowFeed { name, known } => {
+            NodeMessage::SubscribeFeed { name, known } => {
                 self.add_follower(link, outgoing, &name, known);
                 None
             }
-            NeighbourMessage::UnfollowFeed { name } => {
+            NodeMessage::UnsubscribeFeed { name } => {
                 self.remove_follower(link, &name);
                 None
             }
-            NeighbourMessage::FeedTaken { name, held } => {
+            NodeMessage::FeedApplied { name, held } => {
                 self.follower_applied(link, &name, held);
                 None
             }
-            NeighbourMessage::AskAlive => Some(NeighbourMessage::Alive),
-            NeighbourMessage::AskClock {
+            NodeMessage::Ping => Some(NodeMessage::Pong),
+            NodeMessage::QueryClock {
                 asked_at_microseconds,
-            } => Some(NeighbourMessage::Clock {
+            } => Some(NodeMessage::Clock {
                 asked_at_microseconds,
-                told_at_microseconds: self.now().0,
+                answered_at_microseconds: self.now().0,
             }),
-            NeighbourMessage::AskLead {
+            NodeMessage::QueryLeader {
                 service,
                 asked_at_microseconds,
             } => self.lead_reply(service, asked_at_microseconds),
-            NeighbourMessage::AskLimit(message) => match self.limit_reply(&message) {
+            NodeMessage::RequestLimit(message) => match self.limit_reply(&message) {
                 Some(answer) => Some(answer),
                 None => return false,
             },
-            NeighbourMessage::RevokeLead { service, term } => {
+            NodeMessage::RevokeLeader { service, term } => {
                 let Ok(service) = ServiceName::new(service.as_str()) else {
                     return false;
                 };
                 let newest = self.revoke_older_terms(&service, Term(term));
-                Some(NeighbourMessage::LeadRevoked { newest: newest.0 })
+                Some(NodeMessage::LeaderRevoked { newest: newest.0 })
             }
-            NeighbourMessage::Silent { node, backends, .. } => {
+            NodeMessage::SilentBackends { node, backends, .. } => {
                 let ids = backends
                     .iter()
                     .filter_map(|id| BackendId::new(id.as_str()).ok());
@@ -150,52 +150,52 @@
                 self.handle_failover_event(suspicion);
                 None
             }
-            NeighbourMessage::ConfirmSilent { node, backend } => {
+            NodeMessage::ConfirmSilentBackend { node, backend } => {
                 if let Ok(backend) = BackendId::new(backend.as_str()) {
                     let verified = stairward_failover::Event::Verified(NodeId(node), backend);
                     self.handle_failover_event(verified);
                 }
                 None
             }
-            NeighbourMessage::SettleLead { service } => {
+            NodeMessage::PromotionEnded { service } => {
                 if let Ok(service) = ServiceName::new(service.as_str()) {
                     self.handle(Event::PromotionEnded(service));
                 }
                 None
             }
-            NeighbourMessage::AskMember(question) => {
+            NodeMessage::ForwardMemberRequest(question) => {
                 match self.answer_relayed_request(&question).await {
                     Some(answer) => Some(answer),
                     None => return false,
                 }
             }
-            NeighbourMessage::Document { .. }
-            | NeighbourMessage::Lead { .. }
-            | NeighbourMessage::LeadRevoked { .. }
-            | NeighbourMessage::MemberReach(_)
-            | NeighbourMessage::GrantLimit(_)
-            | NeighbourMessage::Alive
-            | NeighbourMessage::Clock { .. }
-            | NeighbourMessage::FeedState(_)
-            | NeighbourMessage::Position { .. }
-            | NeighbourMessage::Answer(_) => return false,
+            NodeMessage::Document { .. }
+            | NodeMessage::LeaderStatus { .. }
+            | NodeMessage::LeaderRevoked { .. }
+            | NodeMessage::MemberReply(_)
+            | NodeMessage::GrantLimit(_)
+            | NodeMessage::Pong
+            | NodeMessage::Clock { .. }
+            | NodeMessage::FeedState(_)
+            | NodeMessage::Position { .. }
+            | NodeMessage::Answer(_) => return false,
         };
         answer.is_none_or(|answer| self.send_message(outgoing, &answer))
     }
 
     /// Sends a message over a link. Returns false if the link has failed.
-    pub(crate) fn send_message(&self, outgoing: &Rc<Outgoing>, message: &NeighbourMessage) -> bool {
+    pub(crate) fn send_message(&self, outgoing: &Rc<Outgoing>, message: &NodeMessage) -> bool {
         let bytes = frame(message);
         self.traffic.sent(TrafficKind::of(message), bytes.len());
         outgoing.send(&bytes).is_ok()
     }
 
-    fn document_reply(&self, name: Text) -> NeighbourMessage {
+    fn document_reply(&self, name: Text) -> NodeMessage {
         let content = self
             .feeds
             .compressed_snapshot(name.as_str())
             .unwrap_or_default();
-        NeighbourMessage::Document {
+        NodeMessage::Document {
             name,
             content: content.into(),
         }
@@ -282,7 +282,7 @@
         };
         let answer = encode_answer(remote_session.session, remote_session.request, response);
         // A failed link is cleaned up by the task that reads it.
-        let _ = self.send_message(&remote_session.outgoing, &NeighbourMessage::Answer(answer));
+        let _ = self.send_message(&remote_session.outgoing, &NodeMessage::Answer(answer));
         None
     }
 
@@ -305,19 +305,19 @@
         forwarded: ForwardedRequest,
     ) {
         if let Some(message) = encode_statement(session.0, request, forwarded) {
-            self.send_to_peer(holder, &NeighbourMessage::Forward(message));
+            self.send_to_peer(holder, &NodeMessage::Forward(message));
         }
     }
 
     /// Tells a connection holder that a session has ended.
     pub(crate) fn close_forwarded(self: &Rc<Self>, holder: NodeId, session: SessionId) {
         if self.links.borrow().contains_key(&holder) {
-            let message = NeighbourMessage::CloseSession { session: session.0 };
+            let message = NodeMessage::CloseSession { session: session.0 };
             self.send_to_peer(holder, &message);
         }
     }
 
-    pub(crate) fn send_to_peer(self: &Rc<Self>, holder: NodeId, message: &NeighbourMessage) {
+    pub(crate) fn send_to_peer(self: &Rc<Self>, holder: NodeId, message: &NodeMessage) {
         let bytes = frame(message);
         self.traffic.sent(TrafficKind::of(message), bytes.len());
         let node = Rc::clone(self);
@@ -363,7 +363,7 @@
             let kind = TrafficKind::of(&message);
             self.traffic.received(kind, reader.last_length());
             match message {
-                NeighbourMessage::Answer(answer) => {
+                NodeMessage::Answer(answer) => {
                     let (session, request) = (SessionId(answer.session), answer.request);
                     self.handle(Event::ForwardAnswered {
                         holder,
@@ -372,7 +372,7 @@
                         response: decode_answer(answer),
                     });
                 }
-                NeighbourMessage::Position {
+                NodeMessage::Position {
                     service,
                     asked_at_microseconds,
                     position,
@@ -382,7 +382,7 @@
                     let asked_at = Time(asked_at_microseconds);
                     self.handle_position(&service, position.into(), asked_at, age);
                 }
-                NeighbourMessage::Lead {
+                NodeMessage::LeaderStatus {
                     service,
                     asked_at_microseconds,
                     possible_term,
@@ -397,22 +397,22 @@
                         });
                     }
                 }
-                NeighbourMessage::GrantLimit(message) => {
+                NodeMessage::GrantLimit(message) => {
                     let Some(grant) = decode_grant(&message) else {
                         break;
                     };
                     self.handle(Event::LimitGranted(holder, grant));
                 }
-                NeighbourMessage::Alive => self.handle(Event::HolderAlive(holder)),
-                NeighbourMessage::Clock {
+                NodeMessage::Pong => self.handle(Event::HolderAlive(holder)),
+                NodeMessage::Clock {
                     asked_at_microseconds,
-                    told_at_microseconds,
+                    answered_at_microseconds,
                 } => {
-                    let (asked, told) = (Time(asked_at_microseconds), Time(told_at_microseconds));
+                    let (asked, told) = (Time(asked_at_microseconds), Time(answered_at_microseconds));
                     self.feeds
                         .set_source_clock(holder, PeerClock::new(asked, told));
                 }
-                NeighbourMessage::FeedState(message) => self.handle_source_answer(holder, message),
+                NodeMessage::FeedState(message) => self.handle_source_answer(holder, message),
                 _ => break,
             }
         }
@@ -426,7 +426,7 @@
             let nodes = members.iter().map(|member| member.node);
             nodes.filter(|node| *node != self.peer.node).collect()
         };
-        let message = NeighbourMessage::AskPosition {
+        let message = NodeMessage::QueryPosition {
             service: Text::new(service.as_str()),
             asked_at_microseconds: self.now().0,
         };
@@ -435,12 +435,12 @@
         }
     }
 
-    fn position_reply(&self, service: Text, asked_at_microseconds: u64) -> NeighbourMessage {
+    fn position_reply(&self, service: Text, asked_at_microseconds: u64) -> NodeMessage {
         let name = ServiceName::new(service.as_str()).ok();
         let proved = name.and_then(|name| self.proved_position(&name));
         let (position, age) = proved.unzip();
         let age = age.unwrap_or_default().as_micros();
-        NeighbourMessage::Position {
+        NodeMessage::Position {
             service,
             asked_at_microseconds,
             position: OptionalFreshness::from(position),
@@ -450,7 +450,7 @@
 
     /// Queries another node for the newest term of a service that it knows may have begun.
     pub(crate) fn query_lead(self: &Rc<Self>, holder: NodeId, service: &ServiceName) {
-        let message = NeighbourMessage::AskLead {
+        let message = NodeMessage::QueryLeader {
             service: Text::new(service.as_str()),
             asked_at_microseconds: self.now().0,
         };
@@ -458,10 +458,10 @@
     }
 
     /// Answers a request for tenant limits, as coordinator; none if the message is malformed.
-    fn limit_reply(&self, message: &LimitAsk) -> Option<NeighbourMessage> {
+    fn limit_reply(&self, message: &LimitRequest) -> Option<NodeMessage> {
         let (node, ask) = decode_ask(message)?;
         let grant = self.grant_limit(node, &ask);
-        Some(NeighbourMessage::GrantLimit(encode_grant(grant)))
+        Some(NodeMessage::GrantLimit(encode_grant(grant)))
     }
 
     /// The newest term of a service that may have begun; none if unknown. The engine keeps it up to date from now on.
@@ -469,11 +469,11 @@
         self: &Rc<Self>,
         service: Text,
         asked_at_microseconds: u64,
-    ) -> Option<NeighbourMessage> {
+    ) -> Option<NodeMessage> {
         let name = ServiceName::new(service.as_str()).ok()?;
         self.handle(Event::LeadershipQueried(name.clone()));
         let (possible, age) = self.known_lead(&name)?;
-        Some(NeighbourMessage::Lead {
+        Some(NodeMessage::LeaderStatus {
             service,
             asked_at_microseconds,
             possible_term: possible.0,
--- a/crates/stairward-runtime/src/statement_messages.rs
+++ b/crates/stairward-runtime/src/statement_messages.rs
@@ -8,7 +8,7 @@
     BackendError, BackendErrorCode, ForwardedRequest, PreparedStatement, Response, ResponseResult,
     Statement, StatementKind, TransactionStatus,
 };
-use stairward_protocol::neighbour::{
+use stairward_protocol::node_message::{
     ForwardedAnswer, ForwardedStatement, SessionValue, StatementTag,
 };
 use stairward_protocol::{ByteString, OptionalFreshness};
@@ -149,7 +149,7 @@
 
 /// Converts a response to a message.
 pub(crate) fn encode_answer(session: u64, request: u64, response: Response) -> ForwardedAnswer {
-    let (end, code, retry_after, body) = match response.result {
+    let (outcome, code, retry_after, body) = match response.result {
         ResponseResult::Completed { signature: None } => (COMPLETED, 0, 0, String::new()),
         ResponseResult::Completed {
             signature: Some(signature),
@@ -173,7 +173,7 @@
     ForwardedAnswer {
         session,
         request,
-        end,
+        outcome,
         code,
         retry_after_milliseconds: retry_after,
         text: ByteString::new(body.into_bytes()),
@@ -194,7 +194,7 @@
 /// Converts a message to a response. Unknown codes become failures whose outcome is unknown.
 pub(crate) fn decode_answer(message: ForwardedAnswer) -> Response {
     let body = text(&message.text).unwrap_or_default();
-    let result = match message.end {
+    let result = match message.outcome {
         COMPLETED => ResponseResult::Completed { signature: None },
         SIGNED => ResponseResult::Completed {
             signature: Some(body),
