--- a/crates/stairward-proxy/src/node/mod.rs
+++ b/crates/stairward-proxy/src/node/mod.rs
@@ -110,8 +110,14 @@
         tokio::spawn(driver.run());
         tokio::spawn(serve_peers(network.clone(), listeners.peer, service));
         tokio::spawn(Arc::clone(&owner).run());
-        tokio::spawn(forward_peer_digests(membership.clone(), configuration.clone(),));
-        tokio::spawn(forward_machine_addresses(membership.clone(), configuration.clone(),));
+        tokio::spawn(forward_peer_digests(
+            membership.clone(),
+            configuration.clone(),
+        ));
+        tokio::spawn(forward_machine_addresses(
+            membership.clone(),
+            configuration.clone(),
+        ));
         tokio::spawn(forward_settings_trust(
             Arc::downgrade(&owner),
             cluster.clone(),
@@ -215,9 +221,7 @@
         self.draining.store(true, Ordering::SeqCst);
         let handover_time = timeout.mul_f64(HANDOVER_SHARE);
         self.membership.announce_leaving().await;
-        self.edge
-            .drain(timeout.saturating_sub(handover_time))
-            .await;
+        self.edge.drain(timeout.saturating_sub(handover_time)).await;
         self.owner.drain(handover_time).await;
         // The last replies to edges of other nodes may still be queued.
         if tokio::time::timeout(FLUSH_TIMEOUT, self.network.flush())
@@ -371,7 +375,10 @@
     }
 }
 
-async fn forward_machine_addresses(membership: MembershipHandle, configuration: ConfigurationHandle,) {
+async fn forward_machine_addresses(
+    membership: MembershipHandle,
+    configuration: ConfigurationHandle,
+) {
     let mut machines = configuration.watch_machines();
     while machines.changed().await.is_ok() {
         let addresses = machines
--- a/crates/stairward-runtime/src/peers.rs
+++ b/crates/stairward-runtime/src/peers.rs
@@ -408,7 +408,8 @@
                     asked_at_microseconds,
                     answered_at_microseconds,
                 } => {
-                    let (asked, told) = (Time(asked_at_microseconds), Time(answered_at_microseconds));
+                    let (asked, told) =
+                        (Time(asked_at_microseconds), Time(answered_at_microseconds));
                     self.feeds
                         .set_source_clock(holder, PeerClock::new(asked, told));
                 }
--- a/crates/stairward-runtime/src/traffic.rs
+++ b/crates/stairward-runtime/src/traffic.rs
@@ -49,9 +49,8 @@
     /// Classifies a message.
     pub fn of(message: &NodeMessage) -> Self {
         match message {
-            NodeMessage::Forward(_)
-            | NodeMessage::Answer(_)
-            | NodeMessage::CloseSession { .. } => { Self::Forward
+            NodeMessage::Forward(_) | NodeMessage::Answer(_) | NodeMessage::CloseSession { .. } => {
+                Self::Forward
             }
             NodeMessage::Ping | NodeMessage::Pong => Self::Liveness,
             NodeMessage::SubscribeFeed { .. }
@@ -60,11 +59,9 @@
             | NodeMessage::QueryClock { .. }
             | NodeMessage::Clock { .. }
             | NodeMessage::FeedState(_) => Self::Feed,
-            NodeMessage::QueryDocument { .. } | NodeMessage::Document { .. } =>
-                Self::Document,
+            NodeMessage::QueryDocument { .. } | NodeMessage::Document { .. } => Self::Document,
             NodeMessage::QueryLeader { .. } | NodeMessage::LeaderStatus { .. } => Self::Lead,
-            NodeMessage::QueryPosition { .. } | NodeMessage::Position { .. } =>
-                Self::Position,
+            NodeMessage::QueryPosition { .. } | NodeMessage::Position { .. } => Self::Position,
             NodeMessage::RequestLimit(_) | NodeMessage::GrantLimit(_) => Self::Limit,
             NodeMessage::RevokeLeader { .. }
             | NodeMessage::LeaderRevoked { .. }
--- a/crates/stairward-store/src/edit.rs
+++ b/crates/stairward-store/src/edit.rs
@@ -100,8 +100,8 @@
     client: &PlatformClient,
     tree: SettingsTree,
 ) -> Result<SettingsDocument, EditFailure> {
-    let document =
-        SettingsDocument::initial(tree).map_err(|problems| EditFailure::InvalidTree { problems })?;
+    let document = SettingsDocument::initial(tree)
+        .map_err(|problems| EditFailure::InvalidTree { problems })?;
     match client.put_if_version(SETTINGS_OBJECT, 0, &document).await {
         Ok(_) => Ok(document),
         Err(WriteError::Conflict {
