--- a/crates/stairward-proxy/src/edge/execute.rs
+++ b/crates/stairward-proxy/src/edge/execute.rs
@@ -127,7 +127,7 @@
         if read_only && access == AccessClass::Write && !batch.class.controls_transaction() {
             let error = EdgeError::with_explanation(
                 ResultCode::InvalidHint,
-                "the statement may write, but stairward.read_only is on",
+                "stairward.read_only is on and the statement may write",
             );
             return Err((batch.kind, error));
         }
--- a/crates/stairward-proxy/src/edge/frontend.rs
+++ b/crates/stairward-proxy/src/edge/frontend.rs
@@ -16,7 +16,7 @@
 #[derive(Debug, Snafu, PartialEq, Eq)]
 pub(super) enum FrontendError {
     /// The message is larger than the limit.
-    #[snafu(display("message of {length} bytes exceeds the limit of {limit} bytes"))]
+    #[snafu(display("a message of {length} bytes is larger than the limit of {limit}"))]
     TooLarge {
         /// The length given in the header, in bytes.
         length: usize,
@@ -24,19 +24,19 @@
         limit: usize,
     },
     /// The type byte isn't one that clients send.
-    #[snafu(display("unknown message type {tag:#04x}"))]
+    #[snafu(display("there is no message type {tag:#04x}"))]
     UnknownType {
         /// The type byte.
         tag: u8,
     },
     /// The body doesn't match the message type.
-    #[snafu(display("malformed body in message type {:?}", char::from(*tag)))]
+    #[snafu(display("the body of message type {:?} is malformed", char::from(*tag)))]
     Malformed {
         /// The type byte.
         tag: u8,
     },
     /// A string field isn't valid UTF-8.
-    #[snafu(display("invalid UTF-8 in message type {:?}", char::from(*tag)))]
+    #[snafu(display("a text in message type {:?} is not valid UTF-8", char::from(*tag)))]
     NotUtf8 {
         /// The type byte.
         tag: u8,
--- a/crates/stairward-proxy/src/edge/parameters.rs
+++ b/crates/stairward-proxy/src/edge/parameters.rs
@@ -55,7 +55,7 @@
     if parsed.user.is_empty() {
         return Err(EdgeError::with_explanation(
             ResultCode::ProtocolViolation,
-            "no user name given",
+            "no user name was given",
         ));
     }
     if parsed.database.is_empty() {
--- a/crates/stairward-proxy/src/edge/startup.rs
+++ b/crates/stairward-proxy/src/edge/startup.rs
@@ -71,7 +71,7 @@
             _ => return Ok(Incoming::Session(parse_startup(connection, packet)?)),
         }
     }
-    Err(protocol_violation("too many encryption requests").into())
+    Err(protocol_violation("encryption was negotiated too often").into())
 }
 
 #[derive(Debug, Snafu)]
@@ -111,7 +111,7 @@
         Either::Left(socket) => socket,
         encrypted @ Either::Right(_) => {
             *client_slot = Some(Client::new(encrypted));
-            return Err(protocol_violation("the connection is already encrypted").into());
+            return Err(protocol_violation("the connection is encrypted already").into());
         }
     };
     let encrypted = TlsAcceptor::from(tls)
@@ -141,20 +141,22 @@
     let major = (&packet[4..6]).get_u16();
     let minor = (&packet[6..8]).get_u16();
     if major != PROTOCOL_MAJOR {
-        return Err(protocol_violation("only protocol version 3 is supported"));
+        return Err(protocol_violation(
+            "only version 3 of the protocol is spoken",
+        ));
     }
     if std::str::from_utf8(&packet[8..]).is_err() {
         return Err(EdgeError::new(ResultCode::InvalidEncoding));
     }
     if packet.last() != Some(&0) {
         return Err(protocol_violation(
-            "the startup packet does not end in a zero byte",
+            "the start-up packet does not end in a zero byte",
         ));
     }
     let startup = Startup::decode(&mut packet, &DecodeContext::default())
         .ok()
         .flatten()
-        .ok_or_else(|| protocol_violation("the startup packet is malformed"))?;
+        .ok_or_else(|| protocol_violation("the start-up packet is malformed"))?;
     let (protocol_options, parameters): (BTreeMap<_, _>, BTreeMap<_, _>) = startup
         .parameters
         .into_iter()
@@ -207,7 +209,7 @@
     client.flush().await?;
     let frame = client.frame(MAXIMUM_PASSWORD_BYTES).await?;
     if frame.tag() != b'p' {
-        return Err(protocol_violation("expected a password message").into());
+        return Err(protocol_violation("a password message was expected").into());
     }
     Ok(frame)
 }
--- a/crates/stairward-session/src/hints.rs
+++ b/crates/stairward-session/src/hints.rs
@@ -15,7 +15,7 @@
 #[derive(Debug, Snafu, PartialEq, Eq)]
 pub enum HintError {
     /// No hint has this name.
-    #[snafu(display("unknown hint {name:?}"))]
+    #[snafu(display("there is no hint {name:?}"))]
     UnknownName {
         /// The name.
         name: String,
@@ -47,12 +47,10 @@
         least: u64,
     },
     /// The request key is empty, too long or not printable.
-    #[snafu(display(
-        "a request key must have 1 to {MAXIMUM_KEY_BYTES} printable ASCII characters"
-    ))]
+    #[snafu(display("a request key has 1 to {MAXIMUM_KEY_BYTES} printable ASCII characters"))]
     BadRequestKey,
     /// The hint cannot be set in this place.
-    #[snafu(display("{name} cannot be set here: {reason}"))]
+    #[snafu(display("{name} can't be given here: {reason}"))]
     WrongPlace {
         /// The hint.
         name: String,
@@ -165,7 +163,7 @@
             !is_token,
             WrongPlaceSnafu {
                 name,
-                reason: "set it in the start-up options"
+                reason: "give it in the start-up options"
             }
         );
         if local {
--- a/crates/stairward-session/src/token.rs
+++ b/crates/stairward-session/src/token.rs
@@ -25,16 +25,16 @@
 #[derive(Debug, Snafu, PartialEq, Eq)]
 pub enum TokenError {
     /// It is not base64 of the right length.
-    #[snafu(display("the token is malformed"))]
+    #[snafu(display("the token is damaged"))]
     Damaged,
     /// Its version is not supported by this proxy.
-    #[snafu(display("the token has unsupported version {version}"))]
+    #[snafu(display("the token has version {version}, which is not known"))]
     UnknownVersion {
         /// Version of the token.
         version: u8,
     },
     /// Its signature is invalid.
-    #[snafu(display("the token's signature is invalid"))]
+    #[snafu(display("the token's signature is wrong"))]
     Forged,
     /// It was issued for another database group.
     #[snafu(display("the token belongs to database group {group}"))]
--- a/crates/stairward-store/src/client.rs
+++ b/crates/stairward-store/src/client.rs
@@ -224,7 +224,7 @@
                 };
             }
         };
-        let reason = format!("the store answered with status {}", answer.status);
+        let reason = format!("the store answered {}", answer.status);
         match answer.status {
             StatusCode::OK | StatusCode::CREATED => match parse::<VersionAnswer>(&answer.body) {
                 Ok(written) => Ok(written.version),
@@ -284,7 +284,7 @@
         }
         if answer.status.is_server_error() {
             return Err(ReadError::Unavailable {
-                reason: format!("status {}", answer.status),
+                reason: format!("it answered {}", answer.status),
             });
         }
         Ok(answer)
--- a/crates/stairward-store/src/edit.rs
+++ b/crates/stairward-store/src/edit.rs
@@ -34,7 +34,7 @@
         source: EditError,
     },
     /// The store already contains settings.
-    #[snafu(display("the store already contains settings, at version {version}"))]
+    #[snafu(display("the store holds settings already, at version {version}"))]
     SettingsExist {
         /// The object's version.
         version: u64,
@@ -173,7 +173,7 @@
             Err(source) => return Err(source).context(NotWrittenSnafu),
         }
     }
-    unknown(edit, "the object changed before every write".to_owned())
+    unknown(edit, "the store kept changing".to_owned())
 }
 
 /// The empty document that an edit is applied to if the store contains no settings; version 0 stands for a missing
@@ -194,7 +194,7 @@
             ..
         } => unknown(
             edit,
-            format!("{source}; the stored history does not reach back to that revision"),
+            format!("{source}; the kept history does not reach back so far"),
         ),
         source => Err(source).context(RefusedSnafu),
     }
--- a/crates/stairward-store/src/error.rs
+++ b/crates/stairward-store/src/error.rs
@@ -16,13 +16,13 @@
         reason: String,
     },
     /// The store has too many readers.
-    #[snafu(display("the store has too many readers; retry in {} s", retry_after.as_secs()))]
+    #[snafu(display("the store has too many readers, come back in {} s", retry_after.as_secs()))]
     TooManyReaders {
         /// Delay before the next attempt.
         retry_after: Duration,
     },
     /// The store's answer is malformed.
-    #[snafu(display("the store's answer is malformed: {reason}"))]
+    #[snafu(display("the store's answer cannot be understood: {reason}"))]
     Malformed {
         /// The parser's error.
         reason: String,
@@ -49,7 +49,7 @@
         may_be_own: bool,
     },
     /// The write may have taken effect, or may still do so.
-    #[snafu(display("the outcome of the write is unknown: {reason}"))]
+    #[snafu(display("it is not known whether it was written: {reason}"))]
     Unknown {
         /// The last error.
         reason: String,
--- a/crates/stairward-store/src/transport.rs
+++ b/crates/stairward-store/src/transport.rs
@@ -57,7 +57,7 @@
         let Some(address) = self.addresses.get(index % self.addresses.len().max(1)) else {
             return Err(RequestFailure {
                 never_sent: true,
-                reason: "no address of the store is configured".to_owned(),
+                reason: "no address of the store is known".to_owned(),
             });
         };
         let url = format!("http://{address}{path_and_query}");
@@ -113,7 +113,7 @@
         if body.len() + chunk.len() > MAXIMUM_ANSWER_BYTES {
             return Err(RequestFailure {
                 never_sent: false,
-                reason: format!("the answer exceeds {MAXIMUM_ANSWER_BYTES} bytes"),
+                reason: format!("the answer is larger than {MAXIMUM_ANSWER_BYTES} bytes"),
             });
         }
         body.extend_from_slice(&chunk);
