--- a/crates/stairward-simulation/src/callers.rs
+++ b/crates/stairward-simulation/src/callers.rs
@@ -7,7 +7,7 @@
 use stairward_engine::{PreparedStatement, Response, ResponseResult, Statement, StatementKind};
 use stairward_types::{AccessClass, OutcomeClass, Time};
 
-use crate::checker::{Asked, Checker, Invariant, ReadKind};
+use crate::checker::{Checker, Invariant, ReadKind, SentStatement};
 
 /// The databases that routes lead to, with what their reads must see.
 pub const DATABASES: [(&str, ReadKind); 3] = [
@@ -58,7 +58,7 @@
     writes: Vec<String>,
     in_flight: Option<(String, StatementKind)>,
     /// Statements sent.
-    sent: u64,
+    sent_count: u64,
 }
 
 /// What a caller does next.
@@ -87,7 +87,7 @@
             before: Vec::new(),
             writes: Vec::new(),
             in_flight: None,
-            sent: 0,
+            sent_count: 0,
         }
     }
 
@@ -103,7 +103,7 @@
 
     /// The number of the operation under way.
     pub fn asked_number(&self) -> u64 {
-        self.sent
+        self.sent_count
     }
 
     /// Whether an answer is due.
@@ -188,7 +188,7 @@
         if let StatementKind::Begin { .. } = kind {
             self.in_transaction = true;
         }
-        let asked = Asked {
+        let sent = SentStatement {
             session: self.session,
             operation: self.operation,
             text: text.clone(),
@@ -198,12 +198,12 @@
             before: self.before.clone(),
             in_transaction: self.in_transaction,
         };
-        checker.asked(id.clone(), asked);
+        checker.record_sent(id.clone(), sent);
         if kind == StatementKind::Write {
             self.writes.push(id.clone());
         }
         self.in_flight = Some((id.clone(), kind.clone()));
-        self.sent += 1;
+        self.sent_count += 1;
         Step::Send(Statement { id, kind, text })
     }
 
@@ -222,16 +222,16 @@
 
     /// Hears an answer. Returns whether it goes on with this session.
     pub fn hear(&mut self, now: Time, response: &Response, checker: &mut Checker) -> bool {
-        checker.count(Invariant::OneAnswer);
+        checker.count(Invariant::OneResponse);
         let Some((id, kind)) = self.in_flight.take() else {
             let text = format!("session {} heard {response:?} unasked", self.session);
-            checker.violate(now, Invariant::OneAnswer, text);
+            checker.record_violation(now, Invariant::OneResponse, text);
             return false;
         };
         let told = told(response);
         if told != Told::Success {
             if told == Told::Promise {
-                checker.promised(self.operation);
+                checker.record_not_run(self.operation);
             }
             self.plan.clear();
             return !self.in_transaction;
@@ -242,9 +242,11 @@
             }
             StatementKind::Prepare { prepared, .. } => self.prepared = Some(prepared),
             StatementKind::Write if !self.in_transaction => {
-                checker.acknowledged(now, self.session, &[id]);
+                checker.record_acknowledgement(now, self.session, &[id]);
+            }
+            StatementKind::Commit => {
+                checker.record_acknowledgement(now, self.session, &self.writes)
             }
-            StatementKind::Commit => checker.acknowledged(now, self.session, &self.writes),
             StatementKind::Read | StatementKind::Write | StatementKind::Execute { .. } => {
                 self.before.push(id);
             }
--- a/crates/stairward-simulation/src/checker.rs
+++ b/crates/stairward-simulation/src/checker.rs
@@ -5,7 +5,7 @@
 
 use stairward_types::{Term, Time};
 
-use crate::database::{Database, Entry, Ran};
+use crate::database::{Database, Entry, ExecutedStatement};
 
 /// Something that must hold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -13,35 +13,35 @@
     /// A read sees what it must.
     FreshRead,
     /// A write that was promised not to be kept is not.
-    Promise,
+    NotRunGuarantee,
     /// A write takes effect once.
-    Once,
+    AtMostOnce,
     /// Databases run only what callers asked, unchanged.
-    Unasked,
+    UnmodifiedStatement,
     /// Statements run in their own transaction, under their own session's values.
-    OwnTransaction,
+    SessionIsolation,
     /// No write is acknowledged that the old primary committed after another had taken over.
     OneLeader,
     /// Where replicas are synchronous, a promotion loses no acknowledged commit.
     Kept,
     /// One decision a fencing token.
-    OneDecision,
+    UniqueToken,
     /// One node at a time writes a service's record.
-    OneHolder,
+    SingleRecordWriter,
     /// A configuration comes into force in time and never goes back.
     Configuration,
     /// A back end that has been leaving for long gets no new work.
     Leaving,
     /// A caller gets one answer a statement, and none besides.
-    OneAnswer,
+    OneResponse,
     /// A statement runs on a connection that was opened for its own tenant.
-    OwnTenant,
+    TenantIsolation,
     /// No statement runs with a key that was withdrawn.
-    Key,
+    KeyRevocation,
     /// No tenant runs more operations than its limit allows.
-    Limit,
+    TenantRateLimit,
     /// No work reaches a database of a zone that has been evacuated for long.
-    Evacuated,
+    ZoneEvacuation,
     /// A database that has just started gets no more requests in a second than its service allows.
     WarmUp,
 }
@@ -70,7 +70,7 @@
 
 /// What a caller sent.
 #[derive(Debug, Clone)]
-pub struct Asked {
+pub struct SentStatement {
     /// The caller's session.
     pub session: u64,
     /// The caller's operation; statements of one transaction share it.
@@ -100,10 +100,10 @@
 #[derive(Debug)]
 pub struct Checker {
     staleness: Duration,
-    asked: BTreeMap<String, Asked>,
+    sent: BTreeMap<String, SentStatement>,
     commits: BTreeMap<String, Vec<Entry>>,
     acknowledged: Vec<Acknowledged>,
-    promised: BTreeSet<u64>,
+    reported_not_run: BTreeSet<u64>,
     decisions: BTreeMap<u64, String>,
     /// When each write was committed, by its statement's id.
     committed_at: BTreeMap<String, (Time, Entry)>,
@@ -122,10 +122,10 @@
     pub fn new(staleness: Duration) -> Self {
         Self {
             staleness,
-            asked: BTreeMap::new(),
+            sent: BTreeMap::new(),
             commits: BTreeMap::new(),
             acknowledged: Vec::new(),
-            promised: BTreeSet::new(),
+            reported_not_run: BTreeSet::new(),
             decisions: BTreeMap::new(),
             committed_at: BTreeMap::new(),
             terms: BTreeMap::new(),
@@ -136,7 +136,7 @@
     }
 
     /// Notes a violation.
-    pub fn violate(&mut self, at: Time, invariant: Invariant, text: String) {
+    pub fn record_violation(&mut self, at: Time, invariant: Invariant, text: String) {
         self.violations.push(Violation {
             invariant,
             at,
@@ -150,55 +150,69 @@
     }
 
     /// The session and the operation that a statement is of.
-    pub fn asked_by(&self, statement: &str) -> Option<(u64, u64)> {
-        let asked = self.asked.get(statement)?;
-        Some((asked.session, asked.operation))
+    pub fn session_and_operation(&self, statement: &str) -> Option<(u64, u64)> {
+        let sent = self.sent.get(statement)?;
+        Some((sent.session, sent.operation))
     }
 
     /// A caller sent a statement.
-    pub fn asked(&mut self, id: String, asked: Asked) {
-        self.asked.insert(id, asked);
+    pub fn record_sent(&mut self, id: String, sent: SentStatement) {
+        self.sent.insert(id, sent);
     }
 
     /// A database ran a statement.
-    pub fn ran(&mut self, now: Time, database: &Database, ran: &Ran) {
-        self.count(Invariant::Unasked);
-        let Some(asked) = self.asked.get(&ran.id).cloned() else {
-            return self.violate(now, Invariant::Unasked, format!("{} was not asked", ran.id));
+    pub fn record_executed(
+        &mut self,
+        now: Time,
+        database: &Database,
+        executed: &ExecutedStatement,
+    ) {
+        self.count(Invariant::UnmodifiedStatement);
+        let Some(sent) = self.sent.get(&executed.id).cloned() else {
+            return self.record_violation(
+                now,
+                Invariant::UnmodifiedStatement,
+                format!("{} was not asked", executed.id),
+            );
         };
-        if asked.text != ran.text {
-            let text = format!("{:?} became {:?}", asked.text, ran.text);
-            self.violate(now, Invariant::Unasked, text);
+        if sent.text != executed.text {
+            let text = format!("{:?} became {:?}", sent.text, executed.text);
+            self.record_violation(now, Invariant::UnmodifiedStatement, text);
         }
-        self.check_transaction(now, &asked, ran);
-        if let Some(read_at) = ran.read_at {
-            self.check_read(now, database, &asked, ran, read_at);
+        self.check_transaction(now, &sent, executed);
+        if let Some(read_at) = executed.read_at {
+            self.check_read(now, database, &sent, executed, read_at);
         }
     }
 
-    fn check_transaction(&mut self, now: Time, asked: &Asked, ran: &Ran) {
-        self.count(Invariant::OwnTransaction);
+    fn check_transaction(&mut self, now: Time, sent: &SentStatement, executed: &ExecutedStatement) {
+        self.count(Invariant::SessionIsolation);
         let is_foreign = |id: &String| {
-            let other = self.asked.get(id);
-            other.is_none_or(|other| other.operation != asked.operation)
+            let other = self.sent.get(id);
+            other.is_none_or(|other| other.operation != sent.operation)
         };
-        if ran.beside.iter().any(is_foreign) {
-            let text = format!("{} ran beside {:?}", ran.id, ran.beside);
-            return self.violate(now, Invariant::OwnTransaction, text);
+        if executed.earlier_statements.iter().any(is_foreign) {
+            let text = format!(
+                "{} ran beside {:?}",
+                executed.id, executed.earlier_statements
+            );
+            return self.record_violation(now, Invariant::SessionIsolation, text);
         }
-        if asked.in_transaction && (!ran.in_transaction || ran.beside != asked.before) {
+        if sent.in_transaction
+            && (!executed.in_transaction || executed.earlier_statements != sent.before)
+        {
             let text = format!(
                 "{} ran after {:?}, not {:?}",
-                ran.id, ran.beside, asked.before
+                executed.id, executed.earlier_statements, sent.before
             );
-            return self.violate(now, Invariant::OwnTransaction, text);
+            return self.record_violation(now, Invariant::SessionIsolation, text);
         }
-        if ran.text != "COMMIT" && asked.values != ran.values {
+        if executed.text != "COMMIT" && sent.values != executed.values {
             let text = format!(
                 "{} ran under {:?}, not {:?}",
-                ran.id, ran.values, asked.values
+                executed.id, executed.values, sent.values
             );
-            self.violate(now, Invariant::OwnTransaction, text);
+            self.record_violation(now, Invariant::SessionIsolation, text);
         }
     }
 
@@ -206,19 +220,19 @@
         &mut self,
         now: Time,
         database: &Database,
-        asked: &Asked,
-        ran: &Ran,
+        sent: &SentStatement,
+        executed: &ExecutedStatement,
         read_at: usize,
     ) {
         self.count(Invariant::FreshRead);
         let must_see = |write: &&Acknowledged| {
-            let is_own = asked.kind == ReadKind::Own && write.session == asked.session;
-            let margin = if asked.kind == ReadKind::Leader || is_own {
+            let is_own = sent.kind == ReadKind::Own && write.session == sent.session;
+            let margin = if sent.kind == ReadKind::Leader || is_own {
                 Duration::ZERO
             } else {
                 self.staleness
             };
-            write.at + margin < asked.start
+            write.at + margin < sent.start
         };
         let sees = |write: &&Acknowledged| {
             let number = usize::try_from(write.entry.at.position.0).unwrap_or(usize::MAX);
@@ -231,22 +245,22 @@
         if let Some(missed) = missed {
             let text = format!(
                 "{} ({:?}, from {:?}) read {} up to {read_at} without {:?}, acknowledged at {:?}",
-                ran.id, asked.kind, asked.start, database.id, missed.entry, missed.at
+                executed.id, sent.kind, sent.start, database.id, missed.entry, missed.at
             );
-            self.violate(now, Invariant::FreshRead, text);
+            self.record_violation(now, Invariant::FreshRead, text);
         }
     }
 
     /// A commit took effect.
-    pub fn committed(&mut self, now: Time, entry: &Entry) {
+    pub fn record_commit(&mut self, now: Time, entry: &Entry) {
         for id in &entry.writes {
             self.committed_at.insert(id.clone(), (now, entry.clone()));
-            self.count(Invariant::Once);
+            self.count(Invariant::AtMostOnce);
             let commits = self.commits.entry(id.clone()).or_default();
             commits.push(entry.clone());
             if commits.len() > 1 {
                 let text = format!("{id} took effect at {commits:?}");
-                self.violate(now, Invariant::Once, text);
+                self.record_violation(now, Invariant::AtMostOnce, text);
             }
         }
     }
@@ -261,12 +275,12 @@
             .cloned();
         if let Some(lost) = lost {
             let text = format!("{:?}, acknowledged at {:?}, is lost", lost.entry, lost.at);
-            self.violate(now, Invariant::Kept, text);
+            self.record_violation(now, Invariant::Kept, text);
         }
     }
 
     /// A term has begun.
-    pub fn term_began(&mut self, now: Time, term: Term) {
+    pub fn record_term_start(&mut self, now: Time, term: Term) {
         self.terms.insert(term, now);
     }
 
@@ -283,13 +297,13 @@
                     "{id}, committed at {at:?} as {:?}, is acknowledged after term {term} began at {began:?}",
                     entry.at
                 );
-                self.violate(now, Invariant::OneLeader, text);
+                self.record_violation(now, Invariant::OneLeader, text);
             }
         }
     }
 
     /// A promotion rolled commits back: they no longer count.
-    pub fn rolled_back(&mut self, entries: &[Entry]) {
+    pub fn record_rollback(&mut self, entries: &[Entry]) {
         for entry in entries {
             let lost = self
                 .acknowledged
@@ -306,7 +320,7 @@
     }
 
     /// A caller was told that a write is kept.
-    pub fn acknowledged(&mut self, now: Time, session: u64, writes: &[String]) {
+    pub fn record_acknowledgement(&mut self, now: Time, session: u64, writes: &[String]) {
         self.check_one_leader(now, writes);
         let entry = writes
             .first()
@@ -324,34 +338,34 @@
     }
 
     /// A caller was promised that nothing of its operation is kept.
-    pub fn promised(&mut self, operation: u64) {
-        self.count(Invariant::Promise);
-        self.promised.insert(operation);
+    pub fn record_not_run(&mut self, operation: u64) {
+        self.count(Invariant::NotRunGuarantee);
+        self.reported_not_run.insert(operation);
     }
 
     /// At the end: no promise was broken.
-    pub fn check_promises(&mut self, now: Time) {
+    pub fn check_not_run_guarantees(&mut self, now: Time) {
         let broken: Vec<_> = self
             .commits
             .iter()
             .filter(|(_, commits)| !commits.is_empty())
-            .filter_map(|(id, _)| self.asked.get(id).map(|asked| (id, asked.operation)))
-            .filter(|(_, operation)| self.promised.contains(operation))
+            .filter_map(|(id, _)| self.sent.get(id).map(|sent| (id, sent.operation)))
+            .filter(|(_, operation)| self.reported_not_run.contains(operation))
             .map(|(id, _)| id.clone())
             .collect();
         for id in broken {
             let text = format!("{id} is kept although the caller was promised that it is not");
-            self.violate(now, Invariant::Promise, text);
+            self.record_violation(now, Invariant::NotRunGuarantee, text);
         }
     }
 
     /// A promotion was asked for.
-    pub fn decided(&mut self, now: Time, token: u64, decision: String) {
-        self.count(Invariant::OneDecision);
+    pub fn record_promotion(&mut self, now: Time, token: u64, decision: String) {
+        self.count(Invariant::UniqueToken);
         let known = self.decisions.get(&token).cloned();
         if let Some(known) = known {
             let text = format!("token {token}: {known}, then {decision}");
-            self.violate(now, Invariant::OneDecision, text);
+            self.record_violation(now, Invariant::UniqueToken, text);
         }
         self.decisions.insert(token, decision);
     }
--- a/crates/stairward-simulation/src/cold.rs
+++ b/crates/stairward-simulation/src/cold.rs
@@ -80,7 +80,7 @@
                 "{backend} got {arrived} requests within a second while cold, the last of node {node}, \
                  which takes it for cold: {is_known}"
             );
-            self.checker.violate(now, Invariant::WarmUp, text);
+            self.checker.record_violation(now, Invariant::WarmUp, text);
         }
     }
 }
--- a/crates/stairward-simulation/src/database.rs
+++ b/crates/stairward-simulation/src/database.rs
@@ -60,7 +60,7 @@
 
 /// What a database did with a command, for the checks.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Ran {
+pub struct ExecutedStatement {
     /// The statement's id.
     pub id: String,
     /// The statement's text, or shape and arguments.
@@ -68,7 +68,7 @@
     /// Whether it read, and up to which position.
     pub read_at: Option<usize>,
     /// Other statements of the same transaction.
-    pub beside: Vec<String>,
+    pub earlier_statements: Vec<String>,
     /// Whether a transaction was open.
     pub in_transaction: bool,
     /// The values it ran under.
@@ -81,7 +81,7 @@
     /// The answer.
     pub reply: BackendReply,
     /// The caller's statement that ran.
-    pub ran: Option<Ran>,
+    pub executed: Option<ExecutedStatement>,
     /// A commit took effect.
     pub committed: Option<Entry>,
 }
@@ -353,16 +353,16 @@
             return refused(BackendErrorCode::ReadOnly, status(state), position);
         }
         let in_transaction = state.transaction.is_some();
-        let beside = state
+        let earlier_statements = state
             .transaction
             .as_ref()
             .map(|open| open.statements.clone())
             .unwrap_or_default();
-        let ran = Ran {
+        let executed = ExecutedStatement {
             id: id.to_owned(),
             text: text.to_owned(),
             read_at: (!writes).then_some(self.applied),
-            beside,
+            earlier_statements,
             in_transaction,
             values: state.values.clone(),
         };
@@ -378,7 +378,7 @@
             None => {}
         }
         let mut outcome = done(state, self.position());
-        outcome.ran = Some(ran);
+        outcome.executed = Some(executed);
         outcome.committed = committed;
         outcome
     }
@@ -399,17 +399,17 @@
                 position,
             );
         }
-        let ran = Ran {
+        let executed = ExecutedStatement {
             id: id.to_owned(),
             text: "COMMIT".to_owned(),
             read_at: None,
-            beside: open.statements,
+            earlier_statements: open.statements,
             in_transaction: true,
             values: state.values.clone(),
         };
         let committed = (!open.writes.is_empty()).then(|| self.append(open.writes));
         let mut outcome = done(state, self.position());
-        outcome.ran = Some(ran);
+        outcome.executed = Some(executed);
         outcome.committed = committed;
         outcome
     }
@@ -448,7 +448,7 @@
             position: Some(position),
             member: None,
         },
-        ran: None,
+        executed: None,
         committed: None,
     }
 }
@@ -465,7 +465,7 @@
             position: Some(position),
             member: None,
         },
-        ran: None,
+        executed: None,
         committed: None,
     }
 }
--- a/crates/stairward-simulation/src/evacuations.rs
+++ b/crates/stairward-simulation/src/evacuations.rs
@@ -77,12 +77,13 @@
         let Some(since) = since.filter(|_| is_work(command) && is_in_touch) else {
             return;
         };
-        self.checker.count(Invariant::Evacuated);
+        self.checker.count(Invariant::ZoneEvacuation);
         // It counts from when the store took it, which it does only while it is up.
         let since = self.store.taken_at(since);
         if now > since + EVACUATION_LIMIT {
             let text = format!("{backend}, evacuated at {since:?}, got work of node {node}");
-            self.checker.violate(now, Invariant::Evacuated, text);
+            self.checker
+                .record_violation(now, Invariant::ZoneEvacuation, text);
         }
     }
 }
--- a/crates/stairward-simulation/src/faults.rs
+++ b/crates/stairward-simulation/src/faults.rs
@@ -289,7 +289,7 @@
             return;
         };
         let lost = self.group.forget_log(id);
-        self.checker.rolled_back(&lost);
+        self.checker.record_rollback(&lost);
         self.start_database(id);
         if let Some(database) = self.group.databases.get_mut(id) {
             database.role = role;
--- a/crates/stairward-simulation/src/lib.rs
+++ b/crates/stairward-simulation/src/lib.rs
@@ -29,9 +29,9 @@
 mod world_store;
 
 pub use callers::{Caller, DATABASES, Step};
-pub use checker::{Asked, Checker, Invariant, ReadKind, Violation};
+pub use checker::{Checker, Invariant, ReadKind, SentStatement, Violation};
 pub use cold::ColdStart;
-pub use database::{ConnectionState, Database, Entry, Link, Outcome, Ran};
+pub use database::{ConnectionState, Database, Entry, ExecutedStatement, Link, Outcome};
 pub use group::{Group, SERVICE, service};
 pub use options::{BrokenVariant, FaultKind, Options};
 pub use world::{Report, simulate};
--- a/crates/stairward-simulation/src/tenants.rs
+++ b/crates/stairward-simulation/src/tenants.rs
@@ -103,20 +103,21 @@
         if self.options.tenants == 0 {
             return;
         }
-        let Some((session, operation)) = self.checker.asked_by(statement) else {
+        let Some((session, operation)) = self.checker.session_and_operation(statement) else {
             return;
         };
         let Some(owner) = self.tenants.owners.get(&session).copied() else {
             return;
         };
         let now = self.now();
-        self.checker.count(Invariant::OwnTenant);
+        self.checker.count(Invariant::TenantIsolation);
         if opened_for != Some(&tenant_name(owner.tenant)) {
             let text = format!(
                 "{statement} of tenant {} ran for {opened_for:?}",
                 owner.tenant
             );
-            self.checker.violate(now, Invariant::OwnTenant, text);
+            self.checker
+                .record_violation(now, Invariant::TenantIsolation, text);
         }
         self.check_key(now, statement, owner);
         if self.tenants.seen.insert((session, operation)) {
@@ -131,7 +132,7 @@
         let Some(since) = self.tenants.acknowledged.get(&withdrawn).copied() else {
             return;
         };
-        self.checker.count(Invariant::Key);
+        self.checker.count(Invariant::KeyRevocation);
         let (index, life) = owner.node;
         let node = &self.nodes[index];
         let is_in_touch = node.life == life
@@ -140,7 +141,8 @@
             && !self.store.is_down;
         if is_in_touch && now > since + CONFIGURATION_LIMIT + STATEMENT_TIME {
             let text = format!("{statement} ran with a key that was withdrawn at {since:?}");
-            self.checker.violate(now, Invariant::Key, text);
+            self.checker
+                .record_violation(now, Invariant::KeyRevocation, text);
         }
     }
 
@@ -154,14 +156,15 @@
         let seconds = (WINDOW + ADMISSION_LEAD).as_secs_f64();
         let bound = rate * seconds * CLOCK_SPEED + rate;
         for (tenant, times) in std::mem::take(&mut self.tenants.operations) {
-            self.checker.count(Invariant::Limit);
+            self.checker.count(Invariant::TenantRateLimit);
             let most = most_in_window(&times);
             #[allow(clippy::cast_precision_loss, reason = "a count of a short run")]
             let is_over = most as f64 > bound;
             if is_over {
                 let text = format!("{most} operations of tenant {tenant}, allowed {bound}");
                 let now = self.now();
-                self.checker.violate(now, Invariant::Limit, text);
+                self.checker
+                    .record_violation(now, Invariant::TenantRateLimit, text);
             }
         }
     }
--- a/crates/stairward-simulation/src/world.rs
+++ b/crates/stairward-simulation/src/world.rs
@@ -244,7 +244,7 @@
 
     fn report(mut self) -> Report {
         let now = self.now();
-        self.checker.check_promises(now);
+        self.checker.check_not_run_guarantees(now);
         Report {
             violations: self.checker.violations,
             checked: self.checker.checked,
--- a/crates/stairward-simulation/src/world_callers.rs
+++ b/crates/stairward-simulation/src/world_callers.rs
@@ -234,7 +234,8 @@
                 && node.in_touch_since <= since;
             if is_in_touch && node.newest_content < revision {
                 let text = format!("node {index} has not {revision} in force");
-                self.checker.violate(now, Invariant::Configuration, text);
+                self.checker
+                    .record_violation(now, Invariant::Configuration, text);
             }
         }
     }
--- a/crates/stairward-simulation/src/world_databases.rs
+++ b/crates/stairward-simulation/src/world_databases.rs
@@ -114,22 +114,22 @@
         }
         let outcome = database.run(link, command);
         if let Some(entry) = &outcome.committed {
-            self.checker.committed(now, entry);
+            self.checker.record_commit(now, entry);
         }
-        if let Some(ran) = &outcome.ran {
-            self.checker.ran(now, database, ran);
+        if let Some(executed) = &outcome.executed {
+            self.checker.record_executed(now, database, executed);
             let state = database.connections.get(&link);
             let opened_for = state.and_then(|state| state.tenant.clone());
-            self.check_tenant(&ran.id, opened_for.as_ref());
+            self.check_tenant(&executed.id, opened_for.as_ref());
         }
-        let is_lost =
-            outcome.ran.is_some() && self.random.random_range(0..100) < self.answer_loss_percent;
+        let is_lost = outcome.executed.is_some()
+            && self.random.random_range(0..100) < self.answer_loss_percent;
         if is_lost {
             self.stalled.insert(link);
             return;
         }
         // Answers of one connection keep their order: those that take no slot are as slow as the rest.
-        let work = if outcome.ran.is_some() { 8 } else { 0 };
+        let work = if outcome.executed.is_some() { 8 } else { 0 };
         let delay = self.delay(node, backend) + Duration::from_millis(work);
         let mut reply = outcome.reply;
         if self.options.broken == Some(BrokenVariant::Revocation)
@@ -207,7 +207,7 @@
             let since = self.store.taken_at(since);
             if now > since + self.options.drain_limit {
                 let text = format!("{backend}, leaving since {since:?}, got work of node {node}");
-                self.checker.violate(now, Invariant::Leaving, text);
+                self.checker.record_violation(now, Invariant::Leaving, text);
             }
         }
     }
@@ -217,7 +217,7 @@
         self.queue.plan(REPLICATION_TICK, Happening::Replicate);
         self.group.replicate(now, USUAL_LAG);
         let rolled_back = self.group.join_old_primaries(now);
-        self.checker.rolled_back(&rolled_back);
+        self.checker.record_rollback(&rolled_back);
     }
 
     /// What a member answers to a question; none when it is not reached.
@@ -404,14 +404,14 @@
         let rolled_back = self.group.promote(backend);
         let term = self.group.databases[backend].term;
         let began = self.now();
-        self.checker.term_began(began, term);
+        self.checker.record_term_start(began, term);
         self.decisions
             .push(format!("{began:?} {backend} leads {term:?}"));
         if self.options.synchronous_replicas > 0 {
             let now = self.now();
             self.checker.check_kept(now, &rolled_back);
         }
-        self.checker.rolled_back(&rolled_back);
+        self.checker.record_rollback(&rolled_back);
         let ids: Vec<_> = self.group.databases.keys().cloned().collect();
         for id in ids {
             if self.group.listed.contains_key(&id) {
--- a/crates/stairward-simulation/src/world_nodes.rs
+++ b/crates/stairward-simulation/src/world_nodes.rs
@@ -87,7 +87,8 @@
                 "node {index} went back from {} to {content}",
                 node.newest_content
             );
-            self.checker.violate(now, Invariant::Configuration, text);
+            self.checker
+                .record_violation(now, Invariant::Configuration, text);
         }
         node.newest_content = content;
     }
--- a/crates/stairward-simulation/src/world_store.rs
+++ b/crates/stairward-simulation/src/world_store.rs
@@ -314,14 +314,15 @@
     /// No two nodes write a service's record within a lease, whatever the store has lost meanwhile.
     fn check_holder(&mut self, writer: &str) {
         let now = self.now();
-        self.checker.count(Invariant::OneHolder);
+        self.checker.count(Invariant::SingleRecordWriter);
         let last = self.last_holder.replace((now, writer.to_owned()));
         if let Some((at, holder)) = last
             && holder != writer
             && now < at + HOLDER_LEASE
         {
             let text = format!("{holder} wrote the record at {at:?}, then {writer}");
-            self.checker.violate(now, Invariant::OneHolder, text);
+            self.checker
+                .record_violation(now, Invariant::SingleRecordWriter, text);
         }
     }
 
@@ -397,7 +398,7 @@
         };
         let decision = format!("{} of life {life} promotes {backend}", node_name(index));
         let now = self.now();
-        self.checker.decided(now, token.0, decision);
+        self.checker.record_promotion(now, token.0, decision);
         let is_late = self.promotions_are_late && self.random.random_range(0..2) == 0;
         let delay = if is_late {
             self.between(2_000, 9_000)
--- a/crates/stairward-simulation/tests/restores.rs
+++ b/crates/stairward-simulation/tests/restores.rs
@@ -39,14 +39,14 @@
 
 #[test]
 fn an_evacuated_zone_gets_no_late_work_though_the_store_has_lost_the_evacuation() {
-    assert_checked(Invariant::Evacuated, |seed| {
+    assert_checked(Invariant::ZoneEvacuation, |seed| {
         with_restores(seed, &[FaultKind::Evacuation, FaultKind::NodeFreeze])
     });
 }
 
 #[test]
 fn a_withdrawn_key_stays_withdrawn_though_the_store_lists_it_again() {
-    assert_checked(Invariant::Key, |seed| Options {
+    assert_checked(Invariant::KeyRevocation, |seed| Options {
         tenants: 7,
         connections: 20,
         ..with_restores(seed, &[FaultKind::ConfigurationChange])
@@ -65,7 +65,7 @@
         FaultKind::StoreCut,
     ];
     for old_primaries_go_on in [false, true] {
-        assert_checked(Invariant::OneHolder, |seed| Options {
+        assert_checked(Invariant::SingleRecordWriter, |seed| Options {
             old_primaries_go_on,
             ..with_restores(seed, &faults)
         });
--- a/crates/stairward-simulation/tests/simulation.rs
+++ b/crates/stairward-simulation/tests/simulation.rs
@@ -105,7 +105,7 @@
     for seed in SEEDS {
         let report = assert_holds(&with_tenants(Options::new(seed)));
         assert!(report.succeeded > report.failed, "seed {seed}");
-        assert!(report.checked[&Invariant::OwnTenant] > 0);
+        assert!(report.checked[&Invariant::TenantIsolation] > 0);
     }
 }
 
@@ -116,7 +116,7 @@
             connections: TWO_HOLDERS,
             ..with_limits(Options::new(seed))
         });
-        assert!(report.checked[&Invariant::Limit] > 0);
+        assert!(report.checked[&Invariant::TenantRateLimit] > 0);
     }
 }
 
@@ -236,11 +236,11 @@
     assert_eq!(report.failed, 0);
     for invariant in [
         Invariant::FreshRead,
-        Invariant::Once,
-        Invariant::Unasked,
-        Invariant::OwnTransaction,
+        Invariant::AtMostOnce,
+        Invariant::UnmodifiedStatement,
+        Invariant::SessionIsolation,
         Invariant::Configuration,
-        Invariant::OneAnswer,
+        Invariant::OneResponse,
     ] {
         assert!(report.checked[&invariant] > 100, "{:?}", report.checked);
     }
@@ -263,7 +263,7 @@
         );
         checked += report
             .checked
-            .get(&Invariant::Evacuated)
+            .get(&Invariant::ZoneEvacuation)
             .copied()
             .unwrap_or(0);
     }
@@ -384,12 +384,12 @@
         BrokenVariant::Floor | BrokenVariant::LeaderProof | BrokenVariant::LostLog => {
             Invariant::FreshRead
         }
-        BrokenVariant::Promise => Invariant::Promise,
-        BrokenVariant::Resend => Invariant::Once,
-        BrokenVariant::Reset | BrokenVariant::Multiplex => Invariant::OwnTransaction,
-        BrokenVariant::Token | BrokenVariant::Era => Invariant::OneDecision,
+        BrokenVariant::Promise => Invariant::NotRunGuarantee,
+        BrokenVariant::Resend => Invariant::AtMostOnce,
+        BrokenVariant::Reset | BrokenVariant::Multiplex => Invariant::SessionIsolation,
+        BrokenVariant::Token | BrokenVariant::Era => Invariant::UniqueToken,
         BrokenVariant::Drain | BrokenVariant::Restored => Invariant::Leaving,
-        BrokenVariant::LostLease => Invariant::OneHolder,
+        BrokenVariant::LostLease => Invariant::SingleRecordWriter,
         BrokenVariant::Configuration => Invariant::Configuration,
         BrokenVariant::Hold => Invariant::Kept,
         BrokenVariant::StepDown
@@ -397,10 +397,10 @@
         | BrokenVariant::NoWait
         | BrokenVariant::LongLease
         | BrokenVariant::Withhold => Invariant::OneLeader,
-        BrokenVariant::Tenant => Invariant::OwnTenant,
-        BrokenVariant::Key => Invariant::Key,
-        BrokenVariant::Limit => Invariant::Limit,
-        BrokenVariant::Evacuation => Invariant::Evacuated,
+        BrokenVariant::Tenant => Invariant::TenantIsolation,
+        BrokenVariant::Key => Invariant::KeyRevocation,
+        BrokenVariant::Limit => Invariant::TenantRateLimit,
+        BrokenVariant::Evacuation => Invariant::ZoneEvacuation,
         BrokenVariant::Cold => Invariant::WarmUp,
     }
 }
