--- a/crates/stairward-simulation/examples/run_seed.rs
+++ b/crates/stairward-simulation/examples/run_seed.rs
@@ -15,7 +15,7 @@
     let (mut violations, mut promotions, mut lost) = (0, 0, 0);
     for seed in number(0)..=number(1) {
         let mut options = Options {
-            old_primaries_go_on: true,
+            old_primaries_keep_running: true,
             ..Options::new(seed)
         };
         if is_close {
--- a/crates/stairward-simulation/src/callers.rs
+++ b/crates/stairward-simulation/src/callers.rs
@@ -20,20 +20,20 @@
 
 /// What a caller was told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Told {
+enum ReportedOutcome {
     Success,
-    Promise,
+    NotRun,
     Unknown,
 }
 
-fn told(response: &Response) -> Told {
+fn reported(response: &Response) -> ReportedOutcome {
     match &response.result {
-        ResponseResult::Completed { .. } => Told::Success,
+        ResponseResult::Completed { .. } => ReportedOutcome::Success,
         ResponseResult::Refused { code, .. } if code.class() == OutcomeClass::NotRun => {
-            Told::Promise
+            ReportedOutcome::NotRun
         }
-        ResponseResult::Failed(error) if error.code.is_not_run() => Told::Promise,
-        ResponseResult::Refused { .. } | ResponseResult::Failed(_) => Told::Unknown,
+        ResponseResult::Failed(error) if error.code.is_not_run() => ReportedOutcome::NotRun,
+        ResponseResult::Refused { .. } | ResponseResult::Failed(_) => ReportedOutcome::Unknown,
     }
 }
 
@@ -50,7 +50,7 @@
     pub database: usize,
     values: BTreeMap<String, String>,
     prepared: Option<PreparedStatement>,
-    plan: Vec<StatementKind>,
+    remaining: Vec<StatementKind>,
     operation: u64,
     start: Time,
     in_transaction: bool,
@@ -67,7 +67,7 @@
     /// Send a statement.
     Send(Statement),
     /// Close the session.
-    Leave,
+    CloseSession,
 }
 
 impl Caller {
@@ -80,7 +80,7 @@
             database: 0,
             values: BTreeMap::new(),
             prepared: None,
-            plan: Vec::new(),
+            remaining: Vec::new(),
             operation: 0,
             start: Time::ZERO,
             in_transaction: false,
@@ -92,7 +92,7 @@
     }
 
     /// Connects anew.
-    pub fn connected(&mut self, session: u64, node: (usize, u64), database: usize) {
+    pub fn start_session(&mut self, session: u64, node: (usize, u64), database: usize) {
         *self = Self {
             session,
             node: Some(node),
@@ -102,7 +102,7 @@
     }
 
     /// The number of the operation under way.
-    pub fn asked_number(&self) -> u64 {
+    pub fn request_number(&self) -> u64 {
         self.sent_count
     }
 
@@ -116,14 +116,14 @@
         random: &mut ChaCha8Rng,
         now: Time,
         operation: u64,
-        writes_in_twenty: u32,
+        writes_per_twenty: u32,
     ) {
         self.operation = operation;
         self.start = now;
         self.in_transaction = false;
         self.before.clear();
         self.writes.clear();
-        self.plan = match random.random_range(0..20) {
+        self.remaining = match random.random_range(0..20) {
             0 => vec![StatementKind::SetValue {
                 name: format!("v{}", random.random_range(0..3)),
                 value: random.random_range(0..5).to_string(),
@@ -139,50 +139,50 @@
                 name: PREPARED_NAME.to_owned(),
                 arguments: "x".to_owned(),
             }],
-            3..=6 => Self::plan_transaction(random, writes_in_twenty > 1),
-            kind if kind >= 7 && kind < 7 + writes_in_twenty => vec![StatementKind::Write],
+            3..=6 => Self::plan_transaction(random, writes_per_twenty > 1),
+            kind if kind >= 7 && kind < 7 + writes_per_twenty => vec![StatementKind::Write],
             _ => vec![StatementKind::Read],
         };
     }
 
     fn plan_transaction(random: &mut ChaCha8Rng, may_write: bool) -> Vec<StatementKind> {
         let read_only = random.random_range(0..3) == 0 || !may_write;
-        let mut plan = vec![StatementKind::Begin { read_only }];
+        let mut remaining = vec![StatementKind::Begin { read_only }];
         for _ in 0..random.random_range(1..4) {
             let writes = !read_only && random.random_range(0..2) == 0;
-            plan.push(if writes {
+            remaining.push(if writes {
                 StatementKind::Write
             } else {
                 StatementKind::Read
             });
         }
-        plan.push(if random.random_range(0..6) == 0 {
+        remaining.push(if random.random_range(0..6) == 0 {
             StatementKind::Rollback
         } else {
             StatementKind::Commit
         });
-        plan.reverse();
-        plan
+        remaining.reverse();
+        remaining
     }
 
     /// The next statement, or leaving.
-    pub fn step(
+    pub fn next_step(
         &mut self,
         random: &mut ChaCha8Rng,
         now: Time,
-        writes_in_twenty: u32,
+        writes_per_twenty: u32,
         numbers: &mut u64,
         checker: &mut Checker,
     ) -> Step {
         if random.random_range(0..60) == 0 {
-            return Step::Leave;
+            return Step::CloseSession;
         }
         *numbers += 1;
-        if self.plan.is_empty() {
+        if self.remaining.is_empty() {
             let operation = *numbers;
-            self.plan_operation(random, now, operation, writes_in_twenty);
+            self.plan_operation(random, now, operation, writes_per_twenty);
         }
-        let kind = self.plan.pop().unwrap_or(StatementKind::Read);
+        let kind = self.remaining.pop().unwrap_or(StatementKind::Read);
         let id = format!("a{numbers}");
         let text = self.text(&kind, &id);
         if let StatementKind::Begin { .. } = kind {
@@ -221,19 +221,24 @@
     }
 
     /// Hears an answer. Returns whether it goes on with this session.
-    pub fn hear(&mut self, now: Time, response: &Response, checker: &mut Checker) -> bool {
+    pub fn receive_response(
+        &mut self,
+        now: Time,
+        response: &Response,
+        checker: &mut Checker,
+    ) -> bool {
         checker.count(Invariant::OneResponse);
         let Some((id, kind)) = self.in_flight.take() else {
             let text = format!("session {} heard {response:?} unasked", self.session);
             checker.record_violation(now, Invariant::OneResponse, text);
             return false;
         };
-        let told = told(response);
-        if told != Told::Success {
-            if told == Told::Promise {
+        let reported = reported(response);
+        if reported != ReportedOutcome::Success {
+            if reported == ReportedOutcome::NotRun {
                 checker.record_not_run(self.operation);
             }
-            self.plan.clear();
+            self.remaining.clear();
             return !self.in_transaction;
         }
         match kind {
--- a/crates/stairward-simulation/src/checker.rs
+++ b/crates/stairward-simulation/src/checker.rs
@@ -5,7 +5,7 @@
 
 use stairward_types::{Term, Time};
 
-use crate::database::{Database, Entry, ExecutedStatement};
+use crate::database::{Database, ExecutedStatement, LogEntry};
 
 /// Something that must hold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -93,7 +93,7 @@
 struct Acknowledged {
     at: Time,
     session: u64,
-    entry: Entry,
+    entry: LogEntry,
 }
 
 /// The history and its checks.
@@ -101,12 +101,12 @@
 pub struct Checker {
     staleness: Duration,
     sent: BTreeMap<String, SentStatement>,
-    commits: BTreeMap<String, Vec<Entry>>,
+    commits: BTreeMap<String, Vec<LogEntry>>,
     acknowledged: Vec<Acknowledged>,
     reported_not_run: BTreeSet<u64>,
     decisions: BTreeMap<u64, String>,
     /// When each write was committed, by its statement's id.
-    committed_at: BTreeMap<String, (Time, Entry)>,
+    committed_at: BTreeMap<String, (Time, LogEntry)>,
     /// When each term began.
     terms: BTreeMap<Term, Time>,
     /// Acknowledged commits that a promotion rolled back.
@@ -252,7 +252,7 @@
     }
 
     /// A commit took effect.
-    pub fn record_commit(&mut self, now: Time, entry: &Entry) {
+    pub fn record_commit(&mut self, now: Time, entry: &LogEntry) {
         for id in &entry.writes {
             self.committed_at.insert(id.clone(), (now, entry.clone()));
             self.count(Invariant::AtMostOnce);
@@ -266,7 +266,7 @@
     }
 
     /// A promotion rolled commits back that must all be kept.
-    pub fn check_kept(&mut self, now: Time, rolled_back: &[Entry]) {
+    pub fn check_kept(&mut self, now: Time, rolled_back: &[LogEntry]) {
         self.count(Invariant::Kept);
         let lost = self
             .acknowledged
@@ -303,7 +303,7 @@
     }
 
     /// A promotion rolled commits back: they no longer count.
-    pub fn record_rollback(&mut self, entries: &[Entry]) {
+    pub fn record_rollback(&mut self, entries: &[LogEntry]) {
         for entry in entries {
             let lost = self
                 .acknowledged
--- a/crates/stairward-simulation/src/cold.rs
+++ b/crates/stairward-simulation/src/cold.rs
@@ -70,9 +70,9 @@
             return;
         }
         let since = Time(now.0.saturating_sub(1_000_000 * WINDOW.as_secs()));
-        database.cold_arrivals.retain(|at| *at > since);
-        database.cold_arrivals.push(now);
-        let arrived = database.cold_arrivals.len();
+        database.cold_request_times.retain(|at| *at > since);
+        database.cold_request_times.push(now);
+        let arrived = database.cold_request_times.len();
         self.checker.count(Invariant::WarmUp);
         if arrived > cold.bound() {
             let is_known = self.nodes[node].engine.is_cold(now, backend);
--- a/crates/stairward-simulation/src/database.rs
+++ b/crates/stairward-simulation/src/database.rs
@@ -16,16 +16,16 @@
 
 /// A connection, unique in the world: the node's life and its own number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Link {
+pub struct ConnectionKey {
     /// The node's life, unique in the world.
-    pub life: u64,
+    pub incarnation: u64,
     /// The connection's number in it.
     pub connection: stairward_engine::ConnectionId,
 }
 
 /// A committed write.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Entry {
+pub struct LogEntry {
     /// Its position in the log.
     pub at: Freshness,
     /// The statements' ids.
@@ -83,7 +83,7 @@
     /// The caller's statement that ran.
     pub executed: Option<ExecutedStatement>,
     /// A commit took effect.
-    pub committed: Option<Entry>,
+    pub committed: Option<LogEntry>,
 }
 
 /// Whether a command runs a client's statement.
@@ -108,29 +108,29 @@
     /// The term it is in.
     pub term: Term,
     /// All that it has received.
-    pub log: Vec<Entry>,
+    pub log: Vec<LogEntry>,
     /// How much of it is applied.
     pub applied: usize,
     /// Open connections.
-    pub connections: BTreeMap<Link, ConnectionState>,
+    pub connections: BTreeMap<ConnectionKey, ConnectionState>,
     /// Connections it takes.
     pub connection_limit: usize,
     /// Until when it is cold after its last start.
     pub cold_until: Time,
     /// How long it said at its last start that it would be.
-    pub told_cold: Duration,
+    pub announced_cold_time: Duration,
     /// How often its process has started; it tells which start it is.
-    pub starts: u64,
+    pub start_count: u64,
     /// When requests reached it while it was cold, within the last second.
-    pub cold_arrivals: Vec<Time>,
+    pub cold_request_times: Vec<Time>,
     /// Since when discovery says that it leaves or is gone, as the store took it.
     pub leaving_since: Option<Time>,
     /// Whether nothing passes between it and the other members.
-    pub is_deaf: bool,
+    pub is_isolated: bool,
     /// Below which term it was told not to receive; 0 where it receives.
     pub held: Term,
     /// Since when it, an old primary, has reached the new one.
-    pub reaches_successor_since: Option<Time>,
+    pub connected_to_successor_since: Option<Time>,
     /// How many times later than usual it applies.
     pub lag_factor: u32,
 }
@@ -149,24 +149,24 @@
             connections: BTreeMap::new(),
             connection_limit,
             cold_until: Time::ZERO,
-            told_cold: Duration::ZERO,
-            starts: 1,
-            cold_arrivals: Vec::new(),
+            announced_cold_time: Duration::ZERO,
+            start_count: 1,
+            cold_request_times: Vec::new(),
             leaving_since: None,
-            is_deaf: false,
+            is_isolated: false,
             held: Term(0),
-            reaches_successor_since: None,
+            connected_to_successor_since: None,
             lag_factor: 1,
         }
     }
 
     /// Starts again and knows nothing of before; a primary goes on calling itself that.
-    pub fn forget_all(&mut self) {
+    pub fn discard_state(&mut self) {
         self.log.clear();
         self.applied = 0;
         self.term = Term(0);
         self.held = Term(0);
-        self.reaches_successor_since = None;
+        self.connected_to_successor_since = None;
     }
 
     /// How far it has applied the log, with the term of the last entry.
@@ -189,20 +189,20 @@
 
     /// Whether other members reach it.
     #[must_use]
-    pub const fn is_reached(&self) -> bool {
-        self.is_alive && !self.is_silent && !self.is_deaf
+    pub const fn is_reachable(&self) -> bool {
+        self.is_alive && !self.is_silent && !self.is_isolated
     }
 
     /// Whether it knows nothing of any term: it has started and received nothing yet.
     #[must_use]
-    pub const fn knows_nothing(&self) -> bool {
+    pub const fn has_lost_log(&self) -> bool {
         self.term.0 == 0
     }
 
     /// Whether other members receive its log. What knows nothing is in no term, and others are in a later one.
     #[must_use]
-    pub const fn passes_log(&self) -> bool {
-        self.is_reached() && !self.knows_nothing()
+    pub const fn can_ship_log(&self) -> bool {
+        self.is_reachable() && !self.has_lost_log()
     }
 
     /// Is told not to receive in any term below this one.
@@ -240,10 +240,10 @@
     }
 
     /// Runs a command on a connection.
-    pub fn run(&mut self, link: Link, command: &BackendCommand) -> Outcome {
+    pub fn run(&mut self, connection_key: ConnectionKey, command: &BackendCommand) -> Outcome {
         let is_primary = self.role == BackendRole::Primary;
         let position = self.position();
-        let Some(mut state) = self.connections.remove(&link) else {
+        let Some(mut state) = self.connections.remove(&connection_key) else {
             return refused(BackendErrorCode::InDoubt, TransactionStatus::Idle, position);
         };
         let outcome = match command {
@@ -312,7 +312,7 @@
                 }
             }
         };
-        self.connections.insert(link, state);
+        self.connections.insert(connection_key, state);
         outcome
     }
 
@@ -414,9 +414,9 @@
         outcome
     }
 
-    fn append(&mut self, writes: Vec<String>) -> Entry {
+    fn append(&mut self, writes: Vec<String>) -> LogEntry {
         let number = u64::try_from(self.log.len() + 1).unwrap_or_default();
-        let entry = Entry {
+        let entry = LogEntry {
             at: Freshness::new(self.term, LogPosition(number)),
             writes,
         };
@@ -426,7 +426,7 @@
     }
 
     /// Ends every connection; what was open on them is undone.
-    pub fn drop_connections(&mut self) -> Vec<Link> {
+    pub fn drop_connections(&mut self) -> Vec<ConnectionKey> {
         std::mem::take(&mut self.connections).into_keys().collect()
     }
 }
--- a/crates/stairward-simulation/src/evacuations.rs
+++ b/crates/stairward-simulation/src/evacuations.rs
@@ -40,7 +40,7 @@
     }
 
     /// The evacuated zones as a node is shown them. A broken node forgets them when it starts anew.
-    pub(crate) fn show_evacuated(&mut self, node: usize, life: u64, since: Option<Time>) {
+    pub(crate) fn show_evacuated(&mut self, node: usize, incarnation: u64, since: Option<Time>) {
         let has_forgotten = self.options.broken == Some(BrokenVariant::Evacuation)
             && self.nodes[node].in_touch_since > Time::ZERO;
         let (now, era) = (self.now(), self.store.era);
@@ -58,7 +58,11 @@
         let zones = seen.into_keys().filter_map(|zone| ZoneName::new(zone).ok());
         let zones: std::collections::BTreeSet<_> = zones.collect();
         self.nodes[node].evacuated.clone_from(&zones);
-        self.tell_engine(node, life, Event::EvacuatedZonesChanged { zones, since });
+        self.tell_engine(
+            node,
+            incarnation,
+            Event::EvacuatedZonesChanged { zones, since },
+        );
     }
 
     /// No work of a node in touch reaches a database whose zone has been evacuated for long.
--- a/crates/stairward-simulation/src/faults.rs
+++ b/crates/stairward-simulation/src/faults.rs
@@ -152,8 +152,8 @@
         if let Some(id) = self.live_primary() {
             if let Some(database) = self.group.databases.get_mut(&id) {
                 database.is_silent = true;
-                let links: Vec<_> = database.connections.keys().copied().collect();
-                self.stalled.extend(links);
+                let connection_keys: Vec<_> = database.connections.keys().copied().collect();
+                self.stalled.extend(connection_keys);
             }
             let revision = self.group.revision;
             self.end_after(
@@ -177,7 +177,7 @@
             .group
             .databases
             .values()
-            .all(|database| database.id == id || database.passes_log());
+            .all(|database| database.id == id || database.can_ship_log());
         let is_alive = self.group.databases.get(&id).is_some_and(|d| d.is_alive);
         if is_alive && are_others_whole {
             self.stop_database(&id);
@@ -210,7 +210,7 @@
     fn isolate_primary(&mut self, length: Duration) {
         if let Some(id) = self.live_primary() {
             if let Some(database) = self.group.databases.get_mut(&id) {
-                database.is_deaf = true;
+                database.is_isolated = true;
             }
             self.end_after(length, Ending::ReplicaRecovers(id));
         }
@@ -228,7 +228,7 @@
     fn deafen_replica(&mut self, length: Duration) {
         if let Some(id) = self.some_replica() {
             if let Some(database) = self.group.databases.get_mut(&id) {
-                database.is_deaf = true;
+                database.is_isolated = true;
             }
             self.end_after(length, Ending::ReplicaRecovers(id));
         }
@@ -288,7 +288,7 @@
         let Some(role) = self.group.databases.get(id).map(|database| database.role) else {
             return;
         };
-        let lost = self.group.forget_log(id);
+        let lost = self.group.erase_log(id);
         self.checker.record_rollback(&lost);
         self.start_database(id);
         if let Some(database) = self.group.databases.get_mut(id) {
@@ -319,21 +319,21 @@
                     .is_some_and(|database| !database.is_alive || database.is_silent);
                 if is_unchanged && is_away {
                     let now = self.now();
-                    self.group.forget(&id, now);
+                    self.group.unlist(&id, now);
                     self.push_to_all();
                 }
             }
             Ending::DatabaseEnds(id) => {
                 self.stop_database(&id);
                 let now = self.now();
-                self.group.forget(&id, now);
+                self.group.unlist(&id, now);
                 self.push_to_all();
                 self.end_after(LINGER, Ending::DatabaseStarts(id));
             }
             Ending::ReplicaRecovers(id) => {
                 if let Some(database) = self.group.databases.get_mut(&id) {
                     database.lag_factor = 1;
-                    database.is_deaf = false;
+                    database.is_isolated = false;
                 }
             }
             Ending::CutHeals(cut) => {
--- a/crates/stairward-simulation/src/group.rs
+++ b/crates/stairward-simulation/src/group.rs
@@ -8,10 +8,10 @@
     BackendId, BackendRole, Incarnation, ServiceName, StoreRevision, Term, Time, ZoneName,
 };
 
-use crate::database::{Database, Entry};
+use crate::database::{Database, LogEntry};
 
 /// How long an old primary goes on once it reaches the new one.
-const OLD_PRIMARY_GOES_ON: Duration = Duration::from_secs(1);
+const OLD_PRIMARY_RUN_TIME: Duration = Duration::from_secs(1);
 
 /// The one service.
 pub const SERVICE: &str = "core";
@@ -29,7 +29,7 @@
     pub fence: u64,
     /// Whether an old primary goes on after another was promoted, until it steps down or has reached the
     /// new one for a while.
-    pub old_primaries_go_on: bool,
+    pub old_primaries_keep_running: bool,
     /// The database that leads the newest term, or led it and has stepped down: the others receive from it.
     source: BackendId,
     applied_at: BTreeMap<BackendId, Vec<(Time, usize)>>,
@@ -58,7 +58,7 @@
             listed: BTreeMap::new(),
             revision: 0,
             fence: 0,
-            old_primaries_go_on: false,
+            old_primaries_keep_running: false,
             source: BackendId::new("db-1").expect("a name"),
             applied_at: BTreeMap::new(),
         };
@@ -83,8 +83,8 @@
             zone: ZoneName::new(format!("zone-{number}")).expect("a name"),
             is_leaving: database.leaving_since.is_some(),
             role: database.role,
-            incarnation: Some(Incarnation(database.starts)),
-            cold_left: database.told_cold,
+            incarnation: Some(Incarnation(database.start_count)),
+            cold_left: database.announced_cold_time,
             slots: None,
             revision: StoreRevision::new(0, self.revision),
         };
@@ -92,7 +92,7 @@
     }
 
     /// Discovery takes in what a database says of itself, unless it lists just that.
-    pub fn announce_unless_listed(&mut self, id: &BackendId) {
+    pub fn announce_if_changed(&mut self, id: &BackendId) {
         let listed = self.listed.get(id).cloned();
         let revision = self.revision;
         self.announce(id);
@@ -109,7 +109,7 @@
     }
 
     /// Discovery forgets a database. It counts as leaving from then on.
-    pub fn forget(&mut self, id: &BackendId, now: Time) {
+    pub fn unlist(&mut self, id: &BackendId, now: Time) {
         self.revision += 1;
         self.listed.remove(id);
         if let Some(database) = self.databases.get_mut(id) {
@@ -118,13 +118,13 @@
     }
 
     /// A database forgets all that it knew. Returns what nobody else has of it.
-    pub fn forget_log(&mut self, id: &BackendId) -> Vec<Entry> {
+    pub fn erase_log(&mut self, id: &BackendId) -> Vec<LogEntry> {
         let Some(database) = self.databases.get_mut(id) else {
             return Vec::new();
         };
         let log = std::mem::take(&mut database.log);
-        database.forget_all();
-        let is_kept = |entry: &Entry| self.databases.values().any(|d| d.log.contains(entry));
+        database.discard_state();
+        let is_kept = |entry: &LogEntry| self.databases.values().any(|d| d.log.contains(entry));
         log.into_iter().filter(|entry| !is_kept(entry)).collect()
     }
 
@@ -141,7 +141,7 @@
 
     /// A database leads the next term with what it has received; the others follow it. Returns what they had
     /// beyond that.
-    pub fn promote(&mut self, id: &BackendId) -> Vec<Entry> {
+    pub fn promote(&mut self, id: &BackendId) -> Vec<LogEntry> {
         let newest = self.databases.values().map(|database| database.term).max();
         self.applied_at.clear();
         let term = Term(newest.unwrap_or_default().0 + 1);
@@ -160,13 +160,13 @@
                 continue;
             }
             let is_old_primary = other.role == BackendRole::Primary;
-            if is_old_primary && self.old_primaries_go_on && other.is_alive {
-                other.reaches_successor_since = None;
+            if is_old_primary && self.old_primaries_keep_running && other.is_alive {
+                other.connected_to_successor_since = None;
                 rolled_back.extend(surplus(&other.log, &kept).iter().cloned());
                 continue;
             }
             other.role = BackendRole::Replica;
-            if other.is_alive && !self.old_primaries_go_on {
+            if other.is_alive && !self.old_primaries_keep_running {
                 other.term = term;
             }
             let same = other.log.len() - surplus(&other.log, &kept).len();
@@ -177,22 +177,22 @@
     }
 
     /// Old primaries that have reached the new one for a while follow it. Returns what they had beyond it.
-    pub fn join_old_primaries(&mut self, now: Time) -> Vec<Entry> {
+    pub fn demote_old_primaries(&mut self, now: Time) -> Vec<LogEntry> {
         let Some(leader) = self.databases.get(&self.source) else {
             return Vec::new();
         };
-        let (term, kept, leads) = (leader.term, leader.log.clone(), leader.passes_log());
+        let (term, kept, leads) = (leader.term, leader.log.clone(), leader.can_ship_log());
         let mut rolled_back = Vec::new();
         for database in self.databases.values_mut() {
             if database.role != BackendRole::Primary || database.term >= term {
                 continue;
             }
-            if !leads || !database.is_reached() {
-                database.reaches_successor_since = None;
+            if !leads || !database.is_reachable() {
+                database.connected_to_successor_since = None;
                 continue;
             }
-            let since = *database.reaches_successor_since.get_or_insert(now);
-            if now >= since + OLD_PRIMARY_GOES_ON {
+            let since = *database.connected_to_successor_since.get_or_insert(now);
+            if now >= since + OLD_PRIMARY_RUN_TIME {
                 database.role = BackendRole::Replica;
                 let same = database.log.len() - surplus(&database.log, &kept).len();
                 rolled_back.extend(database.log.split_off(same));
@@ -204,7 +204,7 @@
 
     /// Whether a commit is on as many replicas as it must be before it is acknowledged.
     #[must_use]
-    pub fn is_received(&self, entry: &Entry, replicas: u32) -> bool {
+    pub fn is_replicated(&self, entry: &LogEntry, replicas: u32) -> bool {
         let number = usize::try_from(entry.at.position.0).unwrap_or(usize::MAX);
         let has_it = |database: &&Database| {
             database.role == BackendRole::Replica && database.log.get(number - 1) == Some(entry)
@@ -220,12 +220,13 @@
         let Some(leader) = self.databases.remove(&source) else {
             return;
         };
-        let leads = leader.passes_log();
+        let leads = leader.can_ship_log();
         for (id, database) in &mut self.databases {
             if !database.is_alive || database.role == BackendRole::Primary {
                 continue;
             }
-            if leads && !database.is_deaf && !database.is_silent && database.held <= leader.term {
+            if leads && !database.is_isolated && !database.is_silent && database.held <= leader.term
+            {
                 database.term = leader.term;
                 if database.log.len() != leader.log.len()
                     || database.log.last() != leader.log.last()
@@ -251,7 +252,7 @@
 }
 
 /// What a log has beyond its common beginning with another.
-fn surplus<'a>(log: &'a [Entry], kept: &[Entry]) -> &'a [Entry] {
+fn surplus<'a>(log: &'a [LogEntry], kept: &[LogEntry]) -> &'a [LogEntry] {
     let same = log
         .iter()
         .zip(kept)
--- a/crates/stairward-simulation/src/guests.rs
+++ b/crates/stairward-simulation/src/guests.rs
@@ -15,20 +15,20 @@
 const FIRST_GUEST: u64 = 1 << 40;
 
 /// A node in one of its lives.
-type NodeLife = (usize, u64);
+type NodeIncarnation = (usize, u64);
 
 /// A session at the node that its caller is connected to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Origin {
-    node: NodeLife,
+    node: NodeIncarnation,
     session: SessionId,
 }
 
 /// Sessions that run elsewhere than where their callers are connected.
 #[derive(Debug, Default)]
 pub(crate) struct Guests {
-    by_origin: BTreeMap<(NodeLife, Origin), SessionId>,
-    by_own: BTreeMap<SessionId, (Origin, NodeLife, u64)>,
+    by_origin: BTreeMap<(NodeIncarnation, Origin), SessionId>,
+    by_own: BTreeMap<SessionId, (Origin, NodeIncarnation, u64)>,
     last: u64,
 }
 
@@ -51,24 +51,24 @@
     pub(crate) fn forward(
         &mut self,
         node: usize,
-        life: u64,
+        incarnation: u64,
         holder: NodeId,
         session: SessionId,
         request: u64,
         forwarded: ForwardedRequest,
     ) {
         let place = usize::try_from(holder.0).unwrap_or(0);
-        let holder_life = self.nodes[place].life;
+        let holder_incarnation = self.nodes[place].incarnation;
         if !self.nodes[place].is_running {
             return self
                 .queue
-                .plan(FAR_DELAY, Happening::LinkLost(node, life, holder));
+                .plan(FAR_DELAY, Happening::LinkLost(node, incarnation, holder));
         }
         let origin = Origin {
-            node: (node, life),
+            node: (node, incarnation),
             session,
         };
-        let key = ((place, holder_life), origin);
+        let key = ((place, holder_incarnation), origin);
         let known = self.guests.by_origin.get(&key).copied();
         let own = known.unwrap_or_else(|| {
             self.guests.last += 1;
@@ -77,12 +77,12 @@
         self.guests.by_origin.insert(key, own);
         self.guests
             .by_own
-            .insert(own, (origin, (place, holder_life), request));
+            .insert(own, (origin, (place, holder_incarnation), request));
         let event = Event::ForwardedRequest {
             session: own,
             forwarded: Box::new(forwarded),
         };
-        let event = Happening::Engine(place, holder_life, Box::new(event));
+        let event = Happening::Engine(place, holder_incarnation, Box::new(event));
         self.queue.plan(FAR_DELAY, event);
     }
 
@@ -98,8 +98,8 @@
             request,
             response,
         };
-        let (node, life) = origin.node;
-        let event = Happening::Engine(node, life, Box::new(event));
+        let (node, incarnation) = origin.node;
+        let event = Happening::Engine(node, incarnation, Box::new(event));
         self.queue.plan(FAR_DELAY, event);
         None
     }
@@ -107,37 +107,37 @@
     pub(crate) fn close_forwarded(
         &mut self,
         node: usize,
-        life: u64,
+        incarnation: u64,
         holder: NodeId,
         session: SessionId,
     ) {
         let place = usize::try_from(holder.0).unwrap_or(0);
-        let holder_life = self.nodes[place].life;
+        let holder_incarnation = self.nodes[place].incarnation;
         let origin = Origin {
-            node: (node, life),
+            node: (node, incarnation),
             session,
         };
         let own = self
             .guests
             .by_origin
-            .remove(&((place, holder_life), origin));
+            .remove(&((place, holder_incarnation), origin));
         if let Some(own) = own {
-            self.close_guest(own, (place, holder_life), FAR_DELAY);
+            self.close_guest(own, (place, holder_incarnation), FAR_DELAY);
         }
     }
 
     /// Asks a holder for a sign of life, which is lost now and then.
-    pub(crate) fn ask_holder(&mut self, node: usize, life: u64, holder: NodeId) {
+    pub(crate) fn ask_holder(&mut self, node: usize, incarnation: u64, holder: NodeId) {
         let place = usize::try_from(holder.0).unwrap_or(0);
         // One that does not run is silent; that its connection has ended is told by `links_lost`.
         if self.nodes[place].is_running && self.random.random_range(0..SIGNS_LOST_ONE_IN) > 0 {
             let event = Event::HolderAlive(holder);
-            let sign = Happening::Engine(node, life, Box::new(event));
+            let sign = Happening::Engine(node, incarnation, Box::new(event));
             self.queue.plan(FAR_DELAY * 2, sign);
         }
     }
 
-    fn close_guests(&mut self, is_lost: impl Fn(&(NodeLife, Origin)) -> bool) {
+    fn close_guests(&mut self, is_lost: impl Fn(&(NodeIncarnation, Origin)) -> bool) {
         let keys = self.guests.by_origin.keys().copied();
         let lost: Vec<_> = keys.filter(is_lost).collect();
         for key in lost {
@@ -148,7 +148,7 @@
         }
     }
 
-    fn close_guest(&mut self, own: SessionId, holder: NodeLife, delay: Duration) {
+    fn close_guest(&mut self, own: SessionId, holder: NodeIncarnation, delay: Duration) {
         self.guests.by_own.remove(&own);
         let closed = Event::SessionClosed { session: own };
         let closed = Happening::Engine(holder.0, holder.1, Box::new(closed));
@@ -157,23 +157,25 @@
 
     /// A node finds that its link to another has ended: what it had forwarded there is undone, also what the other
     /// one, back in a new life, took since.
-    pub(crate) fn link_lost(&mut self, node: usize, life: u64, holder: NodeId) {
+    pub(crate) fn link_lost(&mut self, node: usize, incarnation: u64, holder: NodeId) {
         let place = usize::try_from(holder.0).unwrap_or(0);
-        self.close_guests(|(held_by, origin)| held_by.0 == place && origin.node == (node, life));
-        if self.is_running(node, life) {
-            self.tell_engine(node, life, Event::HolderLost(holder));
+        self.close_guests(|(held_by, origin)| {
+            held_by.0 == place && origin.node == (node, incarnation)
+        });
+        if self.is_running(node, incarnation) {
+            self.tell_engine(node, incarnation, Event::HolderLost(holder));
         }
     }
 
     /// A node's process has ended: its guests are lost, and what it had forwarded is undone.
-    pub(crate) fn links_lost(&mut self, node: usize, life: u64) {
+    pub(crate) fn links_lost(&mut self, node: usize, incarnation: u64) {
         self.close_guests(|(holder, origin)| {
-            *holder == (node, life) || origin.node == (node, life)
+            *holder == (node, incarnation) || origin.node == (node, incarnation)
         });
         let gone = NodeId(u64::try_from(node).unwrap_or(0));
         for other in 0..self.nodes.len() {
-            let other_life = self.nodes[other].life;
-            let lost = Happening::LinkLost(other, other_life, gone);
+            let other_incarnation = self.nodes[other].incarnation;
+            let lost = Happening::LinkLost(other, other_incarnation, gone);
             self.queue.plan(FAR_DELAY, lost);
         }
     }
--- a/crates/stairward-simulation/src/lib.rs
+++ b/crates/stairward-simulation/src/lib.rs
@@ -31,7 +31,9 @@
 pub use callers::{Caller, DATABASES, Step};
 pub use checker::{Checker, Invariant, ReadKind, SentStatement, Violation};
 pub use cold::ColdStart;
-pub use database::{ConnectionState, Database, Entry, ExecutedStatement, Link, Outcome};
+pub use database::{
+    ConnectionKey, ConnectionState, Database, ExecutedStatement, LogEntry, Outcome,
+};
 pub use group::{Group, SERVICE, service};
 pub use options::{BrokenVariant, FaultKind, Options};
 pub use world::{Report, simulate};
--- a/crates/stairward-simulation/src/nodes.rs
+++ b/crates/stairward-simulation/src/nodes.rs
@@ -37,7 +37,7 @@
     pub engine: Engine,
     pub duty: FailoverController,
     /// Grows with each start of the process; unique in the world.
-    pub life: u64,
+    pub incarnation: u64,
     pub is_running: bool,
     pub frozen_until: Time,
     pub connections: BTreeMap<ConnectionId, BackendId>,
@@ -71,7 +71,9 @@
 impl Leases {
     /// What nodes of a run work by.
     pub fn of(options: &Options) -> Self {
-        let usual = options.old_primaries_go_on.then_some(LEADERSHIP_LEASE);
+        let usual = options
+            .old_primaries_keep_running
+            .then_some(LEADERSHIP_LEASE);
         let mut leases = Self {
             engine: usual,
             failover: usual,
@@ -92,7 +94,7 @@
 }
 
 impl Node {
-    pub fn start(index: usize, life: u64, now: Time, run: &Options) -> Self {
+    pub fn start(index: usize, incarnation: u64, now: Time, run: &Options) -> Self {
         let leases = Leases::of(run);
         let zone = |number: usize| ZoneName::new(format!("zone-{number}")).expect("a name");
         let own = index % 3 + 1;
@@ -117,18 +119,18 @@
             },
             limits: LimitOptions {
                 started: now,
-                ..LimitOptions::new(NodeId(u64::try_from(index).unwrap_or(0)), life)
+                ..LimitOptions::new(NodeId(u64::try_from(index).unwrap_or(0)), incarnation)
             },
             ..EngineOptions::default()
         };
         let failover = FailoverOptions {
             leadership_lease: leases.failover,
-            ..FailoverOptions::new(format!("{}/{life}", node_name(index)))
+            ..FailoverOptions::new(format!("{}/{incarnation}", node_name(index)))
         };
         Self {
             engine: Engine::new(options),
             duty: FailoverController::new(failover),
-            life,
+            incarnation,
             is_running: true,
             frozen_until: Time::ZERO,
             connections: BTreeMap::new(),
--- a/crates/stairward-simulation/src/options.rs
+++ b/crates/stairward-simulation/src/options.rs
@@ -184,7 +184,7 @@
     /// Sessions at once.
     pub sessions: u32,
     /// Operations of twenty that are single writes; with 1 or less, transactions only read.
-    pub writes_in_twenty: u32,
+    pub writes_per_twenty: u32,
     /// How long callers act.
     pub length: Duration,
     /// Connections to each back end that nodes are told they may hold together. Few make some nodes forward.
@@ -192,7 +192,7 @@
     /// Replicas that must have received a commit before it is acknowledged.
     pub synchronous_replicas: u32,
     /// Whether an old primary goes on after another was promoted.
-    pub old_primaries_go_on: bool,
+    pub old_primaries_keep_running: bool,
     /// Tenants that callers belong to, in turn; with 0 they are not told apart.
     pub tenants: u64,
     /// Operations a second that each tenant may run, and as many at once; none where that is not limited.
@@ -216,11 +216,11 @@
             longest_pause: 5_000,
             nodes: 4,
             sessions: 24,
-            writes_in_twenty: 5,
+            writes_per_twenty: 5,
             length: Duration::from_secs(20),
             connections: 40,
             synchronous_replicas: 0,
-            old_primaries_go_on: false,
+            old_primaries_keep_running: false,
             tenants: 0,
             tenant_rate: None,
             cold: None,
--- a/crates/stairward-simulation/src/restores.rs
+++ b/crates/stairward-simulation/src/restores.rs
@@ -86,7 +86,7 @@
     pub(crate) fn database_writes_again(&mut self, id: &BackendId) {
         let database = self.group.databases.get(id);
         if database.is_some_and(|database| database.is_alive && !database.is_silent) {
-            self.group.announce_unless_listed(id);
+            self.group.announce_if_changed(id);
             self.push_to_all();
         }
     }
--- a/crates/stairward-simulation/src/tenants.rs
+++ b/crates/stairward-simulation/src/tenants.rs
@@ -81,7 +81,7 @@
 
 impl World {
     /// Tells a node which others live, and how many there are on record.
-    pub(crate) fn show_members(&mut self, node: usize, life: u64) {
+    pub(crate) fn show_members(&mut self, node: usize, incarnation: u64) {
         if self.options.tenants == 0 {
             return;
         }
@@ -90,12 +90,16 @@
             .filter(|(_, other)| other.is_running)
             .map(|(index, _)| NodeId(u64::try_from(index).unwrap_or(0)))
             .collect();
-        self.tell_engine(node, life, Event::FleetSizeRecorded(self.options.nodes));
+        self.tell_engine(
+            node,
+            incarnation,
+            Event::FleetSizeRecorded(self.options.nodes),
+        );
         let members = Event::Members {
             live,
             leaving: BTreeSet::new(),
         };
-        self.tell_engine(node, life, members);
+        self.tell_engine(node, incarnation, members);
     }
 
     /// Checks a statement that a database has run on a connection that was opened for a tenant.
@@ -133,9 +137,9 @@
             return;
         };
         self.checker.count(Invariant::KeyRevocation);
-        let (index, life) = owner.node;
+        let (index, incarnation) = owner.node;
         let node = &self.nodes[index];
-        let is_in_touch = node.life == life
+        let is_in_touch = node.incarnation == incarnation
             && node.in_touch_since <= since
             && now >= node.in_touch_since + CONTACT
             && !self.store.is_down;
--- a/crates/stairward-simulation/src/world.rs
+++ b/crates/stairward-simulation/src/world.rs
@@ -12,7 +12,7 @@
 
 use crate::callers::Caller;
 use crate::checker::{Checker, Invariant, Violation};
-use crate::database::Link;
+use crate::database::ConnectionKey;
 use crate::group::Group;
 use crate::nodes::{CONNECTION_LIMIT, Node, STALENESS};
 use crate::options::Options;
@@ -66,10 +66,15 @@
     PollStore(usize, u64),
     ShowStore(usize, u64),
     OpenAt(usize, u64, ConnectionId, BackendId, Option<TenantName>),
-    CommandAt(usize, Link, BackendId, BackendCommand),
-    CloseAt(Link, BackendId),
+    CommandAt(usize, ConnectionKey, BackendId, BackendCommand),
+    CloseAt(ConnectionKey, BackendId),
     RecordAt(usize, u64, RecordVersion, FailoverRecord),
-    AwaitReplicas(Link, crate::database::Entry, Duration, Box<Happening>),
+    AwaitReplicas(
+        ConnectionKey,
+        crate::database::LogEntry,
+        Duration,
+        Box<Happening>,
+    ),
     AskPeerAt(usize, u64, usize, Time),
     /// A node finds that its link to another has ended.
     LinkLost(usize, u64, NodeId),
@@ -139,7 +144,7 @@
     /// Pairs of node and database that don't reach each other.
     pub cuts: BTreeSet<(usize, BackendId)>,
     /// Connections that say nothing any more.
-    pub stalled: BTreeSet<Link>,
+    pub stalled: BTreeSet<ConnectionKey>,
     pub answer_loss_percent: u32,
     pub promotions_are_late: bool,
     pub strikes: Vec<String>,
@@ -147,7 +152,7 @@
     /// Who last wrote the service's record, and when, whatever the store has lost since.
     pub(crate) last_holder: Option<(Time, String)>,
     pub strikes_left: u32,
-    pub lives: u64,
+    pub last_incarnation: u64,
     pub(crate) numbers: u64,
     pub(crate) sessions: u64,
     pub(crate) succeeded: u64,
@@ -176,7 +181,7 @@
         let limit = usize::try_from(CONNECTION_LIMIT).unwrap_or(usize::MAX);
         let callers = (0..options.sessions).map(|number| Caller::new(u64::from(number)));
         let mut group = Group::new(limit);
-        group.old_primaries_go_on = options.old_primaries_go_on;
+        group.old_primaries_keep_running = options.old_primaries_keep_running;
         Self {
             random: ChaCha8Rng::seed_from_u64(options.seed),
             queue: Queue::new(),
@@ -199,7 +204,7 @@
             strikes: Vec::new(),
             decisions: Vec::new(),
             strikes_left: options.strikes,
-            lives: 0,
+            last_incarnation: 0,
             numbers: 0,
             sessions: 0,
             succeeded: 0,
@@ -213,15 +218,17 @@
 
     fn begin(&mut self) {
         for index in 0..usize::try_from(self.options.nodes).unwrap_or(1) {
-            self.lives += 1;
+            self.last_incarnation += 1;
             self.nodes.push(Node::start(
                 index,
-                self.lives,
+                self.last_incarnation,
                 self.queue.now(),
                 &self.options,
             ));
-            self.queue
-                .plan(STORE_DELAY, Happening::PollStore(index, self.lives));
+            self.queue.plan(
+                STORE_DELAY,
+                Happening::PollStore(index, self.last_incarnation),
+            );
         }
         self.queue.plan(REPLICATION_TICK, Happening::Replicate);
         for index in 0..self.callers.len() {
@@ -267,58 +274,64 @@
             return;
         };
         match happening {
-            Happening::Engine(node, life, event) => self.tell_engine(node, life, *event),
-            Happening::Duty(node, life, event) => self.tell_duty(node, life, *event),
-            Happening::EngineTimer(node, life) => self.tell_engine(node, life, Event::Tick),
-            Happening::DutyTimer(node, life) => {
-                if self.is_running(node, life) {
+            Happening::Engine(node, incarnation, event) => {
+                self.tell_engine(node, incarnation, *event)
+            }
+            Happening::Duty(node, incarnation, event) => self.tell_duty(node, incarnation, *event),
+            Happening::EngineTimer(node, incarnation) => {
+                self.tell_engine(node, incarnation, Event::Tick)
+            }
+            Happening::DutyTimer(node, incarnation) => {
+                if self.is_running(node, incarnation) {
                     self.nodes[node].duty_timer_at = Time::NEVER;
                 }
-                self.tell_duty(node, life, DutyEvent::Tick);
+                self.tell_duty(node, incarnation, DutyEvent::Tick);
             }
-            Happening::PollStore(node, life) => self.poll_store(node, life),
-            Happening::ShowStore(node, life) => self.show_store(node, life),
-            Happening::OpenAt(node, life, connection, backend, tenant) => {
-                self.open_at(node, life, connection, &backend, tenant);
+            Happening::PollStore(node, incarnation) => self.poll_store(node, incarnation),
+            Happening::ShowStore(node, incarnation) => self.show_store(node, incarnation),
+            Happening::OpenAt(node, incarnation, connection, backend, tenant) => {
+                self.open_at(node, incarnation, connection, &backend, tenant);
             }
-            Happening::CommandAt(node, link, backend, command) => {
-                self.command_at(node, link, &backend, &command);
+            Happening::CommandAt(node, connection_key, backend, command) => {
+                self.command_at(node, connection_key, &backend, &command);
             }
-            Happening::CloseAt(link, backend) => {
+            Happening::CloseAt(connection_key, backend) => {
                 if let Some(database) = self.group.databases.get_mut(&backend) {
-                    database.connections.remove(&link);
+                    database.connections.remove(&connection_key);
                 }
             }
-            Happening::RecordAt(node, life, version, record) => {
-                self.record_at(node, life, version, record);
+            Happening::RecordAt(node, incarnation, version, record) => {
+                self.record_at(node, incarnation, version, record);
+            }
+            Happening::AwaitReplicas(connection_key, entry, delay, reply) => {
+                self.wait_for_replicas(connection_key, entry, delay, *reply);
             }
-            Happening::AwaitReplicas(link, entry, delay, reply) => {
-                self.wait_for_replicas(link, entry, delay, *reply);
+            Happening::AskPeerAt(node, incarnation, peer, asked_at) => {
+                self.ask_peer_at(node, incarnation, peer, asked_at);
             }
-            Happening::AskPeerAt(node, life, peer, asked_at) => {
-                self.ask_peer_at(node, life, peer, asked_at);
+            Happening::LinkLost(node, incarnation, holder) => {
+                self.link_lost(node, incarnation, holder)
             }
-            Happening::LinkLost(node, life, holder) => self.link_lost(node, life, holder),
-            Happening::VerifyAt(node, life, backend, asker) => {
-                self.verify_at(node, life, &backend, asker);
+            Happening::VerifyAt(node, incarnation, backend, asker) => {
+                self.verify_at(node, incarnation, &backend, asker);
             }
-            Happening::AskAt(node, life, backend, question) => {
-                self.ask_at(node, life, &backend, question);
+            Happening::AskAt(node, incarnation, backend, question) => {
+                self.ask_at(node, incarnation, &backend, question);
             }
-            Happening::ReachAt(node, life, backend, question, via) => {
-                self.reach_at(node, life, &backend, question, &via);
+            Happening::ReachAt(node, incarnation, backend, question, via) => {
+                self.reach_at(node, incarnation, &backend, question, &via);
             }
-            Happening::RevokeAt(node, life, user, term) => {
-                self.revoke_at(node, life, user, term);
+            Happening::RevokeAt(node, incarnation, user, term) => {
+                self.revoke_at(node, incarnation, user, term);
             }
-            Happening::AskLimitAt(node, life, peer, ask) => {
-                self.ask_limit(node, life, peer, &ask);
+            Happening::AskLimitAt(node, incarnation, peer, ask) => {
+                self.ask_limit(node, incarnation, peer, &ask);
             }
-            Happening::AskLeadAt(node, life, peer, asked_at) => {
-                self.ask_lead_at(node, life, peer, asked_at);
+            Happening::AskLeadAt(node, incarnation, peer, asked_at) => {
+                self.ask_lead_at(node, incarnation, peer, asked_at);
             }
-            Happening::PromoteAt(node, life, backend, token, is_answered) => {
-                self.promote_at(node, life, &backend, token, is_answered);
+            Happening::PromoteAt(node, incarnation, backend, token, is_answered) => {
+                self.promote_at(node, incarnation, &backend, token, is_answered);
             }
             Happening::Leads(backend) => self.leads(&backend),
             Happening::Replicate => self.replicate(),
@@ -364,7 +377,7 @@
         None
     }
 
-    pub fn is_running(&self, node: usize, life: u64) -> bool {
-        self.nodes[node].is_running && self.nodes[node].life == life
+    pub fn is_running(&self, node: usize, incarnation: u64) -> bool {
+        self.nodes[node].is_running && self.nodes[node].incarnation == incarnation
     }
 }
--- a/crates/stairward-simulation/src/world_callers.rs
+++ b/crates/stairward-simulation/src/world_callers.rs
@@ -21,7 +21,7 @@
 
     pub(crate) fn numbers_of(&self, caller: usize) -> (u64, u64) {
         let number = if self.callers[caller].is_waiting() {
-            self.callers[caller].asked_number()
+            self.callers[caller].request_number()
         } else {
             0
         };
@@ -33,26 +33,26 @@
         if now >= Time::ZERO + self.options.length || self.callers[index].is_waiting() {
             return;
         }
-        let Some((node, life)) = self.callers[index].node else {
+        let Some((node, incarnation)) = self.callers[index].node else {
             return self.connect(index);
         };
-        if !self.is_running(node, life) {
+        if !self.is_running(node, incarnation) {
             return self.caller_cut(index, self.callers[index].session);
         }
         let caller = &mut self.callers[index];
-        let step = caller.step(
+        let step = caller.next_step(
             &mut self.random,
             now,
-            self.options.writes_in_twenty,
+            self.options.writes_per_twenty,
             &mut self.numbers,
             &mut self.checker,
         );
         let session = SessionId(caller.session);
         match step {
-            Step::Leave => self.leave(index),
+            Step::CloseSession => self.leave(index),
             Step::Send(statement) => {
                 let event = Event::Statement { session, statement };
-                let event = Happening::Engine(node, life, Box::new(event));
+                let event = Happening::Engine(node, incarnation, Box::new(event));
                 self.queue.plan(CALLER_DELAY, event);
                 let (session, number) = self.numbers_of(index);
                 let patience = Happening::CallerTimesOut(index, session, number);
@@ -67,7 +67,7 @@
             .iter()
             .enumerate()
             .filter(|(_, node)| node.is_running && node.engine.is_ready())
-            .map(|(index, node)| (index, node.life))
+            .map(|(index, node)| (index, node.incarnation))
             .collect();
         let pause = self.between(20, 120);
         self.queue.plan(pause, Happening::CallerActs(index));
@@ -77,7 +77,7 @@
         let node = running[self.random.random_range(0..running.len())];
         let database = self.random.random_range(0..DATABASES.len());
         self.sessions += 1;
-        self.callers[index].connected(self.sessions, node, database);
+        self.callers[index].start_session(self.sessions, node, database);
         let key = self.own_session(index, node);
         let event = Event::SessionOpened {
             session: SessionId(self.sessions),
@@ -107,9 +107,9 @@
     /// A caller closes its session.
     pub(crate) fn leave(&mut self, index: usize) {
         let session = SessionId(self.callers[index].session);
-        if let Some((node, life)) = self.callers[index].node.take() {
+        if let Some((node, incarnation)) = self.callers[index].node.take() {
             let event = Event::SessionClosed { session };
-            let event = Happening::Engine(node, life, Box::new(event));
+            let event = Happening::Engine(node, incarnation, Box::new(event));
             self.queue.plan(CALLER_DELAY, event);
         }
         let number = self.callers[index].number;
@@ -142,7 +142,7 @@
             self.failed += 1;
         }
         let now = self.now();
-        let goes_on = self.callers[index].hear(now, response, &mut self.checker);
+        let goes_on = self.callers[index].receive_response(now, response, &mut self.checker);
         if !goes_on {
             return self.leave(index);
         }
@@ -153,13 +153,15 @@
     /// A node's process ends.
     pub(crate) fn kill_node(&mut self, index: usize) {
         self.nodes[index].is_running = false;
-        let life = self.nodes[index].life;
-        self.links_lost(index, life);
+        let incarnation = self.nodes[index].incarnation;
+        self.links_lost(index, incarnation);
         for database in self.group.databases.values_mut() {
-            database.connections.retain(|link, _| link.life != life);
+            database
+                .connections
+                .retain(|connection_key, _| connection_key.incarnation != incarnation);
         }
         for caller in 0..self.callers.len() {
-            if self.callers[caller].node == Some((index, life)) {
+            if self.callers[caller].node == Some((index, incarnation)) {
                 let session = self.callers[caller].session;
                 self.queue
                     .plan(CALLER_DELAY, Happening::CallerCut(caller, session));
@@ -168,15 +170,17 @@
     }
 
     pub(crate) fn start_node(&mut self, index: usize) {
-        self.lives += 1;
+        self.last_incarnation += 1;
         let now = self.now();
         let cut = self.nodes[index].is_cut_from_store;
         let in_touch_since = self.nodes[index].in_touch_since.max(now);
-        self.nodes[index] = Node::start(index, self.lives, now, &self.options);
+        self.nodes[index] = Node::start(index, self.last_incarnation, now, &self.options);
         self.nodes[index].is_cut_from_store = cut;
         self.nodes[index].in_touch_since = in_touch_since;
-        self.queue
-            .plan(STORE_DELAY, Happening::PollStore(index, self.lives));
+        self.queue.plan(
+            STORE_DELAY,
+            Happening::PollStore(index, self.last_incarnation),
+        );
     }
 
     /// A database's process ends: its connections end with it.
@@ -185,14 +189,17 @@
             return;
         };
         database.is_alive = false;
-        for link in database.drop_connections() {
-            let node = self.nodes.iter().position(|node| node.life == link.life);
+        for connection_key in database.drop_connections() {
+            let node = self
+                .nodes
+                .iter()
+                .position(|node| node.incarnation == connection_key.incarnation);
             if let Some(node) = node {
                 let lost = Event::ConnectionLost {
-                    connection: link.connection,
+                    connection: connection_key.connection,
                 };
                 let delay = self.delay(node, id);
-                let lost = Happening::Engine(node, link.life, Box::new(lost));
+                let lost = Happening::Engine(node, connection_key.incarnation, Box::new(lost));
                 self.queue.plan(delay, lost);
             }
         }
@@ -211,11 +218,11 @@
         database.is_silent = false;
         database.resume();
         database.leaving_since = None;
-        database.starts += u64::from(has_restarted);
+        database.start_count += u64::from(has_restarted);
         if let Some(cold) = self.options.cold.filter(|_| has_restarted) {
             database.cold_until = now + cold.lasts;
-            database.told_cold = cold.lasts;
-            database.cold_arrivals.clear();
+            database.announced_cold_time = cold.lasts;
+            database.cold_request_times.clear();
         }
         if Some(database.term) < newest {
             database.role = BackendRole::Replica;
--- a/crates/stairward-simulation/src/world_databases.rs
+++ b/crates/stairward-simulation/src/world_databases.rs
@@ -8,7 +8,7 @@
 use stairward_types::{BackendId, BackendRole, NodeId, TenantName, Time};
 
 use crate::checker::Invariant;
-use crate::database::{ConnectionState, Link};
+use crate::database::{ConnectionKey, ConnectionState};
 use crate::options::BrokenVariant;
 use crate::world::{
     CONTACT, FAR_DELAY, Happening, NEAR_DELAY, Question, REPLICATION_TICK, USUAL_LAG, World,
@@ -43,22 +43,25 @@
     pub(crate) fn open_at(
         &mut self,
         node: usize,
-        life: u64,
+        incarnation: u64,
         connection: ConnectionId,
         backend: &BackendId,
         tenant: Option<TenantName>,
     ) {
-        if !self.is_running(node, life) {
+        if !self.is_running(node, incarnation) {
             return;
         }
         let delay = self.delay(node, backend);
-        let link = Link { life, connection };
+        let connection_key = ConnectionKey {
+            incarnation,
+            connection,
+        };
         if !self.reaches(node, backend) {
             let failed = Event::OpenFailed {
                 connection,
                 failure: OpenFailure::TimedOut,
             };
-            let failed = Happening::Engine(node, life, Box::new(failed));
+            let failed = Happening::Engine(node, incarnation, Box::new(failed));
             return self.queue.plan(Duration::from_secs(1), failed);
         }
         let Some(database) = self.group.databases.get_mut(backend) else {
@@ -79,27 +82,27 @@
                 tenant,
                 ..ConnectionState::default()
             };
-            database.connections.insert(link, state);
+            database.connections.insert(connection_key, state);
             Event::ConnectionOpened {
                 connection,
                 position: Some(database.position()),
             }
         };
         self.queue
-            .plan(delay, Happening::Engine(node, life, Box::new(event)));
+            .plan(delay, Happening::Engine(node, incarnation, Box::new(event)));
     }
 
     pub(crate) fn command_at(
         &mut self,
         node: usize,
-        link: Link,
+        connection_key: ConnectionKey,
         backend: &BackendId,
         command: &BackendCommand,
     ) {
         if !self.reaches(node, backend) {
-            self.stalled.insert(link);
+            self.stalled.insert(connection_key);
         }
-        if self.stalled.contains(&link) {
+        if self.stalled.contains(&connection_key) {
             return;
         }
         self.check_leaving(node, backend, command);
@@ -109,23 +112,23 @@
         let Some(database) = self.group.databases.get_mut(backend) else {
             return;
         };
-        if !database.is_alive || !database.connections.contains_key(&link) {
+        if !database.is_alive || !database.connections.contains_key(&connection_key) {
             return;
         }
-        let outcome = database.run(link, command);
+        let outcome = database.run(connection_key, command);
         if let Some(entry) = &outcome.committed {
             self.checker.record_commit(now, entry);
         }
         if let Some(executed) = &outcome.executed {
             self.checker.record_executed(now, database, executed);
-            let state = database.connections.get(&link);
+            let state = database.connections.get(&connection_key);
             let opened_for = state.and_then(|state| state.tenant.clone());
             self.check_tenant(&executed.id, opened_for.as_ref());
         }
         let is_lost = outcome.executed.is_some()
             && self.random.random_range(0..100) < self.answer_loss_percent;
         if is_lost {
-            self.stalled.insert(link);
+            self.stalled.insert(connection_key);
             return;
         }
         // Answers of one connection keep their order: those that take no slot are as slow as the rest.
@@ -138,13 +141,13 @@
             member.held = stairward_types::Term(0);
         }
         let reply = Event::Reply {
-            connection: link.connection,
+            connection: connection_key.connection,
             reply,
         };
-        let reply = Happening::Engine(node, link.life, Box::new(reply));
+        let reply = Happening::Engine(node, connection_key.incarnation, Box::new(reply));
         match outcome.committed {
             Some(entry) if self.options.synchronous_replicas > 0 => {
-                self.wait_for_replicas(link, entry, delay, reply);
+                self.wait_for_replicas(connection_key, entry, delay, reply);
             }
             _ => self.queue.plan(delay, reply),
         }
@@ -154,26 +157,26 @@
     /// nothing, and if the commit is lost it never does.
     pub(crate) fn wait_for_replicas(
         &mut self,
-        link: Link,
-        entry: crate::database::Entry,
+        connection_key: ConnectionKey,
+        entry: crate::database::LogEntry,
         delay: Duration,
         reply: Happening,
     ) {
         let replicas = self.options.synchronous_replicas;
-        if self.group.is_received(&entry, replicas) {
+        if self.group.is_replicated(&entry, replicas) {
             return self.queue.plan(delay, reply);
         }
-        let is_over = self.stalled.contains(&link)
+        let is_over = self.stalled.contains(&connection_key)
             || !self
                 .group
                 .databases
                 .values()
                 .any(|database| database.log.contains(&entry));
         if is_over {
-            self.stalled.insert(link);
+            self.stalled.insert(connection_key);
             return;
         }
-        let waits = Happening::AwaitReplicas(link, entry, delay, Box::new(reply));
+        let waits = Happening::AwaitReplicas(connection_key, entry, delay, Box::new(reply));
         self.queue.plan(REPLICATION_TICK, waits);
     }
 
@@ -216,7 +219,7 @@
         let now = self.now();
         self.queue.plan(REPLICATION_TICK, Happening::Replicate);
         self.group.replicate(now, USUAL_LAG);
-        let rolled_back = self.group.join_old_primaries(now);
+        let rolled_back = self.group.demote_old_primaries(now);
         self.checker.record_rollback(&rolled_back);
     }
 
@@ -250,11 +253,11 @@
     pub(crate) fn ask_at(
         &mut self,
         node: usize,
-        life: u64,
+        incarnation: u64,
         backend: &BackendId,
         question: Question,
     ) {
-        if !self.is_running(node, life) {
+        if !self.is_running(node, incarnation) {
             return;
         }
         let status = self.answer_to(node, backend, question);
@@ -265,7 +268,7 @@
             && !status.received.covers(all)
             && self.random.random_range(0..RECEIVED_LOOKS) > 0
         {
-            let again = Happening::AskAt(node, life, backend.clone(), question);
+            let again = Happening::AskAt(node, incarnation, backend.clone(), question);
             return self.queue.plan(ASK_AGAIN, again);
         }
         let delay = if status.is_some() {
@@ -275,27 +278,33 @@
         };
         let event = DutyEvent::StatusReply(backend.clone(), status);
         self.queue
-            .plan(delay, Happening::Duty(node, life, Box::new(event)));
+            .plan(delay, Happening::Duty(node, incarnation, Box::new(event)));
     }
 
     /// A node looks at a back end that another finds silent, and tells it if it is.
-    pub(crate) fn verify_at(&mut self, node: usize, life: u64, backend: &BackendId, asker: NodeId) {
+    pub(crate) fn verify_at(
+        &mut self,
+        node: usize,
+        incarnation: u64,
+        backend: &BackendId,
+        asker: NodeId,
+    ) {
         let answers = self.answer_to(node, backend, Question::Status).is_some();
         let place = usize::try_from(asker.0).unwrap_or(0);
-        if answers || !self.is_running(node, life) || place >= self.nodes.len() {
+        if answers || !self.is_running(node, incarnation) || place >= self.nodes.len() {
             return;
         }
         let found = DutyEvent::FoundSilent(backend.clone());
         self.queue.plan(
             MEMBER_PATIENCE,
-            Happening::Duty(node, life, Box::new(found)),
+            Happening::Duty(node, incarnation, Box::new(found)),
         );
         let own = NodeId(u64::try_from(node).unwrap_or(0));
         let told = DutyEvent::Verified(own, backend.clone());
-        let told_life = self.nodes[place].life;
+        let told_incarnation = self.nodes[place].incarnation;
         self.queue.plan(
             MEMBER_PATIENCE,
-            Happening::Duty(place, told_life, Box::new(told)),
+            Happening::Duty(place, told_incarnation, Box::new(told)),
         );
     }
 
@@ -303,12 +312,12 @@
     pub(crate) fn reach_at(
         &mut self,
         node: usize,
-        life: u64,
+        incarnation: u64,
         backend: &BackendId,
         question: Question,
         via: &Via,
     ) {
-        if !self.is_running(node, life) {
+        if !self.is_running(node, incarnation) {
             return;
         }
         let asking = match via {
@@ -344,19 +353,29 @@
         };
         let event = DutyEvent::MemberCallEnded(backend.clone(), via.clone(), reach);
         self.queue
-            .plan(delay, Happening::Duty(node, life, Box::new(event)));
+            .plan(delay, Happening::Duty(node, incarnation, Box::new(event)));
     }
 
     /// A node is asked what it knows of the lead.
-    pub(crate) fn ask_lead_at(&mut self, node: usize, life: u64, peer: usize, asked_at: Time) {
+    pub(crate) fn ask_lead_at(
+        &mut self,
+        node: usize,
+        incarnation: u64,
+        peer: usize,
+        asked_at: Time,
+    ) {
         let now = self.now();
         let asked = &self.nodes[peer];
         if !asked.is_running || now < asked.frozen_until {
             return;
         }
         let service = crate::group::service();
-        let peer_life = asked.life;
-        self.tell_engine(peer, peer_life, Event::LeadershipQueried(service.clone()));
+        let peer_incarnation = asked.incarnation;
+        self.tell_engine(
+            peer,
+            peer_incarnation,
+            Event::LeadershipQueried(service.clone()),
+        );
         if let Some((possible_term, age)) = self.nodes[peer].engine.known_leadership(now, &service)
         {
             let event = Event::PeerLeadership {
@@ -365,13 +384,19 @@
                 asked_at,
                 age,
             };
-            let event = Happening::Engine(node, life, Box::new(event));
+            let event = Happening::Engine(node, incarnation, Box::new(event));
             self.queue.plan(NEAR_DELAY, event);
         }
     }
 
     /// A peer says what it knows of the leader's position, and how old that is by its own clock.
-    pub(crate) fn ask_peer_at(&mut self, node: usize, life: u64, peer: usize, asked_at: Time) {
+    pub(crate) fn ask_peer_at(
+        &mut self,
+        node: usize,
+        incarnation: u64,
+        peer: usize,
+        asked_at: Time,
+    ) {
         let now = self.now();
         let asked = &self.nodes[peer];
         if !asked.is_running || now < asked.frozen_until {
@@ -385,7 +410,7 @@
                 asked_at,
                 age,
             };
-            let event = Happening::Engine(node, life, Box::new(event));
+            let event = Happening::Engine(node, incarnation, Box::new(event));
             self.queue.plan(FAR_DELAY, event);
         }
     }
--- a/crates/stairward-simulation/src/world_nodes.rs
+++ b/crates/stairward-simulation/src/world_nodes.rs
@@ -11,15 +11,15 @@
 use stairward_types::{BackendId, Freshness, LogPosition, NodeId};
 
 use crate::checker::Invariant;
-use crate::database::Link;
+use crate::database::ConnectionKey;
 use crate::nodes::content_of;
 use crate::options::BrokenVariant;
 use crate::tenants::tenant_name;
 use crate::world::{CALLER_DELAY, FAR_DELAY, Happening, MULTIPLEX_ONE_IN, NEAR_DELAY, World};
 
 impl World {
-    pub(crate) fn tell_engine(&mut self, index: usize, life: u64, event: Event) {
-        if !self.is_running(index, life) {
+    pub(crate) fn tell_engine(&mut self, index: usize, incarnation: u64, event: Event) {
+        if !self.is_running(index, incarnation) {
             return;
         }
         let now = self.now();
@@ -32,11 +32,11 @@
         {
             node.timer_at = wake;
             self.queue
-                .plan_at(wake, Happening::EngineTimer(index, life));
+                .plan_at(wake, Happening::EngineTimer(index, incarnation));
         }
         self.note_configuration(index);
         for effect in effects {
-            self.carry_out(index, life, effect);
+            self.carry_out(index, incarnation, effect);
         }
     }
 
@@ -93,7 +93,7 @@
         node.newest_content = content;
     }
 
-    pub(crate) fn carry_out(&mut self, index: usize, life: u64, effect: Effect) {
+    pub(crate) fn carry_out(&mut self, index: usize, incarnation: u64, effect: Effect) {
         match effect {
             Effect::AcceptSession { .. }
             | Effect::Record(_)
@@ -106,15 +106,15 @@
             | Effect::RecordFleetSize(_)
             | Effect::CoordinatorChanged { .. }
             | Effect::Stopped => {}
-            Effect::PingHolder { holder } => self.ask_holder(index, life, holder),
+            Effect::PingHolder { holder } => self.ask_holder(index, incarnation, holder),
             Effect::Forward {
                 holder,
                 session,
                 request,
                 forwarded,
-            } => self.forward(index, life, holder, session, request, forwarded),
+            } => self.forward(index, incarnation, holder, session, request, forwarded),
             Effect::CloseForwardedSession { holder, session } => {
-                self.close_forwarded(index, life, holder, session);
+                self.close_forwarded(index, incarnation, holder, session);
             }
             Effect::LeadershipObserved {
                 service,
@@ -131,25 +131,25 @@
                 let is_revoked = change == LeadershipChange::Revoked;
                 self.tell_duty(
                     index,
-                    life,
+                    incarnation,
                     DutyEvent::LeadershipRevoked(service, is_revoked),
                 );
             }
             Effect::QueryLeadership { holder, .. } => {
                 let asked_at = self.now();
                 let peer = usize::try_from(holder.0).unwrap_or(0);
-                let ask = Happening::AskLeadAt(index, life, peer, asked_at);
+                let ask = Happening::AskLeadAt(index, incarnation, peer, asked_at);
                 self.queue.plan(NEAR_DELAY, ask);
             }
             Effect::RequestLimitGrant(coordinator, ask) => {
                 let peer = usize::try_from(coordinator.0).unwrap_or(0);
-                let ask = Happening::AskLimitAt(index, life, peer, Box::new(ask));
+                let ask = Happening::AskLimitAt(index, incarnation, peer, Box::new(ask));
                 self.queue.plan(FAR_DELAY, ask);
             }
             Effect::QueryPosition { .. } => {
                 let asked_at = self.now();
                 let peer = (index + 1) % self.nodes.len();
-                let ask = Happening::AskPeerAt(index, life, peer, asked_at);
+                let ask = Happening::AskPeerAt(index, incarnation, peer, asked_at);
                 self.queue.plan(FAR_DELAY, ask);
             }
             Effect::RefuseSession { session, .. } | Effect::CloseSession { session } => {
@@ -177,18 +177,23 @@
                     Some(BrokenVariant::Tenant) => target.tenant.map(|_| tenant_name(0)),
                     _ => target.tenant,
                 };
-                let open = Happening::OpenAt(index, life, connection, target.backend, tenant);
+                let open =
+                    Happening::OpenAt(index, incarnation, connection, target.backend, tenant);
                 self.queue.plan(delay, open);
             }
             Effect::Send {
                 connection,
                 command,
-            } => self.send(index, life, connection, command),
+            } => self.send(index, incarnation, connection, command),
             Effect::CloseConnection { connection } => {
                 if let Some(backend) = self.nodes[index].connections.remove(&connection) {
                     let delay = self.delay(index, &backend);
-                    let link = Link { life, connection };
-                    self.queue.plan(delay, Happening::CloseAt(link, backend));
+                    let connection_key = ConnectionKey {
+                        incarnation,
+                        connection,
+                    };
+                    self.queue
+                        .plan(delay, Happening::CloseAt(connection_key, backend));
                 }
             }
             Effect::BackendObserved { backend, evidence } => {
@@ -199,13 +204,19 @@
                     BackendEvidence::LostLog => LeaderEvidence::LostLog,
                     BackendEvidence::NotLeader | BackendEvidence::ConnectionLimitReached => return,
                 };
-                self.tell_duty(index, life, DutyEvent::Evidence(backend, evidence));
+                self.tell_duty(index, incarnation, DutyEvent::Evidence(backend, evidence));
             }
         }
     }
 
     /// A coordinator answers a node that asked it, if it runs.
-    pub(crate) fn ask_limit(&mut self, node: usize, life: u64, peer: usize, ask: &GrantRequest) {
+    pub(crate) fn ask_limit(
+        &mut self,
+        node: usize,
+        incarnation: u64,
+        peer: usize,
+        ask: &GrantRequest,
+    ) {
         let now = self.now();
         let asking = NodeId(u64::try_from(node).unwrap_or(0));
         let coordinator = NodeId(u64::try_from(peer).unwrap_or(0));
@@ -220,7 +231,7 @@
             }
         }
         let granted = Event::LimitGranted(coordinator, grant);
-        let granted = Happening::Engine(node, life, Box::new(granted));
+        let granted = Happening::Engine(node, incarnation, Box::new(granted));
         self.queue.plan(FAR_DELAY, granted);
     }
 
@@ -237,7 +248,7 @@
     pub(crate) fn send(
         &mut self,
         index: usize,
-        life: u64,
+        incarnation: u64,
         connection: ConnectionId,
         command: BackendCommand,
     ) {
@@ -246,15 +257,21 @@
         };
         let (connection, command) = self.damage_command(index, &backend, connection, command);
         let delay = self.delay(index, &backend);
-        let link = Link { life, connection };
+        let connection_key = ConnectionKey {
+            incarnation,
+            connection,
+        };
         if self.options.broken == Some(BrokenVariant::Resend)
             && matches!(&command, BackendCommand::Run { text, .. } if text.starts_with("WRITE"))
         {
-            let again = Happening::CommandAt(index, link, backend.clone(), command.clone());
+            let again =
+                Happening::CommandAt(index, connection_key, backend.clone(), command.clone());
             self.queue.plan(delay, again);
         }
-        self.queue
-            .plan(delay, Happening::CommandAt(index, link, backend, command));
+        self.queue.plan(
+            delay,
+            Happening::CommandAt(index, connection_key, backend, command),
+        );
     }
 
     pub(crate) fn damage_command(
--- a/crates/stairward-simulation/src/world_store.rs
+++ b/crates/stairward-simulation/src/world_store.rs
@@ -35,23 +35,23 @@
     /// Changes in the store are shown to every node that watches.
     pub(crate) fn push_to_all(&mut self) {
         for index in 0..self.nodes.len() {
-            let life = self.nodes[index].life;
+            let incarnation = self.nodes[index].incarnation;
             self.queue
-                .plan(STORE_DELAY, Happening::ShowStore(index, life));
+                .plan(STORE_DELAY, Happening::ShowStore(index, incarnation));
         }
     }
 
-    pub(crate) fn poll_store(&mut self, node: usize, life: u64) {
-        if !self.is_running(node, life) {
+    pub(crate) fn poll_store(&mut self, node: usize, incarnation: u64) {
+        if !self.is_running(node, incarnation) {
             return;
         }
-        self.show_store(node, life);
+        self.show_store(node, incarnation);
         self.queue
-            .plan(STORE_POLL, Happening::PollStore(node, life));
+            .plan(STORE_POLL, Happening::PollStore(node, incarnation));
     }
 
-    pub(crate) fn show_store(&mut self, node: usize, life: u64) {
-        if !self.is_running(node, life) || !self.store_reaches(node) {
+    pub(crate) fn show_store(&mut self, node: usize, incarnation: u64) {
+        if !self.is_running(node, incarnation) || !self.store_reaches(node) {
             return;
         }
         let revision = self.store.configuration;
@@ -69,17 +69,17 @@
             directory(&self.options, content),
             self.options.cold,
         );
-        self.show_members(node, life);
-        self.tell_engine(node, life, Event::ConfigurationChanged(table));
+        self.show_members(node, incarnation);
+        self.tell_engine(node, incarnation, Event::ConfigurationChanged(table));
         let (list, since) = self.show_entries(node);
         let backends = Event::BackendsListed {
             list: list.clone(),
             since,
         };
-        self.tell_engine(node, life, backends);
-        self.show_evacuated(node, life, since);
+        self.tell_engine(node, incarnation, backends);
+        self.show_evacuated(node, incarnation, since);
         let nodes = u32::try_from(self.nodes.len()).unwrap_or(1);
-        self.tell_engine(node, life, Event::NodeCountChanged(nodes));
+        self.tell_engine(node, incarnation, Event::NodeCountChanged(nodes));
         let holders = ServiceHolders {
             first_ranked: self.first_holder_for(node),
             leadership_source: self.lead_source_for(node),
@@ -87,23 +87,23 @@
             ..ServiceHolders::default()
         };
         let holders = BTreeMap::from([(crate::group::service(), holders)]);
-        self.tell_engine(node, life, Event::HoldersChanged(holders));
+        self.tell_engine(node, incarnation, Event::HoldersChanged(holders));
         let peers: Vec<_> = (0..self.nodes.len())
             .filter(|peer| *peer != node)
             .map(|peer| NodeId(u64::try_from(peer).unwrap_or(0)))
             .collect();
         let users = peers.iter().copied().collect();
-        self.tell_duty(node, life, DutyEvent::LeaderUsers(users));
-        self.tell_duty(node, life, DutyEvent::RelayPeers(peers));
+        self.tell_duty(node, incarnation, DutyEvent::LeaderUsers(users));
+        self.tell_duty(node, incarnation, DutyEvent::RelayPeers(peers));
         let groups = self.nodes[node].groups(&list, self.options.synchronous_replicas);
-        self.tell_duty(node, life, DutyEvent::NodeCount(nodes));
-        self.tell_duty(node, life, DutyEvent::Groups(groups));
+        self.tell_duty(node, incarnation, DutyEvent::NodeCount(nodes));
+        self.tell_duty(node, incarnation, DutyEvent::Groups(groups));
         let version = self.record_version();
         let record = self.store.record.clone();
         let records = record.map(|record| (crate::group::service(), (version, record)));
         let records = records.into_iter().collect();
         let era = self.era_as_told();
-        self.tell_duty(node, life, DutyEvent::Records { era, records });
+        self.tell_duty(node, incarnation, DutyEvent::Records { era, records });
     }
 
     /// The databases' entries as a node sees them, and after which moment what is new in them came about.
@@ -146,14 +146,14 @@
         is_other.then(|| NodeId(u64::try_from(source).unwrap_or(0)))
     }
 
-    pub(crate) fn tell_duty(&mut self, index: usize, life: u64, event: DutyEvent) {
-        if !self.is_running(index, life) {
+    pub(crate) fn tell_duty(&mut self, index: usize, incarnation: u64, event: DutyEvent) {
+        if !self.is_running(index, incarnation) {
             return;
         }
         let now = self.now();
         let effects = self.nodes[index].duty.handle(now, event);
         for effect in effects {
-            self.carry_out_duty(index, life, effect);
+            self.carry_out_duty(index, incarnation, effect);
         }
         let node = &mut self.nodes[index];
         let wake = node.duty.next_wake(now);
@@ -161,33 +161,34 @@
             && (node.duty_timer_at <= now || wake < node.duty_timer_at)
         {
             node.duty_timer_at = wake;
-            self.queue.plan_at(wake, Happening::DutyTimer(index, life));
+            self.queue
+                .plan_at(wake, Happening::DutyTimer(index, incarnation));
         }
     }
 
-    pub(crate) fn carry_out_duty(&mut self, index: usize, life: u64, effect: DutyEffect) {
+    pub(crate) fn carry_out_duty(&mut self, index: usize, incarnation: u64, effect: DutyEffect) {
         match effect {
             DutyEffect::WriteRecord(_, version, record) => {
-                let write = Happening::RecordAt(index, life, version, record);
+                let write = Happening::RecordAt(index, incarnation, version, record);
                 self.queue.plan(STORE_DELAY, write);
             }
             DutyEffect::ReportSilent(silent) => {
                 let own = NodeId(u64::try_from(index).unwrap_or(0));
                 for peer in (0..self.nodes.len()).filter(|peer| *peer != index) {
                     let event = DutyEvent::Suspicion(own, silent.clone());
-                    let life = self.nodes[peer].life;
-                    let told = Happening::Duty(peer, life, Box::new(event));
+                    let incarnation = self.nodes[peer].incarnation;
+                    let told = Happening::Duty(peer, incarnation, Box::new(event));
                     self.queue.plan(FAR_DELAY * 3, told);
                 }
             }
             DutyEffect::Verify { backend, asker } => {
                 let delay = self.delay(index, &backend) * 3;
-                let verify = Happening::VerifyAt(index, life, backend, asker);
+                let verify = Happening::VerifyAt(index, incarnation, backend, asker);
                 self.queue.plan(delay, verify);
             }
             DutyEffect::QueryStatus(backend) => {
                 let delay = self.delay(index, &backend) * 3;
-                let ask = Happening::AskAt(index, life, backend, Question::Status);
+                let ask = Happening::AskAt(index, incarnation, backend, Question::Status);
                 self.queue.plan(delay, ask);
             }
             DutyEffect::Hold(backend, term) => {
@@ -198,21 +199,21 @@
                     Question::Hold(term)
                 };
                 let delay = self.delay(index, &backend) * 3;
-                let ask = Happening::AskAt(index, life, backend, question);
+                let ask = Happening::AskAt(index, incarnation, backend, question);
                 self.queue.plan(delay, ask);
             }
             DutyEffect::QueryUntilReceived(backend, all) => {
                 let delay = self.delay(index, &backend);
-                let ask = Happening::AskAt(index, life, backend, Question::Received(all));
+                let ask = Happening::AskAt(index, incarnation, backend, Question::Received(all));
                 self.queue.plan(delay, ask);
             }
             DutyEffect::StepDown(backend, term, ways) => {
-                self.reach_for(index, life, &backend, Question::StepDown(term), ways);
+                self.reach_for(index, incarnation, &backend, Question::StepDown(term), ways);
             }
             DutyEffect::Revoke(_, term, users) => {
                 let own = NodeId(u64::try_from(index).unwrap_or(0));
                 for user in users.into_iter().chain([own]) {
-                    let revoke = Happening::RevokeAt(index, life, user, term);
+                    let revoke = Happening::RevokeAt(index, incarnation, user, term);
                     self.queue.plan(FAR_DELAY * 3, revoke);
                 }
             }
@@ -220,20 +221,22 @@
                 let own = NodeId(u64::try_from(index).unwrap_or(0));
                 for user in users.into_iter().chain([own]) {
                     let place = usize::try_from(user.0).unwrap_or(0);
-                    let told = self.nodes[place].life;
+                    let told = self.nodes[place].incarnation;
                     let event = Event::PromotionEnded(service.clone());
                     let settle = Happening::Engine(place, told, Box::new(event));
                     self.queue.plan(FAR_DELAY * 3, settle);
                 }
             }
             DutyEffect::HoldVia(backend, term, ways) => {
-                self.reach_for(index, life, &backend, Question::Hold(term), ways);
+                self.reach_for(index, incarnation, &backend, Question::Hold(term), ways);
             }
             DutyEffect::Resume(backend) => {
-                let resume = Happening::AskAt(index, life, backend, Question::Resume);
+                let resume = Happening::AskAt(index, incarnation, backend, Question::Resume);
                 self.queue.plan(STORE_DELAY, resume);
             }
-            DutyEffect::Promote(_, backend, token) => self.promote(index, life, backend, token),
+            DutyEffect::Promote(_, backend, token) => {
+                self.promote(index, incarnation, backend, token)
+            }
             DutyEffect::Log(_, action) => {
                 let now = self.now();
                 self.decisions
@@ -243,13 +246,13 @@
     }
 
     /// Another node is told that a term may begin, and answers.
-    pub(crate) fn revoke_at(&mut self, node: usize, life: u64, user: NodeId, term: Term) {
+    pub(crate) fn revoke_at(&mut self, node: usize, incarnation: u64, user: NodeId, term: Term) {
         let place = usize::try_from(user.0).unwrap_or(0);
         let told = &self.nodes[place];
         if !told.is_running || self.now() < told.frozen_until {
             return;
         }
-        let told_life = told.life;
+        let told_incarnation = told.incarnation;
         let service = crate::group::service();
         match self.options.broken {
             // Nobody is told, so that the wait alone must keep the old leader from being believed.
@@ -258,7 +261,7 @@
             Some(BrokenVariant::Revocation) => {}
             _ => {
                 let event = Event::LeadershipRevoked(service.clone(), term);
-                self.tell_engine(place, told_life, event);
+                self.tell_engine(place, told_incarnation, event);
             }
         }
         let newest = self.nodes[place].engine.newest_term(&service);
@@ -268,14 +271,14 @@
             user,
             newest,
         };
-        let revoked = Happening::Duty(node, life, Box::new(revoked));
+        let revoked = Happening::Duty(node, incarnation, Box::new(revoked));
         self.queue.plan(FAR_DELAY, revoked);
     }
 
     fn reach_for(
         &mut self,
         index: usize,
-        life: u64,
+        incarnation: u64,
         backend: &BackendId,
         question: Question,
         ways: Vec<Via>,
@@ -285,7 +288,7 @@
                 Via::Direct => self.delay(index, backend) * 3,
                 Via::Peer(_) => FAR_DELAY * 4,
             };
-            let reach = Happening::ReachAt(index, life, backend.clone(), question, via);
+            let reach = Happening::ReachAt(index, incarnation, backend.clone(), question, via);
             self.queue.plan(delay, reach);
         }
     }
@@ -329,7 +332,7 @@
     pub(crate) fn record_at(
         &mut self,
         node: usize,
-        life: u64,
+        incarnation: u64,
         version: RecordVersion,
         record: FailoverRecord,
     ) {
@@ -337,7 +340,7 @@
         if !self.store_reaches(node) {
             let failed = Happening::Duty(
                 node,
-                life,
+                incarnation,
                 Box::new(DutyEvent::RecordFailed(service.clone())),
             );
             return self.queue.plan(Duration::from_millis(1_500), failed);
@@ -349,7 +352,7 @@
         if version.0.era() != self.era_as_told() {
             // Another copy of the store answers: what came of it tells nothing.
             let failed = DutyEvent::RecordFailed(service);
-            let failed = Happening::Duty(node, life, Box::new(failed));
+            let failed = Happening::Duty(node, incarnation, Box::new(failed));
             return self.queue.plan(STORE_DELAY, failed);
         }
         if written.is_some() {
@@ -358,7 +361,7 @@
         if self.store.loses_answers && self.random.random_range(0..2) == 0 {
             let failed = Happening::Duty(
                 node,
-                life,
+                incarnation,
                 Box::new(DutyEvent::RecordFailed(service.clone())),
             );
             return self.queue.plan(Duration::from_millis(1_500), failed);
@@ -379,15 +382,17 @@
             ],
         };
         for event in events {
-            self.queue
-                .plan(STORE_DELAY, Happening::Duty(node, life, Box::new(event)));
+            self.queue.plan(
+                STORE_DELAY,
+                Happening::Duty(node, incarnation, Box::new(event)),
+            );
         }
     }
 
     pub(crate) fn promote(
         &mut self,
         index: usize,
-        life: u64,
+        incarnation: u64,
         backend: BackendId,
         token: stairward_failover::FencingToken,
     ) {
@@ -396,7 +401,10 @@
         } else {
             token
         };
-        let decision = format!("{} of life {life} promotes {backend}", node_name(index));
+        let decision = format!(
+            "{} of life {incarnation} promotes {backend}",
+            node_name(index)
+        );
         let now = self.now();
         self.checker.record_promotion(now, token.0, decision);
         let is_late = self.promotions_are_late && self.random.random_range(0..2) == 0;
@@ -405,12 +413,12 @@
         } else {
             STORE_DELAY
         };
-        let promote = Happening::PromoteAt(index, life, backend, token, !is_late);
+        let promote = Happening::PromoteAt(index, incarnation, backend, token, !is_late);
         self.queue.plan(delay, promote);
         if is_late {
             let unknown =
                 DutyEvent::Promotion(crate::group::service(), token, PromotionOutcome::Unknown);
-            let unknown = Happening::Duty(index, life, Box::new(unknown));
+            let unknown = Happening::Duty(index, incarnation, Box::new(unknown));
             self.queue.plan(Duration::from_millis(2_200), unknown);
         }
     }
@@ -418,7 +426,7 @@
     pub(crate) fn promote_at(
         &mut self,
         node: usize,
-        life: u64,
+        incarnation: u64,
         backend: &BackendId,
         token: stairward_failover::FencingToken,
         is_answered: bool,
@@ -440,8 +448,10 @@
         };
         if is_answered {
             let event = DutyEvent::Promotion(crate::group::service(), token, outcome);
-            self.queue
-                .plan(STORE_DELAY, Happening::Duty(node, life, Box::new(event)));
+            self.queue.plan(
+                STORE_DELAY,
+                Happening::Duty(node, incarnation, Box::new(event)),
+            );
         }
     }
 }
--- a/crates/stairward-simulation/tests/rebirth.rs
+++ b/crates/stairward-simulation/tests/rebirth.rs
@@ -19,7 +19,7 @@
         strikes: 6,
         length: Duration::from_secs(15),
         sessions: 12,
-        old_primaries_go_on: seed.is_multiple_of(2),
+        old_primaries_keep_running: seed.is_multiple_of(2),
         ..Options::new(seed)
     }
 }
--- a/crates/stairward-simulation/tests/restores.rs
+++ b/crates/stairward-simulation/tests/restores.rs
@@ -64,9 +64,9 @@
         FaultKind::LatePromotion,
         FaultKind::StoreCut,
     ];
-    for old_primaries_go_on in [false, true] {
+    for old_primaries_keep_running in [false, true] {
         assert_checked(Invariant::SingleRecordWriter, |seed| Options {
-            old_primaries_go_on,
+            old_primaries_keep_running,
             ..with_restores(seed, &faults)
         });
     }
--- a/crates/stairward-simulation/tests/simulation.rs
+++ b/crates/stairward-simulation/tests/simulation.rs
@@ -64,7 +64,7 @@
         faults: FaultKind::with_restores(),
         strikes: 14,
         longest_pause: 1_500,
-        old_primaries_go_on: true,
+        old_primaries_keep_running: true,
         ..Options::new(99)
     });
 }
@@ -123,7 +123,7 @@
 /// A run before databases whose old primaries go on after another was promoted.
 fn with_old_primaries(seed: u64) -> Options {
     Options {
-        old_primaries_go_on: true,
+        old_primaries_keep_running: true,
         ..Options::new(seed)
     }
 }
@@ -253,7 +253,7 @@
         let report = simulate(&Options {
             faults: FaultKind::with_evacuations(),
             strikes: 20,
-            old_primaries_go_on: true,
+            old_primaries_keep_running: true,
             ..Options::new(seed)
         });
         assert!(
@@ -290,7 +290,7 @@
             faults: faults.to_vec(),
             strikes: 20,
             longest_pause: 2_000,
-            old_primaries_go_on: true,
+            old_primaries_keep_running: true,
             ..Options::new(seed)
         }));
         reached += report.checked.get(&Invariant::WarmUp).copied().unwrap_or(0);
@@ -412,7 +412,7 @@
         faults: faults_for(variant),
         strikes: 12,
         synchronous_replicas: u32::from(variant == BrokenVariant::Hold),
-        old_primaries_go_on: caught_by(variant) == Invariant::OneLeader,
+        old_primaries_keep_running: caught_by(variant) == Invariant::OneLeader,
         ..Options::new(seed)
     };
     let options = match variant {
@@ -447,7 +447,7 @@
     }
     Options {
         // The first write on a node tells it who leads.
-        writes_in_twenty: 1,
+        writes_per_twenty: 1,
         ..options
     }
 }
