--- a/crates/stairward-simulation/examples/run_seed.rs
+++ b/crates/stairward-simulation/examples/run_seed.rs
@@ -20,8 +20,8 @@
         };
         if is_close {
             options.faults = FaultKind::ALL.to_vec();
-            options.strikes = 14;
-            options.longest_pause = 1_500;
+            options.fault_count = 14;
+            options.max_pause_ms = 1_500;
         }
         if has_restores {
             options.faults = FaultKind::with_restores();
@@ -34,7 +34,7 @@
             let first: Vec<_> = report.violations.iter().take(2).collect();
             println!(
                 "seed {seed}: {:#?}\n{:#?}\n{first:#?}",
-                report.strikes, report.decisions
+                report.faults, report.decisions
             );
         }
     }
--- a/crates/stairward-simulation/examples/seeds.rs
+++ b/crates/stairward-simulation/examples/seeds.rs
@@ -15,7 +15,7 @@
     for seed in first..=last {
         let report = simulate(&Options::new(seed));
         if let Some(violation) = report.violations.first() {
-            println!("seed {seed}: {violation:?}, strikes {:?}", report.strikes);
+            println!("seed {seed}: {violation:?}, strikes {:?}", report.faults);
         }
         violations += report.violations.len();
         promotions += report.promotions;
--- a/crates/stairward-simulation/src/cold.rs
+++ b/crates/stairward-simulation/src/cold.rs
@@ -24,7 +24,7 @@
     /// Requests a second that one may get.
     pub rate: u32,
     /// How long it stays cold.
-    pub lasts: Duration,
+    pub duration: Duration,
 }
 
 impl ColdStart {
@@ -47,7 +47,7 @@
         self.options.cold.as_ref()?;
         let running = self.nodes.iter().position(|other| other.is_running);
         let first = match self.options.broken {
-            Some(BrokenVariant::Cold) => node,
+            Some(BrokenVariant::EveryNodeFirstRanked) => node,
             _ => running.unwrap_or(node),
         };
         Some(NodeId(u64::try_from(first).unwrap_or(0)))
--- a/crates/stairward-simulation/src/evacuations.rs
+++ b/crates/stairward-simulation/src/evacuations.rs
@@ -41,7 +41,7 @@
 
     /// The evacuated zones as a node is shown them. A broken node forgets them when it starts anew.
     pub(crate) fn show_evacuated(&mut self, node: usize, incarnation: u64, since: Option<Time>) {
-        let has_forgotten = self.options.broken == Some(BrokenVariant::Evacuation)
+        let has_forgotten = self.options.broken == Some(BrokenVariant::ForgottenEvacuation)
             && self.nodes[node].in_touch_since > Time::ZERO;
         let (now, era) = (self.now(), self.store.era);
         let listed: BTreeMap<String, Evacuation> = if has_forgotten {
--- a/crates/stairward-simulation/src/faults.rs
+++ b/crates/stairward-simulation/src/faults.rs
@@ -46,7 +46,7 @@
 impl World {
     /// The next fault strikes.
     pub fn strike(&mut self) {
-        let is_early = self.now() < stairward_types::Time::ZERO + self.options.length;
+        let is_early = self.now() < stairward_types::Time::ZERO + self.options.duration;
         if self.strikes_left == 0 || self.options.faults.is_empty() || !is_early {
             return;
         }
@@ -55,47 +55,46 @@
         let kind = self.options.faults[place];
         let length = self.between(1_000, 6_000);
         let now = self.now();
-        self.strikes
-            .push(format!("{now:?} {kind:?} for {length:?}"));
+        self.faults.push(format!("{now:?} {kind:?} for {length:?}"));
         self.apply(kind, length);
-        let pause = self.between(SHORTEST_PAUSE, self.options.longest_pause);
+        let pause = self.between(SHORTEST_PAUSE, self.options.max_pause_ms);
         self.queue.plan(pause, Happening::Strike);
     }
 
     fn apply(&mut self, kind: FaultKind, length: Duration) {
         match kind {
             FaultKind::PrimaryCrash => self.crash_primary(length),
-            FaultKind::PrimaryDark => self.darken_primary(length),
+            FaultKind::PrimaryUnresponsive => self.darken_primary(length),
             FaultKind::PrimaryLeaves => self.leave_primary(),
             FaultKind::GroupLeaves => self.leave_all(),
-            FaultKind::PrimaryReborn => {
+            FaultKind::PrimaryLostLog => {
                 if let Some(id) = self.live_primary() {
                     self.bear_again(id, length / 4);
                 }
             }
-            FaultKind::ReplicaReborn => {
+            FaultKind::ReplicaLostLog => {
                 if let Some(id) = self.some_replica() {
                     self.bear_again(id, length / 4);
                 }
             }
             FaultKind::PrimaryIsolated => self.isolate_primary(length),
             FaultKind::ReplicaLag => self.slow_replica(length),
-            FaultKind::ReplicaDeaf => self.deafen_replica(length),
+            FaultKind::ReplicaIsolated => self.deafen_replica(length),
             FaultKind::NodeKill => self.kill_some_node(),
-            FaultKind::NodeFreeze => self.freeze_some_node(length),
-            FaultKind::PrimaryCut => self.cut_primary(length),
-            FaultKind::StoreCut => self.cut_from_store(length),
-            FaultKind::StoreDown => self.stop_store(length),
+            FaultKind::NodePause => self.freeze_some_node(length),
+            FaultKind::PrimaryPartition => self.cut_primary(length),
+            FaultKind::StorePartition => self.cut_from_store(length),
+            FaultKind::StoreUnavailable => self.stop_store(length),
             FaultKind::StoreRestored => self.plan_restore(length),
-            FaultKind::StoreLost => {
+            FaultKind::StoreResponseLost => {
                 self.store.loses_answers = true;
                 self.end_after(length, Ending::StoreAnswers);
             }
-            FaultKind::LatePromotion => {
+            FaultKind::DelayedPromotion => {
                 self.promotions_are_late = true;
                 self.end_after(length * 2, Ending::PromotionsReturn);
             }
-            FaultKind::AnswerLost => {
+            FaultKind::ResponseLost => {
                 self.answer_loss_percent = LOST_ANSWERS_PERCENT;
                 self.end_after(length, Ending::AnswersReturn);
             }
--- a/crates/stairward-simulation/src/nodes.rs
+++ b/crates/stairward-simulation/src/nodes.rs
@@ -79,9 +79,9 @@
             failover: usual,
         };
         match options.broken {
-            Some(BrokenVariant::NoWait) => leases.failover = usual.map(|lease| lease / 100),
+            Some(BrokenVariant::NoLeaseWait) => leases.failover = usual.map(|lease| lease / 100),
             Some(BrokenVariant::LongLease) => leases.engine = usual.map(|lease| lease * 5),
-            Some(BrokenVariant::Withhold) => leases.engine = None,
+            Some(BrokenVariant::NoConfirmation) => leases.engine = None,
             _ => {}
         }
         leases
--- a/crates/stairward-simulation/src/options.rs
+++ b/crates/stairward-simulation/src/options.rs
@@ -10,7 +10,7 @@
     /// The primary's process ends; it comes back with its log.
     PrimaryCrash,
     /// The primary falls silent and comes back with its log.
-    PrimaryDark,
+    PrimaryUnresponsive,
     /// The primary says that it leaves, and ends after its time.
     PrimaryLeaves,
     /// The primary and its replicas don't reach each other.
@@ -18,31 +18,31 @@
     /// A replica applies late.
     ReplicaLag,
     /// A replica receives nothing.
-    ReplicaDeaf,
+    ReplicaIsolated,
     /// A node's process is killed and started again.
     NodeKill,
     /// A node stands still.
-    NodeFreeze,
+    NodePause,
     /// Some nodes and the primary don't reach each other.
-    PrimaryCut,
+    PrimaryPartition,
     /// A node and the store don't reach each other.
-    StoreCut,
+    StorePartition,
     /// The store answers nothing.
-    StoreDown,
+    StoreUnavailable,
     /// Writes to the store are done and not answered.
-    StoreLost,
+    StoreResponseLost,
     /// Promotions are not answered and carried out late.
-    LatePromotion,
+    DelayedPromotion,
     /// Databases run statements whose answers are lost.
-    AnswerLost,
+    ResponseLost,
     /// The configuration changes.
     ConfigurationChange,
     /// A zone is evacuated for a while.
     Evacuation,
     /// The primary's process ends and starts again under its id, calls itself primary, and knows nothing of before.
-    PrimaryReborn,
+    PrimaryLostLog,
     /// A replica's does, and calls itself replica.
-    ReplicaReborn,
+    ReplicaLostLog,
     /// The store goes away and comes back from a copy some seconds old.
     StoreRestored,
     /// All databases of the group say that they leave, close upon each other, and end after their time.
@@ -67,19 +67,19 @@
     /// All kinds but restores, evacuations, groups that leave and databases that forget, which are drawn apart, so that a seed goes on standing for the same run.
     pub const ALL: [Self; 15] = [
         Self::PrimaryCrash,
-        Self::PrimaryDark,
+        Self::PrimaryUnresponsive,
         Self::PrimaryLeaves,
         Self::PrimaryIsolated,
         Self::ReplicaLag,
-        Self::ReplicaDeaf,
+        Self::ReplicaIsolated,
         Self::NodeKill,
-        Self::NodeFreeze,
-        Self::PrimaryCut,
-        Self::StoreCut,
-        Self::StoreDown,
-        Self::StoreLost,
-        Self::LatePromotion,
-        Self::AnswerLost,
+        Self::NodePause,
+        Self::PrimaryPartition,
+        Self::StorePartition,
+        Self::StoreUnavailable,
+        Self::StoreResponseLost,
+        Self::DelayedPromotion,
+        Self::ResponseLost,
         Self::ConfigurationChange,
     ];
 }
@@ -89,82 +89,82 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BrokenVariant {
     /// Reads go out without their floor.
-    Floor,
+    NoReadFloor,
     /// Reads at the leader go out without the transaction around them.
-    LeaderProof,
+    NoLeaderCheck,
     /// A write whose outcome is unknown is called not run.
-    Promise,
+    FalseNotRun,
     /// A write goes out twice.
-    Resend,
+    DuplicateWrite,
     /// Values and prepared names are not dropped between sessions.
-    Reset,
+    NoSessionReset,
     /// Statements of a transaction go to another connection.
-    Multiplex,
+    WrongConnection,
     /// Every decision uses the same fencing token.
-    Token,
+    ReusedToken,
     /// Back ends that leave are not known to leave.
-    Drain,
+    IgnoredLeaving,
     /// An older configuration is put in force over a newer one.
-    Configuration,
+    StaleConfiguration,
     /// Replicas are asked but not held before a promotion.
-    Hold,
+    NoHold,
     /// An old primary is taken to have stepped down without being asked.
-    StepDown,
+    NoStepDown,
     /// Nodes don't hear that replicas are on hold.
-    Revocation,
+    IgnoredRevocation,
     /// Whoever promotes does not wait until the nodes' confirmations have lapsed.
-    NoWait,
+    NoLeaseWait,
     /// Nodes take a confirmation to hold longer than whoever promotes waits.
     LongLease,
     /// What a leader answers is passed on without a confirmation.
-    Withhold,
+    NoConfirmation,
     /// Connections are opened for one tenant and used for all.
-    Tenant,
+    SharedTenantConnections,
     /// A key that was withdrawn is still known.
-    Key,
+    RevokedKeyAccepted,
     /// A coordinator grants whatever is asked for.
-    Limit,
+    UnlimitedGrants,
     /// A node that has started anew does not know of evacuations.
-    Evacuation,
+    ForgottenEvacuation,
     /// Every node takes itself for the one that sends to databases that have just started.
-    Cold,
+    EveryNodeFirstRanked,
     /// Nodes don't see that a primary has lost its log.
-    LostLog,
+    HiddenLostLog,
     /// Revisions of the store are taken without the copy that they are of.
-    Era,
+    IgnoredEra,
     /// Nodes don't learn that records may have been lost, though revisions rise.
-    LostLease,
+    HiddenRecordLoss,
     /// Nodes take a restored store's older word at once.
-    Restored,
+    UnprotectedRestore,
 }
 
 impl BrokenVariant {
     /// All variants.
     pub const ALL: [Self; 24] = [
-        Self::Floor,
-        Self::LeaderProof,
-        Self::Promise,
-        Self::Resend,
-        Self::Reset,
-        Self::Multiplex,
-        Self::Token,
-        Self::Drain,
-        Self::Configuration,
-        Self::Hold,
-        Self::StepDown,
-        Self::Revocation,
-        Self::NoWait,
+        Self::NoReadFloor,
+        Self::NoLeaderCheck,
+        Self::FalseNotRun,
+        Self::DuplicateWrite,
+        Self::NoSessionReset,
+        Self::WrongConnection,
+        Self::ReusedToken,
+        Self::IgnoredLeaving,
+        Self::StaleConfiguration,
+        Self::NoHold,
+        Self::NoStepDown,
+        Self::IgnoredRevocation,
+        Self::NoLeaseWait,
         Self::LongLease,
-        Self::Withhold,
-        Self::Tenant,
-        Self::Key,
-        Self::Limit,
-        Self::Evacuation,
-        Self::Cold,
-        Self::LostLog,
-        Self::Era,
-        Self::LostLease,
-        Self::Restored,
+        Self::NoConfirmation,
+        Self::SharedTenantConnections,
+        Self::RevokedKeyAccepted,
+        Self::UnlimitedGrants,
+        Self::ForgottenEvacuation,
+        Self::EveryNodeFirstRanked,
+        Self::HiddenLostLog,
+        Self::IgnoredEra,
+        Self::HiddenRecordLoss,
+        Self::UnprotectedRestore,
     ];
 }
 
@@ -176,9 +176,9 @@
     /// Kinds of faults that strike.
     pub faults: Vec<FaultKind>,
     /// How many faults strike in all.
-    pub strikes: u32,
+    pub fault_count: u32,
     /// The longest pause between two of them, in milliseconds.
-    pub longest_pause: u64,
+    pub max_pause_ms: u64,
     /// Nodes.
     pub nodes: u32,
     /// Sessions at once.
@@ -186,7 +186,7 @@
     /// Operations of twenty that are single writes; with 1 or less, transactions only read.
     pub writes_per_twenty: u32,
     /// How long callers act.
-    pub length: Duration,
+    pub duration: Duration,
     /// Connections to each back end that nodes are told they may hold together. Few make some nodes forward.
     pub connections: u32,
     /// Replicas that must have received a commit before it is acknowledged.
@@ -212,12 +212,12 @@
         Self {
             seed,
             faults: FaultKind::ALL.to_vec(),
-            strikes: 5,
-            longest_pause: 5_000,
+            fault_count: 5,
+            max_pause_ms: 5_000,
             nodes: 4,
             sessions: 24,
             writes_per_twenty: 5,
-            length: Duration::from_secs(20),
+            duration: Duration::from_secs(20),
             connections: 40,
             synchronous_replicas: 0,
             old_primaries_keep_running: false,
--- a/crates/stairward-simulation/src/tenants.rs
+++ b/crates/stairward-simulation/src/tenants.rs
@@ -59,7 +59,7 @@
     if options.tenants == 0 {
         return None;
     }
-    let oldest = if options.broken == Some(BrokenVariant::Key) {
+    let oldest = if options.broken == Some(BrokenVariant::RevokedKeyAccepted) {
         0
     } else {
         (content + 1).saturating_sub(KEY_LIFE)
--- a/crates/stairward-simulation/src/world.rs
+++ b/crates/stairward-simulation/src/world.rs
@@ -123,7 +123,7 @@
     /// Acknowledged commits that promotions rolled back.
     pub acknowledged_then_lost: u64,
     /// What struck.
-    pub strikes: Vec<String>,
+    pub faults: Vec<String>,
     /// Steps of the failover duty, and promotions that took effect.
     pub decisions: Vec<String>,
     /// A number that any difference between two runs would change.
@@ -147,7 +147,7 @@
     pub stalled: BTreeSet<ConnectionKey>,
     pub answer_loss_percent: u32,
     pub promotions_are_late: bool,
-    pub strikes: Vec<String>,
+    pub faults: Vec<String>,
     pub decisions: Vec<String>,
     /// Who last wrote the service's record, and when, whatever the store has lost since.
     pub(crate) last_holder: Option<(Time, String)>,
@@ -201,9 +201,9 @@
             answer_loss_percent: 0,
             promotions_are_late: false,
             last_holder: None,
-            strikes: Vec::new(),
+            faults: Vec::new(),
             decisions: Vec::new(),
-            strikes_left: options.strikes,
+            strikes_left: options.fault_count,
             last_incarnation: 0,
             numbers: 0,
             sessions: 0,
@@ -237,7 +237,7 @@
         }
         let first = self.between(1_000, 3_000);
         self.queue.plan(first, Happening::Strike);
-        let end = self.options.length + SETTLING;
+        let end = self.options.duration + SETTLING;
         self.queue.plan(end, Happening::End);
     }
 
@@ -259,7 +259,7 @@
             failed: self.failed,
             promotions: self.promotions,
             acknowledged_then_lost: self.checker.acknowledged_then_lost,
-            strikes: self.strikes,
+            faults: self.faults,
             decisions: self.decisions,
             fingerprint: self.fingerprint,
         }
--- a/crates/stairward-simulation/src/world_callers.rs
+++ b/crates/stairward-simulation/src/world_callers.rs
@@ -30,7 +30,7 @@
 
     pub(crate) fn caller_acts(&mut self, index: usize) {
         let now = self.now();
-        if now >= Time::ZERO + self.options.length || self.callers[index].is_waiting() {
+        if now >= Time::ZERO + self.options.duration || self.callers[index].is_waiting() {
             return;
         }
         let Some((node, incarnation)) = self.callers[index].node else {
@@ -220,8 +220,8 @@
         database.leaving_since = None;
         database.start_count += u64::from(has_restarted);
         if let Some(cold) = self.options.cold.filter(|_| has_restarted) {
-            database.cold_until = now + cold.lasts;
-            database.announced_cold_time = cold.lasts;
+            database.cold_until = now + cold.duration;
+            database.announced_cold_time = cold.duration;
             database.cold_request_times.clear();
         }
         if Some(database.term) < newest {
--- a/crates/stairward-simulation/src/world_databases.rs
+++ b/crates/stairward-simulation/src/world_databases.rs
@@ -135,7 +135,7 @@
         let work = if outcome.executed.is_some() { 8 } else { 0 };
         let delay = self.delay(node, backend) + Duration::from_millis(work);
         let mut reply = outcome.reply;
-        if self.options.broken == Some(BrokenVariant::Revocation)
+        if self.options.broken == Some(BrokenVariant::IgnoredRevocation)
             && let Some(member) = &mut reply.member
         {
             member.held = stairward_types::Term(0);
@@ -326,7 +326,7 @@
         };
         let now = self.now();
         let can_ask = self.nodes[asking].is_running && now >= self.nodes[asking].frozen_until;
-        let is_skipped = self.options.broken == Some(BrokenVariant::StepDown)
+        let is_skipped = self.options.broken == Some(BrokenVariant::NoStepDown)
             && matches!(question, Question::StepDown(_));
         let is_alive = self.group.databases[backend].is_alive;
         let reaches = can_ask && self.reaches(asking, backend);
--- a/crates/stairward-simulation/src/world_nodes.rs
+++ b/crates/stairward-simulation/src/world_nodes.rs
@@ -42,7 +42,7 @@
 
     /// A broken node does not know that back ends leave.
     pub(crate) fn damage_event(&self, mut event: Event) -> Event {
-        if self.options.broken == Some(BrokenVariant::Drain)
+        if self.options.broken == Some(BrokenVariant::IgnoredLeaving)
             && let Event::BackendsListed { list, .. } = &mut event
         {
             for description in list {
@@ -54,7 +54,7 @@
 
     /// A broken node does not see that a primary has lost its log.
     fn hide_lost_log(&self, index: usize, mut event: Event) -> Event {
-        if self.options.broken == Some(BrokenVariant::LostLog)
+        if self.options.broken == Some(BrokenVariant::HiddenLostLog)
             && let Event::ConnectionOpened {
                 connection,
                 position,
@@ -174,7 +174,9 @@
                     .connections
                     .insert(connection, target.backend.clone());
                 let tenant = match self.options.broken {
-                    Some(BrokenVariant::Tenant) => target.tenant.map(|_| tenant_name(0)),
+                    Some(BrokenVariant::SharedTenantConnections) => {
+                        target.tenant.map(|_| tenant_name(0))
+                    }
                     _ => target.tenant,
                 };
                 let open =
@@ -224,7 +226,7 @@
             return;
         };
         let mut grant = answering.engine.answer_limit(now, asking, ask);
-        if self.options.broken == Some(BrokenVariant::Limit) {
+        if self.options.broken == Some(BrokenVariant::UnlimitedGrants) {
             for (granted, want) in grant.granted.iter_mut().zip(&ask.demands) {
                 granted.count = want.waiting + want.ahead;
                 granted.unmet = 0;
@@ -236,7 +238,7 @@
     }
 
     pub(crate) fn damage_response(&mut self, mut response: Response) -> Response {
-        if self.options.broken == Some(BrokenVariant::Promise)
+        if self.options.broken == Some(BrokenVariant::FalseNotRun)
             && let stairward_engine::ResponseResult::Refused { code, .. } = &mut response.result
             && code.class() == stairward_types::OutcomeClass::OutcomeUnknown
         {
@@ -261,7 +263,7 @@
             incarnation,
             connection,
         };
-        if self.options.broken == Some(BrokenVariant::Resend)
+        if self.options.broken == Some(BrokenVariant::DuplicateWrite)
             && matches!(&command, BackendCommand::Run { text, .. } if text.starts_with("WRITE"))
         {
             let again =
@@ -283,19 +285,19 @@
     ) -> (ConnectionId, BackendCommand) {
         match (self.options.broken, &mut command) {
             (
-                Some(BrokenVariant::Floor),
+                Some(BrokenVariant::NoReadFloor),
                 BackendCommand::Run { floor, .. }
                 | BackendCommand::Execute { floor, .. }
                 | BackendCommand::Begin { floor, .. },
             ) => *floor = None,
-            (Some(BrokenVariant::LeaderProof), BackendCommand::Begin { read_only, .. }) => {
+            (Some(BrokenVariant::NoLeaderCheck), BackendCommand::Begin { read_only, .. }) => {
                 // A transaction that any copy accepts proves nothing.
                 *read_only = true;
             }
-            (Some(BrokenVariant::Reset), BackendCommand::Reset) => {
+            (Some(BrokenVariant::NoSessionReset), BackendCommand::Reset) => {
                 command = BackendCommand::Rollback;
             }
-            (Some(BrokenVariant::Multiplex), BackendCommand::Run { .. })
+            (Some(BrokenVariant::WrongConnection), BackendCommand::Run { .. })
                 if self.random.random_range(0..MULTIPLEX_ONE_IN) == 0 =>
             {
                 let others = self.nodes[index].connections.iter();
--- a/crates/stairward-simulation/src/world_store.rs
+++ b/crates/stairward-simulation/src/world_store.rs
@@ -55,7 +55,7 @@
             return;
         }
         let revision = self.store.configuration;
-        let is_broken = self.options.broken == Some(BrokenVariant::Configuration);
+        let is_broken = self.options.broken == Some(BrokenVariant::StaleConfiguration);
         let content = if is_broken && revision.is_multiple_of(2) {
             revision.saturating_sub(3)
         } else {
@@ -109,7 +109,7 @@
     /// The databases' entries as a node sees them, and after which moment what is new in them came about.
     fn show_entries(&mut self, node: usize) -> (Vec<BackendDescription>, Option<Time>) {
         let (now, era) = (self.now(), self.store.era);
-        let keeps = self.options.broken != Some(BrokenVariant::Restored);
+        let keeps = self.options.broken != Some(BrokenVariant::UnprotectedRestore);
         let in_era = |entry: &BackendDescription| BackendDescription {
             revision: StoreRevision::new(era, entry.revision.revision()),
             ..entry.clone()
@@ -192,7 +192,7 @@
                 self.queue.plan(delay, ask);
             }
             DutyEffect::Hold(backend, term) => {
-                let is_broken = self.options.broken == Some(BrokenVariant::Hold);
+                let is_broken = self.options.broken == Some(BrokenVariant::NoHold);
                 let question = if is_broken {
                     Question::Status
                 } else {
@@ -256,9 +256,9 @@
         let service = crate::group::service();
         match self.options.broken {
             // Nobody is told, so that the wait alone must keep the old leader from being believed.
-            Some(BrokenVariant::NoWait | BrokenVariant::LongLease) => return,
+            Some(BrokenVariant::NoLeaseWait | BrokenVariant::LongLease) => return,
             // The node answers but goes on as before.
-            Some(BrokenVariant::Revocation) => {}
+            Some(BrokenVariant::IgnoredRevocation) => {}
             _ => {
                 let event = Event::LeadershipRevoked(service.clone(), term);
                 self.tell_engine(place, told_incarnation, event);
@@ -296,7 +296,7 @@
     /// The era of the store as nodes are told it; always the first one for some that are broken.
     fn era_as_told(&self) -> u64 {
         match self.options.broken {
-            Some(BrokenVariant::Era | BrokenVariant::LostLease) => 0,
+            Some(BrokenVariant::IgnoredEra | BrokenVariant::HiddenRecordLoss) => 0,
             _ => self.store.era,
         }
     }
@@ -304,7 +304,7 @@
     /// The revisions by which those of a later copy are higher for a node that is told of no copies.
     fn lead_of_copy(&self) -> u64 {
         match self.options.broken {
-            Some(BrokenVariant::LostLease) => self.store.era * REVISIONS_OF_A_COPY,
+            Some(BrokenVariant::HiddenRecordLoss) => self.store.era * REVISIONS_OF_A_COPY,
             _ => 0,
         }
     }
@@ -396,7 +396,7 @@
         backend: BackendId,
         token: stairward_failover::FencingToken,
     ) {
-        let token = if self.options.broken == Some(BrokenVariant::Token) {
+        let token = if self.options.broken == Some(BrokenVariant::ReusedToken) {
             stairward_failover::FencingToken(1)
         } else {
             token
--- a/crates/stairward-simulation/tests/leaving.rs
+++ b/crates/stairward-simulation/tests/leaving.rs
@@ -21,9 +21,9 @@
     let leaves = [FaultKind::GroupLeaves; 2];
     Options {
         faults: leaves.into_iter().chain(faults.iter().copied()).collect(),
-        strikes: 10,
-        longest_pause: 3_000,
-        length: Duration::from_secs(30),
+        fault_count: 10,
+        max_pause_ms: 3_000,
+        duration: Duration::from_secs(30),
         drain_limit: Duration::from_secs(10),
         ..Options::new(seed)
     }
@@ -46,19 +46,19 @@
 
 #[test]
 fn a_node_that_was_cut_off_from_the_word_sends_no_late_work() {
-    assert_holds(FaultKind::StoreCut);
+    assert_holds(FaultKind::StorePartition);
 }
 
 #[test]
 fn a_node_that_stood_still_sends_no_late_work() {
-    assert_holds(FaultKind::NodeFreeze);
+    assert_holds(FaultKind::NodePause);
 }
 
 #[test]
 fn a_node_that_hears_of_nothing_that_leaves_is_caught() {
     let caught = SEEDS.into_iter().any(|seed| {
         let report = simulate(&Options {
-            broken: Some(BrokenVariant::Drain),
+            broken: Some(BrokenVariant::IgnoredLeaving),
             ..leaving(seed, &[FaultKind::NodeKill])
         });
         let mut violations = report.violations.iter();
--- a/crates/stairward-simulation/tests/rebirth.rs
+++ b/crates/stairward-simulation/tests/rebirth.rs
@@ -13,11 +13,11 @@
 const ALL_FORGOT: u64 = 62;
 
 fn reborn(seed: u64, faults: &[FaultKind]) -> Options {
-    let reborn = [FaultKind::PrimaryReborn, FaultKind::ReplicaReborn];
+    let reborn = [FaultKind::PrimaryLostLog, FaultKind::ReplicaLostLog];
     Options {
         faults: reborn.into_iter().chain(faults.iter().copied()).collect(),
-        strikes: 6,
-        length: Duration::from_secs(15),
+        fault_count: 6,
+        duration: Duration::from_secs(15),
         sessions: 12,
         old_primaries_keep_running: seed.is_multiple_of(2),
         ..Options::new(seed)
@@ -48,14 +48,14 @@
 
 #[test]
 fn everything_holds_where_databases_forget_and_replicas_lag() {
-    assert_holds(&[FaultKind::ReplicaLag, FaultKind::AnswerLost]);
+    assert_holds(&[FaultKind::ReplicaLag, FaultKind::ResponseLost]);
 }
 
 #[test]
 fn nodes_that_take_a_primary_without_its_log_for_the_leader_are_caught() {
     let caught = SEEDS.into_iter().any(|seed| {
         let report = simulate(&Options {
-            broken: Some(BrokenVariant::LostLog),
+            broken: Some(BrokenVariant::HiddenLostLog),
             ..reborn(seed, &[])
         });
         !report.violations.is_empty()
--- a/crates/stairward-simulation/tests/restores.rs
+++ b/crates/stairward-simulation/tests/restores.rs
@@ -22,9 +22,9 @@
     let restores = [FaultKind::StoreRestored; 3];
     Options {
         faults: faults.iter().copied().chain(restores).collect(),
-        strikes: 12,
-        longest_pause: 3_000,
-        length: Duration::from_secs(20),
+        fault_count: 12,
+        max_pause_ms: 3_000,
+        duration: Duration::from_secs(20),
         ..Options::new(seed)
     }
 }
@@ -40,7 +40,7 @@
 #[test]
 fn an_evacuated_zone_gets_no_late_work_though_the_store_has_lost_the_evacuation() {
     assert_checked(Invariant::ZoneEvacuation, |seed| {
-        with_restores(seed, &[FaultKind::Evacuation, FaultKind::NodeFreeze])
+        with_restores(seed, &[FaultKind::Evacuation, FaultKind::NodePause])
     });
 }
 
@@ -60,9 +60,9 @@
         FaultKind::PrimaryLeaves,
         FaultKind::PrimaryIsolated,
         FaultKind::NodeKill,
-        FaultKind::StoreLost,
-        FaultKind::LatePromotion,
-        FaultKind::StoreCut,
+        FaultKind::StoreResponseLost,
+        FaultKind::DelayedPromotion,
+        FaultKind::StorePartition,
     ];
     for old_primaries_keep_running in [false, true] {
         assert_checked(Invariant::SingleRecordWriter, |seed| Options {
--- a/crates/stairward-simulation/tests/simulation.rs
+++ b/crates/stairward-simulation/tests/simulation.rs
@@ -23,7 +23,7 @@
             "seed {seed}: {} of {} succeeded, strikes {:#?}",
             report.succeeded,
             report.succeeded + report.failed,
-            report.strikes
+            report.faults
         );
     }
     assert!(promotions > 20, "{promotions} promotions in all");
@@ -48,7 +48,7 @@
     for seed in SEEDS {
         let report = assert_holds(&Options {
             faults: FaultKind::with_restores(),
-            strikes: 10,
+            fault_count: 10,
             ..Options::new(seed)
         });
         promotions += report.promotions;
@@ -62,8 +62,8 @@
 fn no_write_at_a_replaced_primary_is_acknowledged_where_faults_are_close_upon_each_other() {
     assert_holds(&Options {
         faults: FaultKind::with_restores(),
-        strikes: 14,
-        longest_pause: 1_500,
+        fault_count: 14,
+        max_pause_ms: 1_500,
         old_primaries_keep_running: true,
         ..Options::new(99)
     });
@@ -155,18 +155,18 @@
     for seed in SEEDS {
         assert_holds(&Options {
             faults: vec![
-                FaultKind::PrimaryCut,
+                FaultKind::PrimaryPartition,
                 FaultKind::PrimaryIsolated,
-                FaultKind::PrimaryDark,
+                FaultKind::PrimaryUnresponsive,
                 FaultKind::PrimaryLeaves,
-                FaultKind::NodeFreeze,
-                FaultKind::StoreCut,
-                FaultKind::StoreDown,
-                FaultKind::LatePromotion,
-                FaultKind::AnswerLost,
+                FaultKind::NodePause,
+                FaultKind::StorePartition,
+                FaultKind::StoreUnavailable,
+                FaultKind::DelayedPromotion,
+                FaultKind::ResponseLost,
             ],
-            strikes: 14,
-            longest_pause: 1_500,
+            fault_count: 14,
+            max_pause_ms: 1_500,
             ..with_old_primaries(seed)
         });
     }
@@ -175,8 +175,8 @@
 /// A run in which faults of all kinds strike close upon each other.
 fn with_close_faults(seed: u64) -> Options {
     Options {
-        strikes: 14,
-        longest_pause: 1_500,
+        fault_count: 14,
+        max_pause_ms: 1_500,
         ..with_old_primaries(seed)
     }
 }
@@ -252,7 +252,7 @@
     for seed in SEEDS.take(6) {
         let report = simulate(&Options {
             faults: FaultKind::with_evacuations(),
-            strikes: 20,
+            fault_count: 20,
             old_primaries_keep_running: true,
             ..Options::new(seed)
         });
@@ -275,7 +275,7 @@
     Options {
         cold: Some(ColdStart {
             rate: 1,
-            lasts: Duration::from_secs(4),
+            duration: Duration::from_secs(4),
         }),
         ..options
     }
@@ -288,8 +288,8 @@
     for seed in seeds {
         let report = assert_holds(&with_cold_databases(Options {
             faults: faults.to_vec(),
-            strikes: 20,
-            longest_pause: 2_000,
+            fault_count: 20,
+            max_pause_ms: 2_000,
             old_primaries_keep_running: true,
             ..Options::new(seed)
         }));
@@ -305,9 +305,9 @@
         FaultKind::PrimaryLeaves,
         FaultKind::PrimaryLeaves,
         FaultKind::NodeKill,
-        FaultKind::NodeFreeze,
-        FaultKind::PrimaryCut,
-        FaultKind::StoreCut,
+        FaultKind::NodePause,
+        FaultKind::PrimaryPartition,
+        FaultKind::StorePartition,
         FaultKind::ReplicaLag,
         FaultKind::ConfigurationChange,
     ];
@@ -331,49 +331,49 @@
 fn faults_for(variant: BrokenVariant) -> Vec<FaultKind> {
     match variant {
         // A node must miss a promotion while the old primary goes on, alone.
-        BrokenVariant::LeaderProof => vec![
+        BrokenVariant::NoLeaderCheck => vec![
             FaultKind::PrimaryLeaves,
             FaultKind::PrimaryIsolated,
-            FaultKind::StoreCut,
+            FaultKind::StorePartition,
         ],
-        BrokenVariant::Drain => vec![FaultKind::PrimaryLeaves],
+        BrokenVariant::IgnoredLeaving => vec![FaultKind::PrimaryLeaves],
         // The chosen replica must miss what another receives between the question and the promotion.
-        BrokenVariant::Hold => vec![
+        BrokenVariant::NoHold => vec![
             FaultKind::PrimaryLeaves,
-            FaultKind::ReplicaDeaf,
-            FaultKind::ReplicaDeaf,
+            FaultKind::ReplicaIsolated,
+            FaultKind::ReplicaIsolated,
         ],
-        BrokenVariant::Token => vec![FaultKind::PrimaryCrash],
-        BrokenVariant::StepDown => vec![FaultKind::PrimaryLeaves, FaultKind::StoreCut],
+        BrokenVariant::ReusedToken => vec![FaultKind::PrimaryCrash],
+        BrokenVariant::NoStepDown => vec![FaultKind::PrimaryLeaves, FaultKind::StorePartition],
         // An old primary must go on for some nodes that nobody can ask to end it.
-        BrokenVariant::Revocation
-        | BrokenVariant::NoWait
+        BrokenVariant::IgnoredRevocation
+        | BrokenVariant::NoLeaseWait
         | BrokenVariant::LongLease
-        | BrokenVariant::Withhold => vec![
-            FaultKind::PrimaryCut,
+        | BrokenVariant::NoConfirmation => vec![
+            FaultKind::PrimaryPartition,
             FaultKind::PrimaryIsolated,
-            FaultKind::PrimaryDark,
-            FaultKind::ReplicaDeaf,
-            FaultKind::StoreCut,
+            FaultKind::PrimaryUnresponsive,
+            FaultKind::ReplicaIsolated,
+            FaultKind::StorePartition,
         ],
-        BrokenVariant::Key => vec![FaultKind::ConfigurationChange],
-        BrokenVariant::Evacuation => vec![FaultKind::NodeKill, FaultKind::Evacuation],
-        BrokenVariant::Cold => vec![FaultKind::PrimaryLeaves],
-        BrokenVariant::LostLog => vec![FaultKind::PrimaryReborn],
+        BrokenVariant::RevokedKeyAccepted => vec![FaultKind::ConfigurationChange],
+        BrokenVariant::ForgottenEvacuation => vec![FaultKind::NodeKill, FaultKind::Evacuation],
+        BrokenVariant::EveryNodeFirstRanked => vec![FaultKind::PrimaryLeaves],
+        BrokenVariant::HiddenLostLog => vec![FaultKind::PrimaryLostLog],
         // A node that starts after the store's return takes its lower revisions.
-        BrokenVariant::Era => vec![
+        BrokenVariant::IgnoredEra => vec![
             FaultKind::PrimaryCrash,
             FaultKind::NodeKill,
             FaultKind::NodeKill,
             FaultKind::StoreRestored,
         ],
-        BrokenVariant::LostLease => vec![
+        BrokenVariant::HiddenRecordLoss => vec![
             FaultKind::PrimaryCrash,
-            FaultKind::LatePromotion,
+            FaultKind::DelayedPromotion,
             FaultKind::StoreRestored,
         ],
-        BrokenVariant::Restored => vec![FaultKind::GroupLeaves, FaultKind::StoreRestored],
-        BrokenVariant::Tenant | BrokenVariant::Limit => Vec::new(),
+        BrokenVariant::UnprotectedRestore => vec![FaultKind::GroupLeaves, FaultKind::StoreRestored],
+        BrokenVariant::SharedTenantConnections | BrokenVariant::UnlimitedGrants => Vec::new(),
         _ => FaultKind::ALL.to_vec(),
     }
 }
@@ -381,27 +381,29 @@
 /// What a broken variant must be caught by.
 fn caught_by(variant: BrokenVariant) -> Invariant {
     match variant {
-        BrokenVariant::Floor | BrokenVariant::LeaderProof | BrokenVariant::LostLog => {
-            Invariant::FreshRead
+        BrokenVariant::NoReadFloor
+        | BrokenVariant::NoLeaderCheck
+        | BrokenVariant::HiddenLostLog => Invariant::FreshRead,
+        BrokenVariant::FalseNotRun => Invariant::NotRunGuarantee,
+        BrokenVariant::DuplicateWrite => Invariant::AtMostOnce,
+        BrokenVariant::NoSessionReset | BrokenVariant::WrongConnection => {
+            Invariant::SessionIsolation
         }
-        BrokenVariant::Promise => Invariant::NotRunGuarantee,
-        BrokenVariant::Resend => Invariant::AtMostOnce,
-        BrokenVariant::Reset | BrokenVariant::Multiplex => Invariant::SessionIsolation,
-        BrokenVariant::Token | BrokenVariant::Era => Invariant::UniqueToken,
-        BrokenVariant::Drain | BrokenVariant::Restored => Invariant::Leaving,
-        BrokenVariant::LostLease => Invariant::SingleRecordWriter,
-        BrokenVariant::Configuration => Invariant::Configuration,
-        BrokenVariant::Hold => Invariant::Kept,
-        BrokenVariant::StepDown
-        | BrokenVariant::Revocation
-        | BrokenVariant::NoWait
+        BrokenVariant::ReusedToken | BrokenVariant::IgnoredEra => Invariant::UniqueToken,
+        BrokenVariant::IgnoredLeaving | BrokenVariant::UnprotectedRestore => Invariant::Leaving,
+        BrokenVariant::HiddenRecordLoss => Invariant::SingleRecordWriter,
+        BrokenVariant::StaleConfiguration => Invariant::Configuration,
+        BrokenVariant::NoHold => Invariant::Kept,
+        BrokenVariant::NoStepDown
+        | BrokenVariant::IgnoredRevocation
+        | BrokenVariant::NoLeaseWait
         | BrokenVariant::LongLease
-        | BrokenVariant::Withhold => Invariant::OneLeader,
-        BrokenVariant::Tenant => Invariant::TenantIsolation,
-        BrokenVariant::Key => Invariant::KeyRevocation,
-        BrokenVariant::Limit => Invariant::TenantRateLimit,
-        BrokenVariant::Evacuation => Invariant::ZoneEvacuation,
-        BrokenVariant::Cold => Invariant::WarmUp,
+        | BrokenVariant::NoConfirmation => Invariant::OneLeader,
+        BrokenVariant::SharedTenantConnections => Invariant::TenantIsolation,
+        BrokenVariant::RevokedKeyAccepted => Invariant::KeyRevocation,
+        BrokenVariant::UnlimitedGrants => Invariant::TenantRateLimit,
+        BrokenVariant::ForgottenEvacuation => Invariant::ZoneEvacuation,
+        BrokenVariant::EveryNodeFirstRanked => Invariant::WarmUp,
     }
 }
 
@@ -410,16 +412,18 @@
     let options = Options {
         broken: Some(variant),
         faults: faults_for(variant),
-        strikes: 12,
-        synchronous_replicas: u32::from(variant == BrokenVariant::Hold),
+        fault_count: 12,
+        synchronous_replicas: u32::from(variant == BrokenVariant::NoHold),
         old_primaries_keep_running: caught_by(variant) == Invariant::OneLeader,
         ..Options::new(seed)
     };
     let options = match variant {
-        BrokenVariant::Tenant | BrokenVariant::Key => with_tenants(options),
-        BrokenVariant::Limit => with_limits(options),
-        BrokenVariant::Cold => with_cold_databases(options),
-        BrokenVariant::Restored => Options {
+        BrokenVariant::SharedTenantConnections | BrokenVariant::RevokedKeyAccepted => {
+            with_tenants(options)
+        }
+        BrokenVariant::UnlimitedGrants => with_limits(options),
+        BrokenVariant::EveryNodeFirstRanked => with_cold_databases(options),
+        BrokenVariant::UnprotectedRestore => Options {
             drain_limit: Duration::from_secs(10),
             ..options
         },
@@ -427,22 +431,22 @@
     };
     let is_rare = matches!(
         variant,
-        BrokenVariant::LeaderProof
-            | BrokenVariant::Hold
-            | BrokenVariant::Revocation
-            | BrokenVariant::NoWait
+        BrokenVariant::NoLeaderCheck
+            | BrokenVariant::NoHold
+            | BrokenVariant::IgnoredRevocation
+            | BrokenVariant::NoLeaseWait
             | BrokenVariant::LongLease
-            | BrokenVariant::Withhold
+            | BrokenVariant::NoConfirmation
     );
     if !is_rare {
         return options;
     }
     let options = Options {
-        strikes: 30,
-        longest_pause: 900,
+        fault_count: 30,
+        max_pause_ms: 900,
         ..options
     };
-    if variant != BrokenVariant::LeaderProof {
+    if variant != BrokenVariant::NoLeaderCheck {
         return options;
     }
     Options {
--- a/crates/stairward-simulation/tests/support/mod.rs
+++ b/crates/stairward-simulation/tests/support/mod.rs
@@ -12,7 +12,7 @@
         "seed {}: {} violations, strikes {:#?}, decisions {:#?}, first {first:#?}",
         options.seed,
         report.violations.len(),
-        report.strikes,
+        report.faults,
         report.decisions
     );
     report
