--- a/crates/stairward-simulation/src/cold.rs
+++ b/crates/stairward-simulation/src/cold.rs
@@ -7,7 +7,7 @@
 use stairward_types::{BackendId, NodeId, Time};
 
 use crate::checker::Invariant;
-use crate::database::is_work;
+use crate::database::is_client_statement;
 use crate::options::BrokenVariant;
 use crate::world::World;
 
@@ -66,7 +66,7 @@
         else {
             return;
         };
-        if !is_work(command) || now >= database.cold_until {
+        if !is_client_statement(command) || now >= database.cold_until {
             return;
         }
         let since = Time(now.0.saturating_sub(1_000_000 * WINDOW.as_secs()));
--- a/crates/stairward-simulation/src/database.rs
+++ b/crates/stairward-simulation/src/database.rs
@@ -87,7 +87,7 @@
 }
 
 /// Whether a command runs a client's statement.
-pub(crate) fn is_work(command: &BackendCommand) -> bool {
+pub(crate) fn is_client_statement(command: &BackendCommand) -> bool {
     matches!(
         command,
         BackendCommand::Run { .. } | BackendCommand::Execute { .. }
@@ -225,7 +225,7 @@
     }
 
     /// Whether the applied log holds a position.
-    fn holds(&self, floor: Freshness) -> bool {
+    fn contains_position(&self, floor: Freshness) -> bool {
         let Ok(number) = usize::try_from(floor.position.0) else {
             return false;
         };
@@ -250,18 +250,18 @@
             BackendCommand::Reset => {
                 state.values.clear();
                 state.prepared.clear();
-                done(&state, position)
+                success(&state, position)
             }
             BackendCommand::SetValue { name, value } => {
                 state.values.insert(name.clone(), value.clone());
-                done(&state, position)
+                success(&state, position)
             }
             BackendCommand::Prepare(prepared) => {
                 state.prepared.insert(prepared.clone());
-                done(&state, position)
+                success(&state, position)
             }
             BackendCommand::Begin { read_only, floor } => {
-                if floor.is_some_and(|floor| !self.holds(floor)) {
+                if floor.is_some_and(|floor| !self.contains_position(floor)) {
                     refused(
                         BackendErrorCode::NotFresh,
                         TransactionStatus::Idle,
@@ -278,15 +278,15 @@
                         is_read_only: *read_only,
                         ..OpenTransaction::default()
                     });
-                    done(&state, position)
+                    success(&state, position)
                 }
             }
             BackendCommand::Rollback => {
                 state.transaction = None;
-                done(&state, position)
+                success(&state, position)
             }
             BackendCommand::QueryStatus => {
-                let mut outcome = done(&state, position);
+                let mut outcome = success(&state, position);
                 outcome.reply.member = Some(self.status());
                 outcome
             }
@@ -345,7 +345,7 @@
                 );
             }
         }
-        if floor.is_some_and(|floor| !self.holds(floor)) {
+        if floor.is_some_and(|floor| !self.contains_position(floor)) {
             return refused(BackendErrorCode::NotFresh, status(state), position);
         }
         let writes = text.starts_with("WRITE");
@@ -377,7 +377,7 @@
             None if writes => committed = Some(self.append(vec![id.to_owned()])),
             None => {}
         }
-        let mut outcome = done(state, self.position());
+        let mut outcome = success(state, self.position());
         outcome.executed = Some(executed);
         outcome.committed = committed;
         outcome
@@ -408,7 +408,7 @@
             values: state.values.clone(),
         };
         let committed = (!open.writes.is_empty()).then(|| self.append(open.writes));
-        let mut outcome = done(state, self.position());
+        let mut outcome = success(state, self.position());
         outcome.executed = Some(executed);
         outcome.committed = committed;
         outcome
@@ -439,7 +439,7 @@
     }
 }
 
-fn done(state: &ConnectionState, position: Freshness) -> Outcome {
+fn success(state: &ConnectionState, position: Freshness) -> Outcome {
     Outcome {
         reply: BackendReply {
             rows: Vec::new(),
--- a/crates/stairward-simulation/src/evacuations.rs
+++ b/crates/stairward-simulation/src/evacuations.rs
@@ -8,10 +8,10 @@
 use stairward_types::{BackendId, StoreRevision, Time, ZoneName};
 
 use crate::checker::Invariant;
-use crate::database::is_work;
+use crate::database::is_client_statement;
 use crate::options::BrokenVariant;
 use crate::store_view::Evacuation;
-use crate::world::{CONTACT, World};
+use crate::world::{MIN_CONNECTED_TIME, World};
 
 /// From an evacuation's acknowledgement to the last work that may arrive in the zone.
 const EVACUATION_LIMIT: Duration = Duration::from_secs(5);
@@ -28,21 +28,26 @@
         }
         let now = self.now();
         self.store.evacuated.insert(zone.clone(), now);
-        self.push_to_all();
+        self.notify_all_nodes();
         Some(zone)
     }
 
     /// The operator takes an evacuation back.
     pub(crate) fn end_evacuation(&mut self, zone: &ZoneName) {
         self.store.evacuated.remove(zone);
-        self.store.written_evacuations.remove(zone);
-        self.push_to_all();
+        self.store.unrestored_evacuations.remove(zone);
+        self.notify_all_nodes();
     }
 
     /// The evacuated zones as a node is shown them. A broken node forgets them when it starts anew.
-    pub(crate) fn show_evacuated(&mut self, node: usize, incarnation: u64, since: Option<Time>) {
+    pub(crate) fn deliver_evacuations(
+        &mut self,
+        node: usize,
+        incarnation: u64,
+        since: Option<Time>,
+    ) {
         let has_forgotten = self.options.broken == Some(BrokenVariant::ForgottenEvacuation)
-            && self.nodes[node].in_touch_since > Time::ZERO;
+            && self.nodes[node].connected_since > Time::ZERO;
         let (now, era) = (self.now(), self.store.era);
         let listed: BTreeMap<String, Evacuation> = if has_forgotten {
             BTreeMap::new()
@@ -54,11 +59,11 @@
                 .map(|(zone, at)| (zone.to_string(), object(at)))
                 .collect()
         };
-        let seen = self.nodes[node].evacuations.show(now, era, listed);
+        let seen = self.nodes[node].evacuations.apply_listing(now, era, listed);
         let zones = seen.into_keys().filter_map(|zone| ZoneName::new(zone).ok());
         let zones: std::collections::BTreeSet<_> = zones.collect();
         self.nodes[node].evacuated.clone_from(&zones);
-        self.tell_engine(
+        self.handle_engine_event(
             node,
             incarnation,
             Event::EvacuatedZonesChanged { zones, since },
@@ -77,13 +82,13 @@
             .and_then(|zone| self.store.evacuated.get(zone))
             .copied();
         let now = self.now();
-        let is_in_touch = now >= self.nodes[node].in_touch_since + CONTACT;
-        let Some(since) = since.filter(|_| is_work(command) && is_in_touch) else {
+        let is_connected = now >= self.nodes[node].connected_since + MIN_CONNECTED_TIME;
+        let Some(since) = since.filter(|_| is_client_statement(command) && is_connected) else {
             return;
         };
         self.checker.count(Invariant::ZoneEvacuation);
         // It counts from when the store took it, which it does only while it is up.
-        let since = self.store.taken_at(since);
+        let since = self.store.accepted_at(since);
         if now > since + EVACUATION_LIMIT {
             let text = format!("{backend}, evacuated at {since:?}, got work of node {node}");
             self.checker
--- a/crates/stairward-simulation/src/faults.rs
+++ b/crates/stairward-simulation/src/faults.rs
@@ -7,118 +7,119 @@
 
 use crate::options::FaultKind;
 use crate::restores::StoreCopy;
-use crate::world::{Happening, World};
+use crate::world::{SimulationEvent, World};
 
 /// How much later than its time a leaving database ends.
-const LINGER: Duration = Duration::from_secs(2);
+const SHUTDOWN_DELAY: Duration = Duration::from_secs(2);
 /// Silence after which discovery forgets a database.
-pub(crate) const LISTING_LAPSE: Duration = Duration::from_millis(3_600);
+pub(crate) const LISTING_TIMEOUT: Duration = Duration::from_millis(3_600);
 /// Share of statements whose answers are lost, in percent.
-const LOST_ANSWERS_PERCENT: u32 = 8;
+const LOST_RESPONSES_PERCENT: u32 = 8;
 /// The shortest pause between two faults, in milliseconds.
-const SHORTEST_PAUSE: u64 = 100;
+const MIN_PAUSE_MS: u64 = 100;
 /// How many times later a lagging replica applies.
 const LAG_FACTOR: u32 = 60;
 
 /// How a fault ends.
 #[derive(Debug)]
-pub(crate) enum Ending {
+pub(crate) enum FaultEnd {
     DatabaseStarts(BackendId),
     /// It starts and knows nothing of before.
-    DatabaseReborn(BackendId),
-    DatabaseForgotten(BackendId, u64),
-    DatabaseEnds(BackendId),
+    DatabaseStartsWithoutLog(BackendId),
+    DatabaseUnlisted(BackendId, u64),
+    DatabaseStops(BackendId),
     ReplicaRecovers(BackendId),
-    CutHeals(Vec<(usize, BackendId)>),
-    StoreHeals(usize),
-    StoreReturns,
-    AnswersReturn,
-    PromotionsReturn,
-    StoreAnswers,
+    PartitionHeals(Vec<(usize, BackendId)>),
+    StorePartitionHeals(usize),
+    StoreRecovers,
+    DatabaseResponsesRecover,
+    PromotionsRecover,
+    StoreResponsesRecover,
     EvacuationEnds(ZoneName),
     /// The store goes away, and is to come back from this copy.
-    StoreGoes(Box<StoreCopy>),
+    StoreStops(Box<StoreCopy>),
     StoreRestored(Box<StoreCopy>),
-    OperatorWritesAgain,
-    DatabaseWritesAgain(BackendId),
+    OperatorRewrites,
+    DatabaseRewrites(BackendId),
 }
 
 impl World {
     /// The next fault strikes.
-    pub fn strike(&mut self) {
+    pub fn inject_fault(&mut self) {
         let is_early = self.now() < stairward_types::Time::ZERO + self.options.duration;
-        if self.strikes_left == 0 || self.options.faults.is_empty() || !is_early {
+        if self.remaining_faults == 0 || self.options.faults.is_empty() || !is_early {
             return;
         }
-        self.strikes_left -= 1;
+        self.remaining_faults -= 1;
         let place = self.random.random_range(0..self.options.faults.len());
         let kind = self.options.faults[place];
-        let length = self.between(1_000, 6_000);
+        let length = self.random_duration(1_000, 6_000);
         let now = self.now();
         self.faults.push(format!("{now:?} {kind:?} for {length:?}"));
         self.apply(kind, length);
-        let pause = self.between(SHORTEST_PAUSE, self.options.max_pause_ms);
-        self.queue.plan(pause, Happening::Strike);
+        let pause = self.random_duration(MIN_PAUSE_MS, self.options.max_pause_ms);
+        self.queue.schedule(pause, SimulationEvent::InjectFault);
     }
 
     fn apply(&mut self, kind: FaultKind, length: Duration) {
         match kind {
             FaultKind::PrimaryCrash => self.crash_primary(length),
-            FaultKind::PrimaryUnresponsive => self.darken_primary(length),
-            FaultKind::PrimaryLeaves => self.leave_primary(),
-            FaultKind::GroupLeaves => self.leave_all(),
+            FaultKind::PrimaryUnresponsive => self.silence_primary(length),
+            FaultKind::PrimaryLeaves => self.start_leaving_primary(),
+            FaultKind::GroupLeaves => self.start_leaving_all(),
             FaultKind::PrimaryLostLog => {
-                if let Some(id) = self.live_primary() {
-                    self.bear_again(id, length / 4);
+                if let Some(id) = self.running_primary() {
+                    self.restart_without_log(id, length / 4);
                 }
             }
             FaultKind::ReplicaLostLog => {
-                if let Some(id) = self.some_replica() {
-                    self.bear_again(id, length / 4);
+                if let Some(id) = self.random_replica() {
+                    self.restart_without_log(id, length / 4);
                 }
             }
             FaultKind::PrimaryIsolated => self.isolate_primary(length),
             FaultKind::ReplicaLag => self.slow_replica(length),
-            FaultKind::ReplicaIsolated => self.deafen_replica(length),
-            FaultKind::NodeKill => self.kill_some_node(),
-            FaultKind::NodePause => self.freeze_some_node(length),
-            FaultKind::PrimaryPartition => self.cut_primary(length),
-            FaultKind::StorePartition => self.cut_from_store(length),
+            FaultKind::ReplicaIsolated => self.isolate_replica(length),
+            FaultKind::NodeKill => self.kill_random_node(),
+            FaultKind::NodePause => self.pause_random_node(length),
+            FaultKind::PrimaryPartition => self.partition_primary(length),
+            FaultKind::StorePartition => self.partition_from_store(length),
             FaultKind::StoreUnavailable => self.stop_store(length),
             FaultKind::StoreRestored => self.plan_restore(length),
             FaultKind::StoreResponseLost => {
-                self.store.loses_answers = true;
-                self.end_after(length, Ending::StoreAnswers);
+                self.store.loses_responses = true;
+                self.end_after(length, FaultEnd::StoreResponsesRecover);
             }
             FaultKind::DelayedPromotion => {
                 self.promotions_are_late = true;
-                self.end_after(length * 2, Ending::PromotionsReturn);
+                self.end_after(length * 2, FaultEnd::PromotionsRecover);
             }
             FaultKind::ResponseLost => {
-                self.answer_loss_percent = LOST_ANSWERS_PERCENT;
-                self.end_after(length, Ending::AnswersReturn);
+                self.response_loss_percent = LOST_RESPONSES_PERCENT;
+                self.end_after(length, FaultEnd::DatabaseResponsesRecover);
             }
             FaultKind::ConfigurationChange => self.change_configuration(),
             FaultKind::Evacuation => {
                 if let Some(zone) = self.evacuate() {
-                    self.end_after(length * 2, Ending::EvacuationEnds(zone));
+                    self.end_after(length * 2, FaultEnd::EvacuationEnds(zone));
                 }
             }
         }
     }
 
-    pub(crate) fn end_after(&mut self, length: Duration, ending: Ending) {
-        self.queue.plan(length, Happening::FaultEnds(ending));
+    pub(crate) fn end_after(&mut self, length: Duration, ending: FaultEnd) {
+        self.queue
+            .schedule(length, SimulationEvent::FaultEnds(ending));
     }
 
-    fn live_primary(&self) -> Option<BackendId> {
+    fn running_primary(&self) -> Option<BackendId> {
         let id = self.group.primary()?;
         let database = self.group.databases.get(id)?;
         let is_whole = database.is_alive && !database.is_silent && database.leaving_since.is_none();
         is_whole.then(|| id.clone())
     }
 
-    fn some_replica(&mut self) -> Option<BackendId> {
+    fn random_replica(&mut self) -> Option<BackendId> {
         let primary = self.group.primary().cloned();
         let replicas: Vec<_> = self
             .group
@@ -131,24 +132,24 @@
         replicas.get(place).cloned()
     }
 
-    fn some_node(&mut self) -> usize {
+    fn random_node(&mut self) -> usize {
         self.random.random_range(0..self.nodes.len())
     }
 
     fn crash_primary(&mut self, length: Duration) {
-        if let Some(id) = self.live_primary() {
+        if let Some(id) = self.running_primary() {
             self.stop_database(&id);
             let revision = self.group.revision;
             self.end_after(
-                LISTING_LAPSE,
-                Ending::DatabaseForgotten(id.clone(), revision),
+                LISTING_TIMEOUT,
+                FaultEnd::DatabaseUnlisted(id.clone(), revision),
             );
-            self.end_after(length, Ending::DatabaseStarts(id));
+            self.end_after(length, FaultEnd::DatabaseStarts(id));
         }
     }
 
-    fn darken_primary(&mut self, length: Duration) {
-        if let Some(id) = self.live_primary() {
+    fn silence_primary(&mut self, length: Duration) {
+        if let Some(id) = self.running_primary() {
             if let Some(database) = self.group.databases.get_mut(&id) {
                 database.is_silent = true;
                 let connection_keys: Vec<_> = database.connections.keys().copied().collect();
@@ -156,22 +157,22 @@
             }
             let revision = self.group.revision;
             self.end_after(
-                LISTING_LAPSE,
-                Ending::DatabaseForgotten(id.clone(), revision),
+                LISTING_TIMEOUT,
+                FaultEnd::DatabaseUnlisted(id.clone(), revision),
             );
-            self.end_after(length, Ending::DatabaseStarts(id));
+            self.end_after(length, FaultEnd::DatabaseStarts(id));
         }
     }
 
-    fn leave_primary(&mut self) {
-        if let Some(id) = self.live_primary() {
-            self.begin_leaving(id);
+    fn start_leaving_primary(&mut self) {
+        if let Some(id) = self.running_primary() {
+            self.start_leaving(id);
         }
     }
 
     /// A database's process ends and starts again a while later, without its log. At most one in a run does while the
     /// others hold theirs: two would lose what was acknowledged.
-    fn bear_again(&mut self, id: BackendId, pause: Duration) {
+    fn restart_without_log(&mut self, id: BackendId, pause: Duration) {
         let are_others_whole = self
             .group
             .databases
@@ -180,104 +181,104 @@
         let is_alive = self.group.databases.get(&id).is_some_and(|d| d.is_alive);
         if is_alive && are_others_whole {
             self.stop_database(&id);
-            self.end_after(pause, Ending::DatabaseReborn(id));
+            self.end_after(pause, FaultEnd::DatabaseStartsWithoutLog(id));
         }
     }
 
-    fn leave_all(&mut self) {
+    fn start_leaving_all(&mut self) {
         let staying = self.group.databases.values().filter(|database| {
             database.is_alive && !database.is_silent && database.leaving_since.is_none()
         });
         let staying: Vec<_> = staying.map(|database| database.id.clone()).collect();
         for id in staying {
-            self.begin_leaving(id);
+            self.start_leaving(id);
         }
     }
 
     /// A database says that it leaves, and ends after its time.
-    fn begin_leaving(&mut self, id: BackendId) {
+    fn start_leaving(&mut self, id: BackendId) {
         let now = self.now();
         if let Some(database) = self.group.databases.get_mut(&id) {
             database.leaving_since = Some(now);
         }
         self.group.announce(&id);
-        self.push_to_all();
+        self.notify_all_nodes();
         let drain_limit = self.options.drain_limit;
-        self.end_after(drain_limit + LINGER, Ending::DatabaseEnds(id));
+        self.end_after(drain_limit + SHUTDOWN_DELAY, FaultEnd::DatabaseStops(id));
     }
 
     fn isolate_primary(&mut self, length: Duration) {
-        if let Some(id) = self.live_primary() {
+        if let Some(id) = self.running_primary() {
             if let Some(database) = self.group.databases.get_mut(&id) {
                 database.is_isolated = true;
             }
-            self.end_after(length, Ending::ReplicaRecovers(id));
+            self.end_after(length, FaultEnd::ReplicaRecovers(id));
         }
     }
 
     fn slow_replica(&mut self, length: Duration) {
-        if let Some(id) = self.some_replica() {
+        if let Some(id) = self.random_replica() {
             if let Some(database) = self.group.databases.get_mut(&id) {
                 database.lag_factor = LAG_FACTOR;
             }
-            self.end_after(length, Ending::ReplicaRecovers(id));
+            self.end_after(length, FaultEnd::ReplicaRecovers(id));
         }
     }
 
-    fn deafen_replica(&mut self, length: Duration) {
-        if let Some(id) = self.some_replica() {
+    fn isolate_replica(&mut self, length: Duration) {
+        if let Some(id) = self.random_replica() {
             if let Some(database) = self.group.databases.get_mut(&id) {
                 database.is_isolated = true;
             }
-            self.end_after(length, Ending::ReplicaRecovers(id));
+            self.end_after(length, FaultEnd::ReplicaRecovers(id));
         }
     }
 
-    fn kill_some_node(&mut self) {
-        let node = self.some_node();
+    fn kill_random_node(&mut self) {
+        let node = self.random_node();
         if self.nodes[node].is_running {
             self.kill_node(node);
-            let pause = self.between(300, 1_500);
-            self.queue.plan(pause, Happening::StartNode(node));
+            let pause = self.random_duration(300, 1_500);
+            self.queue.schedule(pause, SimulationEvent::StartNode(node));
         }
     }
 
-    fn freeze_some_node(&mut self, length: Duration) {
-        let node = self.some_node();
+    fn pause_random_node(&mut self, length: Duration) {
+        let node = self.random_node();
         let until = self.now() + length;
-        self.nodes[node].frozen_until = until;
-        self.nodes[node].in_touch_since = self.nodes[node].in_touch_since.max(until);
+        self.nodes[node].paused_until = until;
+        self.nodes[node].connected_since = self.nodes[node].connected_since.max(until);
     }
 
-    fn cut_primary(&mut self, length: Duration) {
-        let Some(id) = self.live_primary() else {
+    fn partition_primary(&mut self, length: Duration) {
+        let Some(id) = self.running_primary() else {
             return;
         };
         let count = self.nodes.len().div_ceil(2);
         let cut: Vec<_> = (0..count).map(|node| (node, id.clone())).collect();
-        self.cuts.extend(cut.iter().cloned());
-        self.end_after(length, Ending::CutHeals(cut));
+        self.partitions.extend(cut.iter().cloned());
+        self.end_after(length, FaultEnd::PartitionHeals(cut));
     }
 
-    fn cut_from_store(&mut self, length: Duration) {
-        let node = self.some_node();
+    fn partition_from_store(&mut self, length: Duration) {
+        let node = self.random_node();
         let until = self.now() + length;
         self.nodes[node].is_cut_from_store = true;
-        self.nodes[node].in_touch_since = self.nodes[node].in_touch_since.max(until);
-        self.end_after(length, Ending::StoreHeals(node));
+        self.nodes[node].connected_since = self.nodes[node].connected_since.max(until);
+        self.end_after(length, FaultEnd::StorePartitionHeals(node));
     }
 
     fn stop_store(&mut self, length: Duration) {
         self.stop_store_for(length);
-        self.end_after(length, Ending::StoreReturns);
+        self.end_after(length, FaultEnd::StoreRecovers);
     }
 
     /// The store answers nothing until it is told otherwise, which is expected after this time.
     pub(crate) fn stop_store_for(&mut self, length: Duration) {
         let until = self.now() + length;
-        self.store.go(self.now());
+        self.store.go_down(self.now());
         for node in &mut self.nodes {
-            node.in_touch_since = node.in_touch_since.max(until);
+            node.connected_since = node.connected_since.max(until);
         }
     }
 
@@ -294,18 +295,18 @@
             database.role = role;
         }
         self.group.announce(id);
-        self.push_to_all();
+        self.notify_all_nodes();
         self.decisions.push(format!(
             "{now:?} {id} starts again without its log as {role:?}"
         ));
     }
 
     /// A fault ends.
-    pub fn fault_ends(&mut self, ending: Ending) {
+    pub fn end_fault(&mut self, ending: FaultEnd) {
         match ending {
-            Ending::DatabaseStarts(id) => self.start_database(&id),
-            Ending::DatabaseReborn(id) => self.start_without_log(&id),
-            Ending::DatabaseForgotten(id, revision) => {
+            FaultEnd::DatabaseStarts(id) => self.start_database(&id),
+            FaultEnd::DatabaseStartsWithoutLog(id) => self.start_without_log(&id),
+            FaultEnd::DatabaseUnlisted(id, revision) => {
                 let is_unchanged = self
                     .group
                     .listed
@@ -319,40 +320,40 @@
                 if is_unchanged && is_away {
                     let now = self.now();
                     self.group.unlist(&id, now);
-                    self.push_to_all();
+                    self.notify_all_nodes();
                 }
             }
-            Ending::DatabaseEnds(id) => {
+            FaultEnd::DatabaseStops(id) => {
                 self.stop_database(&id);
                 let now = self.now();
                 self.group.unlist(&id, now);
-                self.push_to_all();
-                self.end_after(LINGER, Ending::DatabaseStarts(id));
+                self.notify_all_nodes();
+                self.end_after(SHUTDOWN_DELAY, FaultEnd::DatabaseStarts(id));
             }
-            Ending::ReplicaRecovers(id) => {
+            FaultEnd::ReplicaRecovers(id) => {
                 if let Some(database) = self.group.databases.get_mut(&id) {
                     database.lag_factor = 1;
                     database.is_isolated = false;
                 }
             }
-            Ending::CutHeals(cut) => {
+            FaultEnd::PartitionHeals(cut) => {
                 for pair in cut {
-                    self.cuts.remove(&pair);
+                    self.partitions.remove(&pair);
                 }
             }
-            Ending::StoreHeals(node) => self.nodes[node].is_cut_from_store = false,
-            Ending::StoreReturns => {
+            FaultEnd::StorePartitionHeals(node) => self.nodes[node].is_cut_from_store = false,
+            FaultEnd::StoreRecovers => {
                 let now = self.now();
-                self.store.come_back(now);
+                self.store.recover(now);
             }
-            Ending::AnswersReturn => self.answer_loss_percent = 0,
-            Ending::PromotionsReturn => self.promotions_are_late = false,
-            Ending::StoreAnswers => self.store.loses_answers = false,
-            Ending::EvacuationEnds(zone) => self.end_evacuation(&zone),
-            Ending::StoreGoes(copy) => self.store_goes(copy),
-            Ending::StoreRestored(copy) => self.store_restored(*copy),
-            Ending::OperatorWritesAgain => self.operator_writes_again(),
-            Ending::DatabaseWritesAgain(id) => self.database_writes_again(&id),
+            FaultEnd::DatabaseResponsesRecover => self.response_loss_percent = 0,
+            FaultEnd::PromotionsRecover => self.promotions_are_late = false,
+            FaultEnd::StoreResponsesRecover => self.store.loses_responses = false,
+            FaultEnd::EvacuationEnds(zone) => self.end_evacuation(&zone),
+            FaultEnd::StoreStops(copy) => self.stop_for_restore(copy),
+            FaultEnd::StoreRestored(copy) => self.restore_store(*copy),
+            FaultEnd::OperatorRewrites => self.rewrite_operator_state(),
+            FaultEnd::DatabaseRewrites(id) => self.rewrite_database_entry(&id),
         }
     }
 }
--- a/crates/stairward-simulation/src/group.rs
+++ b/crates/stairward-simulation/src/group.rs
@@ -162,14 +162,14 @@
             let is_old_primary = other.role == BackendRole::Primary;
             if is_old_primary && self.old_primaries_keep_running && other.is_alive {
                 other.connected_to_successor_since = None;
-                rolled_back.extend(surplus(&other.log, &kept).iter().cloned());
+                rolled_back.extend(divergent_entries(&other.log, &kept).iter().cloned());
                 continue;
             }
             other.role = BackendRole::Replica;
             if other.is_alive && !self.old_primaries_keep_running {
                 other.term = term;
             }
-            let same = other.log.len() - surplus(&other.log, &kept).len();
+            let same = other.log.len() - divergent_entries(&other.log, &kept).len();
             rolled_back.extend(other.log.split_off(same));
             other.applied = other.applied.min(other.log.len());
         }
@@ -194,7 +194,7 @@
             let since = *database.connected_to_successor_since.get_or_insert(now);
             if now >= since + OLD_PRIMARY_RUN_TIME {
                 database.role = BackendRole::Replica;
-                let same = database.log.len() - surplus(&database.log, &kept).len();
+                let same = database.log.len() - divergent_entries(&database.log, &kept).len();
                 rolled_back.extend(database.log.split_off(same));
                 database.applied = database.applied.min(database.log.len());
             }
@@ -232,7 +232,8 @@
                     || database.log.last() != leader.log.last()
                 {
                     // One that led before may have more than the present leader.
-                    let same = database.log.len() - surplus(&database.log, &leader.log).len();
+                    let same =
+                        database.log.len() - divergent_entries(&database.log, &leader.log).len();
                     database.applied = database.applied.min(same);
                     database.log.clone_from(&leader.log);
                 }
@@ -252,7 +253,7 @@
 }
 
 /// What a log has beyond its common beginning with another.
-fn surplus<'a>(log: &'a [LogEntry], kept: &[LogEntry]) -> &'a [LogEntry] {
+fn divergent_entries<'a>(log: &'a [LogEntry], kept: &[LogEntry]) -> &'a [LogEntry] {
     let same = log
         .iter()
         .zip(kept)
--- a/crates/stairward-simulation/src/guests.rs
+++ b/crates/stairward-simulation/src/guests.rs
@@ -7,12 +7,12 @@
 use stairward_engine::{Event, ForwardedRequest, HolderSizing, Response, SessionId};
 use stairward_types::NodeId;
 
-use crate::world::{FAR_DELAY, Happening, World};
+use crate::world::{FAR_DELAY, SimulationEvent, World};
 
 /// One in so many signs of life is lost.
-const SIGNS_LOST_ONE_IN: u32 = 3;
+const PING_LOSS_ONE_IN: u32 = 3;
 /// Numbers of guests begin here, above all callers' sessions.
-const FIRST_GUEST: u64 = 1 << 40;
+const FIRST_FORWARDED_SESSION: u64 = 1 << 40;
 
 /// A node in one of its lives.
 type NodeIncarnation = (usize, u64);
@@ -26,15 +26,15 @@
 
 /// Sessions that run elsewhere than where their callers are connected.
 #[derive(Debug, Default)]
-pub(crate) struct Guests {
+pub(crate) struct ForwardedSessions {
     by_origin: BTreeMap<(NodeIncarnation, Origin), SessionId>,
-    by_own: BTreeMap<SessionId, (Origin, NodeIncarnation, u64)>,
+    by_session: BTreeMap<SessionId, (Origin, NodeIncarnation, u64)>,
     last: u64,
 }
 
 impl World {
     /// The holders that a node must forward to; none where it holds connections itself.
-    pub(crate) fn holders_for(&self, node: usize) -> Vec<NodeId> {
+    pub(crate) fn forward_targets_for(&self, node: usize) -> Vec<NodeId> {
         let demand = HolderSizing {
             connections: self.options.connections,
             slots: None,
@@ -60,9 +60,10 @@
         let place = usize::try_from(holder.0).unwrap_or(0);
         let holder_incarnation = self.nodes[place].incarnation;
         if !self.nodes[place].is_running {
-            return self
-                .queue
-                .plan(FAR_DELAY, Happening::LinkLost(node, incarnation, holder));
+            return self.queue.schedule(
+                FAR_DELAY,
+                SimulationEvent::LinkLost(node, incarnation, holder),
+            );
         }
         let origin = Origin {
             node: (node, incarnation),
@@ -72,26 +73,30 @@
         let known = self.guests.by_origin.get(&key).copied();
         let own = known.unwrap_or_else(|| {
             self.guests.last += 1;
-            SessionId(FIRST_GUEST + self.guests.last)
+            SessionId(FIRST_FORWARDED_SESSION + self.guests.last)
         });
         self.guests.by_origin.insert(key, own);
         self.guests
-            .by_own
+            .by_session
             .insert(own, (origin, (place, holder_incarnation), request));
         let event = Event::ForwardedRequest {
             session: own,
             forwarded: Box::new(forwarded),
         };
-        let event = Happening::Engine(place, holder_incarnation, Box::new(event));
-        self.queue.plan(FAR_DELAY, event);
+        let event = SimulationEvent::Engine(place, holder_incarnation, Box::new(event));
+        self.queue.schedule(FAR_DELAY, event);
     }
 
     /// Sends an answer to the node that its session is at; gives it back when it is a caller's.
-    pub(crate) fn answer_guest(&mut self, own: SessionId, response: Response) -> Option<Response> {
-        if own.0 < FIRST_GUEST {
+    pub(crate) fn answer_forwarded(
+        &mut self,
+        own: SessionId,
+        response: Response,
+    ) -> Option<Response> {
+        if own.0 < FIRST_FORWARDED_SESSION {
             return Some(response);
         }
-        let (origin, (holder, _), request) = self.guests.by_own.get(&own).copied()?;
+        let (origin, (holder, _), request) = self.guests.by_session.get(&own).copied()?;
         let event = Event::ForwardAnswered {
             holder: NodeId(u64::try_from(holder).unwrap_or(0)),
             session: origin.session,
@@ -99,8 +104,8 @@
             response,
         };
         let (node, incarnation) = origin.node;
-        let event = Happening::Engine(node, incarnation, Box::new(event));
-        self.queue.plan(FAR_DELAY, event);
+        let event = SimulationEvent::Engine(node, incarnation, Box::new(event));
+        self.queue.schedule(FAR_DELAY, event);
         None
     }
 
@@ -122,61 +127,66 @@
             .by_origin
             .remove(&((place, holder_incarnation), origin));
         if let Some(own) = own {
-            self.close_guest(own, (place, holder_incarnation), FAR_DELAY);
+            self.close_forwarded_session(own, (place, holder_incarnation), FAR_DELAY);
         }
     }
 
     /// Asks a holder for a sign of life, which is lost now and then.
-    pub(crate) fn ask_holder(&mut self, node: usize, incarnation: u64, holder: NodeId) {
+    pub(crate) fn ping_holder(&mut self, node: usize, incarnation: u64, holder: NodeId) {
         let place = usize::try_from(holder.0).unwrap_or(0);
         // One that does not run is silent; that its connection has ended is told by `links_lost`.
-        if self.nodes[place].is_running && self.random.random_range(0..SIGNS_LOST_ONE_IN) > 0 {
+        if self.nodes[place].is_running && self.random.random_range(0..PING_LOSS_ONE_IN) > 0 {
             let event = Event::HolderAlive(holder);
-            let sign = Happening::Engine(node, incarnation, Box::new(event));
-            self.queue.plan(FAR_DELAY * 2, sign);
+            let sign = SimulationEvent::Engine(node, incarnation, Box::new(event));
+            self.queue.schedule(FAR_DELAY * 2, sign);
         }
     }
 
-    fn close_guests(&mut self, is_lost: impl Fn(&(NodeIncarnation, Origin)) -> bool) {
+    fn close_forwarded_sessions(&mut self, is_lost: impl Fn(&(NodeIncarnation, Origin)) -> bool) {
         let keys = self.guests.by_origin.keys().copied();
         let lost: Vec<_> = keys.filter(is_lost).collect();
         for key in lost {
             if let Some(own) = self.guests.by_origin.remove(&key) {
                 let (holder, _) = key;
-                self.close_guest(own, holder, FAR_DELAY);
+                self.close_forwarded_session(own, holder, FAR_DELAY);
             }
         }
     }
 
-    fn close_guest(&mut self, own: SessionId, holder: NodeIncarnation, delay: Duration) {
-        self.guests.by_own.remove(&own);
+    fn close_forwarded_session(
+        &mut self,
+        own: SessionId,
+        holder: NodeIncarnation,
+        delay: Duration,
+    ) {
+        self.guests.by_session.remove(&own);
         let closed = Event::SessionClosed { session: own };
-        let closed = Happening::Engine(holder.0, holder.1, Box::new(closed));
-        self.queue.plan(delay, closed);
+        let closed = SimulationEvent::Engine(holder.0, holder.1, Box::new(closed));
+        self.queue.schedule(delay, closed);
     }
 
     /// A node finds that its link to another has ended: what it had forwarded there is undone, also what the other
     /// one, back in a new life, took since.
     pub(crate) fn link_lost(&mut self, node: usize, incarnation: u64, holder: NodeId) {
         let place = usize::try_from(holder.0).unwrap_or(0);
-        self.close_guests(|(held_by, origin)| {
+        self.close_forwarded_sessions(|(held_by, origin)| {
             held_by.0 == place && origin.node == (node, incarnation)
         });
         if self.is_running(node, incarnation) {
-            self.tell_engine(node, incarnation, Event::HolderLost(holder));
+            self.handle_engine_event(node, incarnation, Event::HolderLost(holder));
         }
     }
 
     /// A node's process has ended: its guests are lost, and what it had forwarded is undone.
-    pub(crate) fn links_lost(&mut self, node: usize, incarnation: u64) {
-        self.close_guests(|(holder, origin)| {
+    pub(crate) fn disconnect_node(&mut self, node: usize, incarnation: u64) {
+        self.close_forwarded_sessions(|(holder, origin)| {
             *holder == (node, incarnation) || origin.node == (node, incarnation)
         });
         let gone = NodeId(u64::try_from(node).unwrap_or(0));
         for other in 0..self.nodes.len() {
             let other_incarnation = self.nodes[other].incarnation;
-            let lost = Happening::LinkLost(other, other_incarnation, gone);
-            self.queue.plan(FAR_DELAY, lost);
+            let lost = SimulationEvent::LinkLost(other, other_incarnation, gone);
+            self.queue.schedule(FAR_DELAY, lost);
         }
     }
 }
--- a/crates/stairward-simulation/src/nodes.rs
+++ b/crates/stairward-simulation/src/nodes.rs
@@ -28,37 +28,37 @@
 
 /// How much shorter than it may a node uses back ends that leave: from when it heard, and from when they can have said
 /// so.
-const HEARING_MARGIN: Duration = Duration::from_secs(3);
-const SEND_MARGIN: Duration = Duration::from_secs(1);
+const NOTICE_MARGIN: Duration = Duration::from_secs(3);
+const ANNOUNCEMENT_MARGIN: Duration = Duration::from_secs(1);
 
 /// One node.
 #[derive(Debug)]
 pub(crate) struct Node {
     pub engine: Engine,
-    pub duty: FailoverController,
+    pub failover: FailoverController,
     /// Grows with each start of the process; unique in the world.
     pub incarnation: u64,
     pub is_running: bool,
-    pub frozen_until: Time,
+    pub paused_until: Time,
     pub connections: BTreeMap<ConnectionId, BackendId>,
     pub is_cut_from_store: bool,
     /// Since when it has been able to reach the store without a fault.
-    pub in_touch_since: Time,
+    pub connected_since: Time,
     /// When what it was shown of the store was last certainly the newest.
-    pub shown_at: Option<Time>,
+    pub last_current_at: Option<Time>,
     /// The databases' entries, as it sees them.
     pub entries: StoreView<Entry>,
     /// The entries as they were last told to its engine.
-    pub told_entries: BTreeMap<String, Entry>,
+    pub delivered_entries: BTreeMap<String, Entry>,
     /// The evacuations, as it sees them.
     pub evacuations: StoreView<Evacuation>,
-    pub leader_memory: LastKnownPrimaries,
+    pub last_known_primaries: LastKnownPrimaries,
     /// The evacuated zones, as it was last shown them.
     pub evacuated: BTreeSet<ZoneName>,
     /// The newest configuration that it has had in force, by its content.
-    pub newest_content: u64,
+    pub newest_configuration: u64,
     pub timer_at: Time,
-    pub duty_timer_at: Time,
+    pub failover_timer_at: Time,
 }
 
 /// How long a leader counts as confirmed, and how long whoever replaces it waits therefore.
@@ -110,8 +110,8 @@
             distances: distances.collect(),
             leadership_lease: leases.engine,
             leaving_limit: DrainLimit {
-                after_notice: run.drain_limit.saturating_sub(HEARING_MARGIN),
-                after_announcement: run.drain_limit.saturating_sub(SEND_MARGIN),
+                after_notice: run.drain_limit.saturating_sub(NOTICE_MARGIN),
+                after_announcement: run.drain_limit.saturating_sub(ANNOUNCEMENT_MARGIN),
             },
             cold_bound: ColdBound {
                 excess: EXCESS,
@@ -129,22 +129,22 @@
         };
         Self {
             engine: Engine::new(options),
-            duty: FailoverController::new(failover),
+            failover: FailoverController::new(failover),
             incarnation,
             is_running: true,
-            frozen_until: Time::ZERO,
+            paused_until: Time::ZERO,
             connections: BTreeMap::new(),
             is_cut_from_store: false,
-            in_touch_since: now,
-            shown_at: None,
+            connected_since: now,
+            last_current_at: None,
             entries: StoreView::default(),
-            told_entries: BTreeMap::new(),
+            delivered_entries: BTreeMap::new(),
             evacuations: StoreView::default(),
-            leader_memory: LastKnownPrimaries::default(),
+            last_known_primaries: LastKnownPrimaries::default(),
             evacuated: BTreeSet::new(),
-            newest_content: 0,
+            newest_configuration: 0,
             timer_at: Time::NEVER,
-            duty_timer_at: Time::NEVER,
+            failover_timer_at: Time::NEVER,
         }
     }
 
@@ -168,7 +168,7 @@
             group.members.insert(description.id.clone(), member);
         }
         let mut groups = BTreeMap::from([(service(), group)]);
-        self.leader_memory.add_missing_primaries(&mut groups);
+        self.last_known_primaries.add_missing_primaries(&mut groups);
         groups
     }
 }
@@ -226,7 +226,7 @@
 }
 
 /// The revision that a configuration's content shows.
-pub(crate) fn content_of(table: &RoutingTable) -> u64 {
+pub(crate) fn configuration_number(table: &RoutingTable) -> u64 {
     let names: BTreeSet<_> = table.routes.keys().collect();
     let shown = names
         .iter()
--- a/crates/stairward-simulation/src/queue.rs
+++ b/crates/stairward-simulation/src/queue.rs
@@ -9,16 +9,16 @@
 #[derive(Debug)]
 pub(crate) struct Queue<H> {
     now: Time,
-    planned: u64,
-    happenings: BTreeMap<(Time, u64), H>,
+    sequence: u64,
+    events: BTreeMap<(Time, u64), H>,
 }
 
 impl<H> Queue<H> {
     pub fn new() -> Self {
         Self {
             now: Time::from_millis(1),
-            planned: 0,
-            happenings: BTreeMap::new(),
+            sequence: 0,
+            events: BTreeMap::new(),
         }
     }
 
@@ -26,18 +26,18 @@
         self.now
     }
 
-    pub fn plan(&mut self, after: Duration, happening: H) {
-        self.plan_at(self.now + after, happening);
+    pub fn schedule(&mut self, after: Duration, happening: H) {
+        self.schedule_at(self.now + after, happening);
     }
 
-    pub fn plan_at(&mut self, at: Time, happening: H) {
-        self.planned += 1;
+    pub fn schedule_at(&mut self, at: Time, happening: H) {
+        self.sequence += 1;
         let at = at.max(self.now);
-        self.happenings.insert((at, self.planned), happening);
+        self.events.insert((at, self.sequence), happening);
     }
 
     pub fn next(&mut self) -> Option<H> {
-        let ((at, _), happening) = self.happenings.pop_first()?;
+        let ((at, _), happening) = self.events.pop_first()?;
         self.now = at;
         Some(happening)
     }
--- a/crates/stairward-simulation/src/store.rs
+++ b/crates/stairward-simulation/src/store.rs
@@ -11,7 +11,7 @@
     pub is_down: bool,
     /// When it went away and when it came back, in order.
     pub outages: Vec<(Time, Time)>,
-    pub loses_answers: bool,
+    pub loses_responses: bool,
     pub record_version: u64,
     pub record: Option<FailoverRecord>,
     /// The newest configuration's revision.
@@ -23,21 +23,21 @@
     /// Rises each time that it comes back from an older copy.
     pub era: u64,
     /// The revision of the configuration that the operator wrote last, which the store may have lost.
-    pub written_configuration: u64,
+    pub operator_configuration: u64,
     /// Evacuations that the store has lost and the operator has not written again yet.
-    pub written_evacuations: BTreeSet<ZoneName>,
+    pub unrestored_evacuations: BTreeSet<ZoneName>,
 }
 
 impl Store {
     /// It answers nothing from now on.
-    pub fn go(&mut self, now: Time) {
+    pub fn go_down(&mut self, now: Time) {
         if !std::mem::replace(&mut self.is_down, true) {
             self.outages.push((now, Time::NEVER));
         }
     }
 
     /// It answers again.
-    pub fn come_back(&mut self, now: Time) {
+    pub fn recover(&mut self, now: Time) {
         self.is_down = false;
         if let Some((_, end)) = self.outages.last_mut() {
             *end = now.min(*end);
@@ -45,12 +45,12 @@
     }
 
     /// When it took a word that was said at a moment: at once, or as soon as it was back.
-    pub fn taken_at(&self, said_at: Time) -> Time {
+    pub fn accepted_at(&self, announced_at: Time) -> Time {
         let outage = self
             .outages
             .iter()
-            .find(|(gone, back)| (*gone..*back).contains(&said_at));
-        outage.map_or(said_at, |(_, back)| *back)
+            .find(|(gone, back)| (*gone..*back).contains(&announced_at));
+        outage.map_or(announced_at, |(_, back)| *back)
     }
 
     /// Writes the record under its condition, which names a revision and no era. Returns the version afterwards, or none
--- a/crates/stairward-simulation/src/store_view.rs
+++ b/crates/stairward-simulation/src/store_view.rs
@@ -9,7 +9,7 @@
 
 /// How long those who wrote what the store lost are given to write it again: what a database that has ended had written
 /// goes after 3.6 s.
-const SETTLES_AFTER: Duration = Duration::from_millis(4_100);
+const REWRITE_TIMEOUT: Duration = Duration::from_millis(4_100);
 
 /// A database's entry.
 #[derive(Debug, Clone)]
@@ -50,7 +50,7 @@
     listed: BTreeMap<String, T>,
     gone: BTreeSet<String>,
     restored: RestoredView<T>,
-    settles_at: Option<Time>,
+    retained_until: Option<Time>,
 }
 
 impl<T> Default for StoreView<T> {
@@ -59,14 +59,14 @@
             listed: BTreeMap::new(),
             gone: BTreeSet::new(),
             restored: RestoredView::default(),
-            settles_at: None,
+            retained_until: None,
         }
     }
 }
 
 impl<T: StoreObject> StoreView<T> {
     /// Takes a listing of a copy of the store in. Returns the objects as the node sees them.
-    pub fn show(
+    pub fn apply_listing(
         &mut self,
         now: Time,
         era: u64,
@@ -81,12 +81,12 @@
             .restored
             .apply_listing(Some(era), before, gone, &self.listed);
         if is_restored || may_be_restored {
-            self.settles_at = Some(now + SETTLES_AFTER);
+            self.retained_until = Some(now + REWRITE_TIMEOUT);
         }
         self.gone.extend(names_before);
         self.gone.retain(|name| !self.listed.contains_key(name));
-        if self.settles_at.is_some_and(|at| now >= at) {
-            self.settles_at = None;
+        if self.retained_until.is_some_and(|at| now >= at) {
+            self.retained_until = None;
             self.restored.clear_retained();
         }
         self.restored.effective_objects(&self.listed)
@@ -94,6 +94,6 @@
 
     /// Whether no loss of the store's is recent.
     pub fn is_settled(&self) -> bool {
-        self.settles_at.is_none()
+        self.retained_until.is_none()
     }
 }
--- a/crates/stairward-simulation/src/tenants.rs
+++ b/crates/stairward-simulation/src/tenants.rs
@@ -9,18 +9,18 @@
 
 use crate::checker::Invariant;
 use crate::options::{BrokenVariant, Options};
-use crate::world::{CONFIGURATION_LIMIT, CONTACT, World};
+use crate::world::{CONFIGURATION_LIMIT, MIN_CONNECTED_TIME, World};
 
 /// A key is withdrawn by the configuration that comes so many after the one that brought it.
-const KEY_LIFE: u64 = 2;
+const KEY_GENERATIONS: u64 = 2;
 /// How long after the bound of a configuration a statement that was sent before it may still run.
 const STATEMENT_TIME: Duration = Duration::from_millis(1_000);
 /// The window in which operations are counted.
 const WINDOW: Duration = Duration::from_secs(5);
 /// How much later than its admission an operation may run: the life of a grant and a statement's time.
-const ADMISSION_LEAD: Duration = Duration::from_millis(500 + 800);
+const ADMISSION_DELAY: Duration = Duration::from_millis(500 + 800);
 /// How much faster than the checker's a clock may run.
-const CLOCK_SPEED: f64 = 1.05;
+const MAX_CLOCK_RATE: f64 = 1.05;
 
 /// Whose session it is.
 #[derive(Debug, Clone, Copy)]
@@ -62,7 +62,7 @@
     let oldest = if options.broken == Some(BrokenVariant::RevokedKeyAccepted) {
         0
     } else {
-        (content + 1).saturating_sub(KEY_LIFE)
+        (content + 1).saturating_sub(KEY_GENERATIONS)
     };
     let limit = options.tenant_rate.map(|rate| RateLimit {
         rate_thousandths: rate * 1_000,
@@ -81,7 +81,7 @@
 
 impl World {
     /// Tells a node which others live, and how many there are on record.
-    pub(crate) fn show_members(&mut self, node: usize, incarnation: u64) {
+    pub(crate) fn deliver_members(&mut self, node: usize, incarnation: u64) {
         if self.options.tenants == 0 {
             return;
         }
@@ -90,7 +90,7 @@
             .filter(|(_, other)| other.is_running)
             .map(|(index, _)| NodeId(u64::try_from(index).unwrap_or(0)))
             .collect();
-        self.tell_engine(
+        self.handle_engine_event(
             node,
             incarnation,
             Event::FleetSizeRecorded(self.options.nodes),
@@ -99,7 +99,7 @@
             live,
             leaving: BTreeSet::new(),
         };
-        self.tell_engine(node, incarnation, members);
+        self.handle_engine_event(node, incarnation, members);
     }
 
     /// Checks a statement that a database has run on a connection that was opened for a tenant.
@@ -132,18 +132,18 @@
 
     /// No statement runs with a key that was withdrawn, where its client's node is in touch.
     fn check_key(&mut self, now: Time, statement: &str, owner: Owner) {
-        let withdrawn = owner.generation + KEY_LIFE;
+        let withdrawn = owner.generation + KEY_GENERATIONS;
         let Some(since) = self.tenants.acknowledged.get(&withdrawn).copied() else {
             return;
         };
         self.checker.count(Invariant::KeyRevocation);
         let (index, incarnation) = owner.node;
         let node = &self.nodes[index];
-        let is_in_touch = node.incarnation == incarnation
-            && node.in_touch_since <= since
-            && now >= node.in_touch_since + CONTACT
+        let is_connected = node.incarnation == incarnation
+            && node.connected_since <= since
+            && now >= node.connected_since + MIN_CONNECTED_TIME
             && !self.store.is_down;
-        if is_in_touch && now > since + CONFIGURATION_LIMIT + STATEMENT_TIME {
+        if is_connected && now > since + CONFIGURATION_LIMIT + STATEMENT_TIME {
             let text = format!("{statement} ran with a key that was withdrawn at {since:?}");
             self.checker
                 .record_violation(now, Invariant::KeyRevocation, text);
@@ -157,8 +157,8 @@
         };
         #[allow(clippy::cast_precision_loss, reason = "a small number")]
         let rate = rate as f64;
-        let seconds = (WINDOW + ADMISSION_LEAD).as_secs_f64();
-        let bound = rate * seconds * CLOCK_SPEED + rate;
+        let seconds = (WINDOW + ADMISSION_DELAY).as_secs_f64();
+        let bound = rate * seconds * MAX_CLOCK_RATE + rate;
         for (tenant, times) in std::mem::take(&mut self.tenants.operations) {
             self.checker.count(Invariant::TenantRateLimit);
             let most = most_in_window(&times);
--- a/crates/stairward-simulation/src/world.rs
+++ b/crates/stairward-simulation/src/world.rs
@@ -6,7 +6,7 @@
 use rand::{RngExt as _, SeedableRng as _};
 use rand_chacha::ChaCha8Rng;
 use stairward_engine::{BackendCommand, ConnectionId, Event, Response};
-use stairward_failover::{Event as DutyEvent, FailoverRecord, RecordVersion, Via};
+use stairward_failover::{Event as FailoverEvent, FailoverRecord, RecordVersion, Via};
 use stairward_limits::GrantRequest;
 use stairward_types::{BackendId, Freshness, NodeId, TenantName, Term, Time};
 
@@ -30,25 +30,25 @@
 /// How often replicas receive and apply.
 pub(crate) const REPLICATION_TICK: Duration = Duration::from_millis(4);
 /// How late a replica applies when nothing is wrong.
-pub(crate) const USUAL_LAG: Duration = Duration::from_millis(8);
+pub(crate) const NORMAL_LAG: Duration = Duration::from_millis(8);
 /// A promotion's time.
 pub(crate) const PROMOTION_TIME: Duration = Duration::from_millis(600);
 /// How often a node looks at the store again.
 pub(crate) const STORE_POLL: Duration = Duration::from_millis(1_000);
 /// How long a caller waits for an answer.
-pub(crate) const CALLER_PATIENCE: Duration = Duration::from_secs(5);
+pub(crate) const CALLER_TIMEOUT: Duration = Duration::from_secs(5);
 /// After the callers' time the run goes on for so long.
-pub(crate) const SETTLING: Duration = Duration::from_secs(4);
+pub(crate) const SETTLE_TIME: Duration = Duration::from_secs(4);
 /// A configuration is in force on a node in touch within this time.
 pub(crate) const CONFIGURATION_LIMIT: Duration = Duration::from_secs(4);
 /// A node is in touch when nothing has been wrong with it for this long.
-pub(crate) const CONTACT: Duration = Duration::from_secs(5);
+pub(crate) const MIN_CONNECTED_TIME: Duration = Duration::from_secs(5);
 /// One in so many statements of a transaction is sent to another connection by a broken node.
 pub(crate) const MULTIPLEX_ONE_IN: u32 = 12;
 
 /// A question of the duty to a database.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Question {
+pub(crate) enum MemberQuery {
     Status,
     Received(Freshness),
     Hold(Term),
@@ -58,51 +58,51 @@
 
 /// Something that happens.
 #[derive(Debug)]
-pub(crate) enum Happening {
+pub(crate) enum SimulationEvent {
     Engine(usize, u64, Box<Event>),
-    Duty(usize, u64, Box<DutyEvent>),
+    Failover(usize, u64, Box<FailoverEvent>),
     EngineTimer(usize, u64),
-    DutyTimer(usize, u64),
+    FailoverTimer(usize, u64),
     PollStore(usize, u64),
-    ShowStore(usize, u64),
-    OpenAt(usize, u64, ConnectionId, BackendId, Option<TenantName>),
-    CommandAt(usize, ConnectionKey, BackendId, BackendCommand),
-    CloseAt(ConnectionKey, BackendId),
-    RecordAt(usize, u64, RecordVersion, FailoverRecord),
+    DeliverStoreState(usize, u64),
+    OpenConnection(usize, u64, ConnectionId, BackendId, Option<TenantName>),
+    RunCommand(usize, ConnectionKey, BackendId, BackendCommand),
+    CloseConnection(ConnectionKey, BackendId),
+    WriteRecord(usize, u64, RecordVersion, FailoverRecord),
     AwaitReplicas(
         ConnectionKey,
         crate::database::LogEntry,
         Duration,
-        Box<Happening>,
+        Box<SimulationEvent>,
     ),
-    AskPeerAt(usize, u64, usize, Time),
+    QueryPeerPosition(usize, u64, usize, Time),
     /// A node finds that its link to another has ended.
     LinkLost(usize, u64, NodeId),
-    AskAt(usize, u64, BackendId, Question),
+    QueryMember(usize, u64, BackendId, MemberQuery),
     /// A node looks at a back end that another finds silent.
-    VerifyAt(usize, u64, BackendId, NodeId),
+    VerifyBackend(usize, u64, BackendId, NodeId),
     /// A node asks a member to step down or to hold, by a way.
-    ReachAt(usize, u64, BackendId, Question, Via),
-    AskLeadAt(usize, u64, usize, Time),
+    CallMember(usize, u64, BackendId, MemberQuery, Via),
+    QueryPeerLeadership(usize, u64, usize, Time),
     /// A node asks another for operations of tenants with a limit.
-    AskLimitAt(usize, u64, usize, Box<GrantRequest>),
-    RevokeAt(usize, u64, NodeId, Term),
-    PromoteAt(
+    RequestLimitGrant(usize, u64, usize, Box<GrantRequest>),
+    RevokeLeadership(usize, u64, NodeId, Term),
+    Promote(
         usize,
         u64,
         BackendId,
         stairward_failover::FencingToken,
         bool,
     ),
-    Leads(BackendId),
+    PromotionCompletes(BackendId),
     Replicate,
-    CallerActs(usize),
-    CallerHears(usize, u64, Box<Response>),
-    CallerCut(usize, u64),
-    CallerTimesOut(usize, u64, u64),
+    CallerTurn(usize),
+    CallerResponse(usize, u64, Box<Response>),
+    CallerDisconnected(usize, u64),
+    CallerTimeout(usize, u64, u64),
     StartNode(usize),
-    Strike,
-    FaultEnds(crate::faults::Ending),
+    InjectFault,
+    FaultEnds(crate::faults::FaultEnd),
     CheckConfiguration(u64, Time),
     End,
 }
@@ -133,25 +133,25 @@
 pub(crate) struct World {
     pub options: Options,
     pub random: ChaCha8Rng,
-    pub queue: Queue<Happening>,
+    pub queue: Queue<SimulationEvent>,
     pub nodes: Vec<Node>,
     pub group: Group,
     pub store: Store,
     pub tenants: TenantHistory,
     pub checker: Checker,
     pub callers: Vec<Caller>,
-    pub guests: crate::guests::Guests,
+    pub guests: crate::guests::ForwardedSessions,
     /// Pairs of node and database that don't reach each other.
-    pub cuts: BTreeSet<(usize, BackendId)>,
+    pub partitions: BTreeSet<(usize, BackendId)>,
     /// Connections that say nothing any more.
     pub stalled: BTreeSet<ConnectionKey>,
-    pub answer_loss_percent: u32,
+    pub response_loss_percent: u32,
     pub promotions_are_late: bool,
     pub faults: Vec<String>,
     pub decisions: Vec<String>,
     /// Who last wrote the service's record, and when, whatever the store has lost since.
-    pub(crate) last_holder: Option<(Time, String)>,
-    pub strikes_left: u32,
+    pub(crate) last_record_writer: Option<(Time, String)>,
+    pub remaining_faults: u32,
     pub last_incarnation: u64,
     pub(crate) numbers: u64,
     pub(crate) sessions: u64,
@@ -166,12 +166,12 @@
 #[must_use]
 pub fn simulate(options: &Options) -> Report {
     let mut world = World::new(options.clone());
-    world.begin();
+    world.schedule_initial_events();
     while let Some(happening) = world.queue.next() {
         if world.is_over {
             break;
         }
-        world.happen(happening);
+        world.handle_event(happening);
     }
     world.report()
 }
@@ -189,21 +189,21 @@
             group,
             store: Store {
                 configuration: 1,
-                written_configuration: 1,
+                operator_configuration: 1,
                 ..Store::default()
             },
             checker: Checker::new(STALENESS),
             tenants: TenantHistory::default(),
             callers: callers.collect(),
-            guests: crate::guests::Guests::default(),
-            cuts: BTreeSet::new(),
+            guests: crate::guests::ForwardedSessions::default(),
+            partitions: BTreeSet::new(),
             stalled: BTreeSet::new(),
-            answer_loss_percent: 0,
+            response_loss_percent: 0,
             promotions_are_late: false,
-            last_holder: None,
+            last_record_writer: None,
             faults: Vec::new(),
             decisions: Vec::new(),
-            strikes_left: options.fault_count,
+            remaining_faults: options.fault_count,
             last_incarnation: 0,
             numbers: 0,
             sessions: 0,
@@ -216,7 +216,7 @@
         }
     }
 
-    fn begin(&mut self) {
+    fn schedule_initial_events(&mut self) {
         for index in 0..usize::try_from(self.options.nodes).unwrap_or(1) {
             self.last_incarnation += 1;
             self.nodes.push(Node::start(
@@ -225,23 +225,25 @@
                 self.queue.now(),
                 &self.options,
             ));
-            self.queue.plan(
+            self.queue.schedule(
                 STORE_DELAY,
-                Happening::PollStore(index, self.last_incarnation),
+                SimulationEvent::PollStore(index, self.last_incarnation),
             );
         }
-        self.queue.plan(REPLICATION_TICK, Happening::Replicate);
+        self.queue
+            .schedule(REPLICATION_TICK, SimulationEvent::Replicate);
         for index in 0..self.callers.len() {
-            let pause = self.between(200, 600);
-            self.queue.plan(pause, Happening::CallerActs(index));
+            let pause = self.random_duration(200, 600);
+            self.queue
+                .schedule(pause, SimulationEvent::CallerTurn(index));
         }
-        let first = self.between(1_000, 3_000);
-        self.queue.plan(first, Happening::Strike);
-        let end = self.options.duration + SETTLING;
-        self.queue.plan(end, Happening::End);
+        let first = self.random_duration(1_000, 3_000);
+        self.queue.schedule(first, SimulationEvent::InjectFault);
+        let end = self.options.duration + SETTLE_TIME;
+        self.queue.schedule(end, SimulationEvent::End);
     }
 
-    pub fn between(&mut self, least: u64, most: u64) -> Duration {
+    pub fn random_duration(&mut self, least: u64, most: u64) -> Duration {
         Duration::from_millis(self.random.random_range(least..most))
     }
 
@@ -265,93 +267,99 @@
         }
     }
 
-    fn happen(&mut self, happening: Happening) {
+    fn handle_event(&mut self, happening: SimulationEvent) {
         self.fingerprint = self
             .fingerprint
             .wrapping_mul(0x0100_0000_01b3)
             .wrapping_add(self.now().0);
-        let Some(happening) = self.postpone_for_frozen(happening) else {
+        let Some(happening) = self.postpone_if_paused(happening) else {
             return;
         };
         match happening {
-            Happening::Engine(node, incarnation, event) => {
-                self.tell_engine(node, incarnation, *event)
+            SimulationEvent::Engine(node, incarnation, event) => {
+                self.handle_engine_event(node, incarnation, *event)
             }
-            Happening::Duty(node, incarnation, event) => self.tell_duty(node, incarnation, *event),
-            Happening::EngineTimer(node, incarnation) => {
-                self.tell_engine(node, incarnation, Event::Tick)
+            SimulationEvent::Failover(node, incarnation, event) => {
+                self.handle_failover_event(node, incarnation, *event)
             }
-            Happening::DutyTimer(node, incarnation) => {
+            SimulationEvent::EngineTimer(node, incarnation) => {
+                self.handle_engine_event(node, incarnation, Event::Tick)
+            }
+            SimulationEvent::FailoverTimer(node, incarnation) => {
                 if self.is_running(node, incarnation) {
-                    self.nodes[node].duty_timer_at = Time::NEVER;
+                    self.nodes[node].failover_timer_at = Time::NEVER;
                 }
-                self.tell_duty(node, incarnation, DutyEvent::Tick);
+                self.handle_failover_event(node, incarnation, FailoverEvent::Tick);
+            }
+            SimulationEvent::PollStore(node, incarnation) => self.poll_store(node, incarnation),
+            SimulationEvent::DeliverStoreState(node, incarnation) => {
+                self.deliver_store_state(node, incarnation)
             }
-            Happening::PollStore(node, incarnation) => self.poll_store(node, incarnation),
-            Happening::ShowStore(node, incarnation) => self.show_store(node, incarnation),
-            Happening::OpenAt(node, incarnation, connection, backend, tenant) => {
-                self.open_at(node, incarnation, connection, &backend, tenant);
+            SimulationEvent::OpenConnection(node, incarnation, connection, backend, tenant) => {
+                self.open_connection(node, incarnation, connection, &backend, tenant);
             }
-            Happening::CommandAt(node, connection_key, backend, command) => {
-                self.command_at(node, connection_key, &backend, &command);
+            SimulationEvent::RunCommand(node, connection_key, backend, command) => {
+                self.run_command(node, connection_key, &backend, &command);
             }
-            Happening::CloseAt(connection_key, backend) => {
+            SimulationEvent::CloseConnection(connection_key, backend) => {
                 if let Some(database) = self.group.databases.get_mut(&backend) {
                     database.connections.remove(&connection_key);
                 }
             }
-            Happening::RecordAt(node, incarnation, version, record) => {
-                self.record_at(node, incarnation, version, record);
+            SimulationEvent::WriteRecord(node, incarnation, version, record) => {
+                self.write_record_from(node, incarnation, version, record);
             }
-            Happening::AwaitReplicas(connection_key, entry, delay, reply) => {
+            SimulationEvent::AwaitReplicas(connection_key, entry, delay, reply) => {
                 self.wait_for_replicas(connection_key, entry, delay, *reply);
             }
-            Happening::AskPeerAt(node, incarnation, peer, asked_at) => {
-                self.ask_peer_at(node, incarnation, peer, asked_at);
+            SimulationEvent::QueryPeerPosition(node, incarnation, peer, asked_at) => {
+                self.query_peer_position(node, incarnation, peer, asked_at);
             }
-            Happening::LinkLost(node, incarnation, holder) => {
+            SimulationEvent::LinkLost(node, incarnation, holder) => {
                 self.link_lost(node, incarnation, holder)
             }
-            Happening::VerifyAt(node, incarnation, backend, asker) => {
-                self.verify_at(node, incarnation, &backend, asker);
+            SimulationEvent::VerifyBackend(node, incarnation, backend, asker) => {
+                self.verify_backend(node, incarnation, &backend, asker);
+            }
+            SimulationEvent::QueryMember(node, incarnation, backend, query) => {
+                self.query_member(node, incarnation, &backend, query);
             }
-            Happening::AskAt(node, incarnation, backend, question) => {
-                self.ask_at(node, incarnation, &backend, question);
+            SimulationEvent::CallMember(node, incarnation, backend, query, via) => {
+                self.call_member(node, incarnation, &backend, query, &via);
             }
-            Happening::ReachAt(node, incarnation, backend, question, via) => {
-                self.reach_at(node, incarnation, &backend, question, &via);
+            SimulationEvent::RevokeLeadership(node, incarnation, user, term) => {
+                self.revoke_leadership(node, incarnation, user, term);
             }
-            Happening::RevokeAt(node, incarnation, user, term) => {
-                self.revoke_at(node, incarnation, user, term);
+            SimulationEvent::RequestLimitGrant(node, incarnation, peer, ask) => {
+                self.request_limit_grant(node, incarnation, peer, &ask);
             }
-            Happening::AskLimitAt(node, incarnation, peer, ask) => {
-                self.ask_limit(node, incarnation, peer, &ask);
+            SimulationEvent::QueryPeerLeadership(node, incarnation, peer, asked_at) => {
+                self.query_peer_leadership(node, incarnation, peer, asked_at);
             }
-            Happening::AskLeadAt(node, incarnation, peer, asked_at) => {
-                self.ask_lead_at(node, incarnation, peer, asked_at);
+            SimulationEvent::Promote(node, incarnation, backend, token, is_answered) => {
+                self.run_promotion(node, incarnation, &backend, token, is_answered);
             }
-            Happening::PromoteAt(node, incarnation, backend, token, is_answered) => {
-                self.promote_at(node, incarnation, &backend, token, is_answered);
+            SimulationEvent::PromotionCompletes(backend) => self.leads(&backend),
+            SimulationEvent::Replicate => self.replicate(),
+            SimulationEvent::CallerTurn(caller) => self.caller_turn(caller),
+            SimulationEvent::CallerResponse(caller, session, response) => {
+                self.caller_receives_response(caller, session, &response);
             }
-            Happening::Leads(backend) => self.leads(&backend),
-            Happening::Replicate => self.replicate(),
-            Happening::CallerActs(caller) => self.caller_acts(caller),
-            Happening::CallerHears(caller, session, response) => {
-                self.caller_hears(caller, session, &response);
+            SimulationEvent::CallerDisconnected(caller, session) => {
+                self.caller_disconnected(caller, session)
             }
-            Happening::CallerCut(caller, session) => self.caller_cut(caller, session),
-            Happening::CallerTimesOut(caller, session, number) => {
-                if self.numbers_of(caller) == (session, number) {
-                    self.leave(caller);
+            SimulationEvent::CallerTimeout(caller, session, number) => {
+                if self.pending_request(caller) == (session, number) {
+                    self.close_session(caller);
                 }
             }
-            Happening::StartNode(node) => self.start_node(node),
-            Happening::Strike => self.strike(),
-            Happening::FaultEnds(ending) => self.fault_ends(ending),
-            Happening::CheckConfiguration(revision, since) => {
+            SimulationEvent::StartNode(node) => self.start_node(node),
+            SimulationEvent::InjectFault => self.inject_fault(),
+            SimulationEvent::FaultEnds(ending) => self.end_fault(ending),
+            SimulationEvent::CheckConfiguration(revision, since) => {
                 self.check_configuration(revision, since);
             }
-            Happening::End => {
+            SimulationEvent::End => {
                 self.check_limits();
                 self.is_over = true;
             }
@@ -359,21 +367,21 @@
     }
 
     /// What happens to a frozen node happens when it thaws.
-    fn postpone_for_frozen(&mut self, happening: Happening) -> Option<Happening> {
+    fn postpone_if_paused(&mut self, happening: SimulationEvent) -> Option<SimulationEvent> {
         let node = match &happening {
-            Happening::Engine(node, ..)
-            | Happening::Duty(node, ..)
-            | Happening::EngineTimer(node, _)
-            | Happening::DutyTimer(node, _)
-            | Happening::PollStore(node, _)
-            | Happening::ShowStore(node, _) => *node,
+            SimulationEvent::Engine(node, ..)
+            | SimulationEvent::Failover(node, ..)
+            | SimulationEvent::EngineTimer(node, _)
+            | SimulationEvent::FailoverTimer(node, _)
+            | SimulationEvent::PollStore(node, _)
+            | SimulationEvent::DeliverStoreState(node, _) => *node,
             _ => return Some(happening),
         };
-        let until = self.nodes[node].frozen_until;
+        let until = self.nodes[node].paused_until;
         if self.now() >= until {
             return Some(happening);
         }
-        self.queue.plan_at(until, happening);
+        self.queue.schedule_at(until, happening);
         None
     }
 
--- a/crates/stairward-simulation/src/world_callers.rs
+++ b/crates/stairward-simulation/src/world_callers.rs
@@ -9,7 +9,8 @@
 use crate::nodes::Node;
 use crate::tenants::{Owner, key_of};
 use crate::world::{
-    CALLER_DELAY, CALLER_PATIENCE, CONFIGURATION_LIMIT, CONTACT, Happening, STORE_DELAY, World,
+    CALLER_DELAY, CALLER_TIMEOUT, CONFIGURATION_LIMIT, MIN_CONNECTED_TIME, STORE_DELAY,
+    SimulationEvent, World,
 };
 
 impl World {
@@ -19,7 +20,7 @@
             .position(|caller| caller.session == session.0 && caller.node.is_some())
     }
 
-    pub(crate) fn numbers_of(&self, caller: usize) -> (u64, u64) {
+    pub(crate) fn pending_request(&self, caller: usize) -> (u64, u64) {
         let number = if self.callers[caller].is_waiting() {
             self.callers[caller].request_number()
         } else {
@@ -28,7 +29,7 @@
         (self.callers[caller].session, number)
     }
 
-    pub(crate) fn caller_acts(&mut self, index: usize) {
+    pub(crate) fn caller_turn(&mut self, index: usize) {
         let now = self.now();
         if now >= Time::ZERO + self.options.duration || self.callers[index].is_waiting() {
             return;
@@ -37,7 +38,7 @@
             return self.connect(index);
         };
         if !self.is_running(node, incarnation) {
-            return self.caller_cut(index, self.callers[index].session);
+            return self.caller_disconnected(index, self.callers[index].session);
         }
         let caller = &mut self.callers[index];
         let step = caller.next_step(
@@ -49,14 +50,14 @@
         );
         let session = SessionId(caller.session);
         match step {
-            Step::CloseSession => self.leave(index),
+            Step::CloseSession => self.close_session(index),
             Step::Send(statement) => {
                 let event = Event::Statement { session, statement };
-                let event = Happening::Engine(node, incarnation, Box::new(event));
-                self.queue.plan(CALLER_DELAY, event);
-                let (session, number) = self.numbers_of(index);
-                let patience = Happening::CallerTimesOut(index, session, number);
-                self.queue.plan(CALLER_PATIENCE, patience);
+                let event = SimulationEvent::Engine(node, incarnation, Box::new(event));
+                self.queue.schedule(CALLER_DELAY, event);
+                let (session, number) = self.pending_request(index);
+                let patience = SimulationEvent::CallerTimeout(index, session, number);
+                self.queue.schedule(CALLER_TIMEOUT, patience);
             }
         }
     }
@@ -69,8 +70,9 @@
             .filter(|(_, node)| node.is_running && node.engine.is_ready())
             .map(|(index, node)| (index, node.incarnation))
             .collect();
-        let pause = self.between(20, 120);
-        self.queue.plan(pause, Happening::CallerActs(index));
+        let pause = self.random_duration(20, 120);
+        self.queue
+            .schedule(pause, SimulationEvent::CallerTurn(index));
         if running.is_empty() {
             return;
         }
@@ -78,18 +80,18 @@
         let database = self.random.random_range(0..DATABASES.len());
         self.sessions += 1;
         self.callers[index].start_session(self.sessions, node, database);
-        let key = self.own_session(index, node);
+        let key = self.assign_key(index, node);
         let event = Event::SessionOpened {
             session: SessionId(self.sessions),
             database: GroupId::new(DATABASES[database].0).expect("a name"),
             key,
         };
-        let event = Happening::Engine(node.0, node.1, Box::new(event));
-        self.queue.plan(CALLER_DELAY, event);
+        let event = SimulationEvent::Engine(node.0, node.1, Box::new(event));
+        self.queue.schedule(CALLER_DELAY, event);
     }
 
     /// Notes whose session a caller's new one is; its key is the newest one.
-    fn own_session(&mut self, index: usize, node: (usize, u64)) -> Option<ApiKey> {
+    fn assign_key(&mut self, index: usize, node: (usize, u64)) -> Option<ApiKey> {
         if self.options.tenants == 0 {
             return None;
         }
@@ -105,30 +107,37 @@
     }
 
     /// A caller closes its session.
-    pub(crate) fn leave(&mut self, index: usize) {
+    pub(crate) fn close_session(&mut self, index: usize) {
         let session = SessionId(self.callers[index].session);
         if let Some((node, incarnation)) = self.callers[index].node.take() {
             let event = Event::SessionClosed { session };
-            let event = Happening::Engine(node, incarnation, Box::new(event));
-            self.queue.plan(CALLER_DELAY, event);
+            let event = SimulationEvent::Engine(node, incarnation, Box::new(event));
+            self.queue.schedule(CALLER_DELAY, event);
         }
         let number = self.callers[index].number;
         self.callers[index] = Caller::new(number);
-        let pause = self.between(20, 200);
-        self.queue.plan(pause, Happening::CallerActs(index));
+        let pause = self.random_duration(20, 200);
+        self.queue
+            .schedule(pause, SimulationEvent::CallerTurn(index));
     }
 
-    pub(crate) fn caller_cut(&mut self, index: usize, session: u64) {
+    pub(crate) fn caller_disconnected(&mut self, index: usize, session: u64) {
         if self.callers[index].session != session {
             return;
         }
         let number = self.callers[index].number;
         self.callers[index] = Caller::new(number);
-        let pause = self.between(20, 200);
-        self.queue.plan(pause, Happening::CallerActs(index));
+        let pause = self.random_duration(20, 200);
+        self.queue
+            .schedule(pause, SimulationEvent::CallerTurn(index));
     }
 
-    pub(crate) fn caller_hears(&mut self, index: usize, session: u64, response: &Response) {
+    pub(crate) fn caller_receives_response(
+        &mut self,
+        index: usize,
+        session: u64,
+        response: &Response,
+    ) {
         if self.callers[index].session != session {
             return;
         }
@@ -144,17 +153,18 @@
         let now = self.now();
         let goes_on = self.callers[index].receive_response(now, response, &mut self.checker);
         if !goes_on {
-            return self.leave(index);
+            return self.close_session(index);
         }
-        let pause = self.between(1, 40);
-        self.queue.plan(pause, Happening::CallerActs(index));
+        let pause = self.random_duration(1, 40);
+        self.queue
+            .schedule(pause, SimulationEvent::CallerTurn(index));
     }
 
     /// A node's process ends.
     pub(crate) fn kill_node(&mut self, index: usize) {
         self.nodes[index].is_running = false;
         let incarnation = self.nodes[index].incarnation;
-        self.links_lost(index, incarnation);
+        self.disconnect_node(index, incarnation);
         for database in self.group.databases.values_mut() {
             database
                 .connections
@@ -163,8 +173,10 @@
         for caller in 0..self.callers.len() {
             if self.callers[caller].node == Some((index, incarnation)) {
                 let session = self.callers[caller].session;
-                self.queue
-                    .plan(CALLER_DELAY, Happening::CallerCut(caller, session));
+                self.queue.schedule(
+                    CALLER_DELAY,
+                    SimulationEvent::CallerDisconnected(caller, session),
+                );
             }
         }
     }
@@ -173,13 +185,13 @@
         self.last_incarnation += 1;
         let now = self.now();
         let cut = self.nodes[index].is_cut_from_store;
-        let in_touch_since = self.nodes[index].in_touch_since.max(now);
+        let connected_since = self.nodes[index].connected_since.max(now);
         self.nodes[index] = Node::start(index, self.last_incarnation, now, &self.options);
         self.nodes[index].is_cut_from_store = cut;
-        self.nodes[index].in_touch_since = in_touch_since;
-        self.queue.plan(
+        self.nodes[index].connected_since = connected_since;
+        self.queue.schedule(
             STORE_DELAY,
-            Happening::PollStore(index, self.last_incarnation),
+            SimulationEvent::PollStore(index, self.last_incarnation),
         );
     }
 
@@ -199,8 +211,9 @@
                     connection: connection_key.connection,
                 };
                 let delay = self.delay(node, id);
-                let lost = Happening::Engine(node, connection_key.incarnation, Box::new(lost));
-                self.queue.plan(delay, lost);
+                let lost =
+                    SimulationEvent::Engine(node, connection_key.incarnation, Box::new(lost));
+                self.queue.schedule(delay, lost);
             }
         }
     }
@@ -228,18 +241,18 @@
             database.role = BackendRole::Replica;
         }
         self.group.announce(id);
-        self.push_to_all();
+        self.notify_all_nodes();
     }
 
     pub(crate) fn check_configuration(&mut self, revision: u64, since: Time) {
         let now = self.now();
         for index in 0..self.nodes.len() {
             let node = &self.nodes[index];
-            let is_in_touch = node.is_running
-                && now >= node.in_touch_since + CONTACT
+            let is_connected = node.is_running
+                && now >= node.connected_since + MIN_CONNECTED_TIME
                 && !self.store.is_down
-                && node.in_touch_since <= since;
-            if is_in_touch && node.newest_content < revision {
+                && node.connected_since <= since;
+            if is_connected && node.newest_configuration < revision {
                 let text = format!("node {index} has not {revision} in force");
                 self.checker
                     .record_violation(now, Invariant::Configuration, text);
@@ -249,12 +262,12 @@
 
     /// The operator changes the configuration.
     pub(crate) fn change_configuration(&mut self) {
-        self.store.written_configuration += 1;
-        self.store.configuration = self.store.written_configuration;
+        self.store.operator_configuration += 1;
+        self.store.configuration = self.store.operator_configuration;
         let (revision, now) = (self.store.configuration, self.now());
         self.tenants.acknowledged.insert(revision, now);
-        self.push_to_all();
-        let check = Happening::CheckConfiguration(revision, now);
-        self.queue.plan(CONFIGURATION_LIMIT, check);
+        self.notify_all_nodes();
+        let check = SimulationEvent::CheckConfiguration(revision, now);
+        self.queue.schedule(CONFIGURATION_LIMIT, check);
     }
 }
--- a/crates/stairward-simulation/src/world_databases.rs
+++ b/crates/stairward-simulation/src/world_databases.rs
@@ -4,24 +4,25 @@
 
 use rand::RngExt as _;
 use stairward_engine::{BackendCommand, ConnectionId, Event, OpenFailure};
-use stairward_failover::{Event as DutyEvent, MemberCallResult, MemberStatus, Via};
+use stairward_failover::{Event as FailoverEvent, MemberCallResult, MemberStatus, Via};
 use stairward_types::{BackendId, BackendRole, NodeId, TenantName, Time};
 
 use crate::checker::Invariant;
 use crate::database::{ConnectionKey, ConnectionState};
 use crate::options::BrokenVariant;
 use crate::world::{
-    CONTACT, FAR_DELAY, Happening, NEAR_DELAY, Question, REPLICATION_TICK, USUAL_LAG, World,
+    FAR_DELAY, MIN_CONNECTED_TIME, MemberQuery, NEAR_DELAY, NORMAL_LAG, REPLICATION_TICK,
+    SimulationEvent, World,
 };
 
 /// How long a member that is not reached is waited for.
-const MEMBER_PATIENCE: Duration = Duration::from_millis(800);
+const MEMBER_TIMEOUT: Duration = Duration::from_millis(800);
 /// Pause before a member that has not received enough is looked at again, and looks on average.
-const ASK_AGAIN: Duration = Duration::from_millis(15);
-const RECEIVED_LOOKS: u32 = 20;
+const RETRY_PAUSE: Duration = Duration::from_millis(15);
+const MEAN_RECEIVED_CHECKS: u32 = 20;
 
 /// What came of a question to a member that led before or did not.
-fn reach_of(led: bool, status: MemberStatus) -> MemberCallResult {
+fn call_result(led: bool, status: MemberStatus) -> MemberCallResult {
     if led && status.role == BackendRole::Replica {
         MemberCallResult::GaveWay(status)
     } else {
@@ -31,7 +32,7 @@
 
 impl World {
     pub(crate) fn reaches(&self, node: usize, backend: &BackendId) -> bool {
-        let is_cut = self.cuts.contains(&(node, backend.clone()));
+        let is_cut = self.partitions.contains(&(node, backend.clone()));
         let is_silent = self
             .group
             .databases
@@ -40,7 +41,7 @@
         !is_cut && !is_silent
     }
 
-    pub(crate) fn open_at(
+    pub(crate) fn open_connection(
         &mut self,
         node: usize,
         incarnation: u64,
@@ -61,8 +62,8 @@
                 connection,
                 failure: OpenFailure::TimedOut,
             };
-            let failed = Happening::Engine(node, incarnation, Box::new(failed));
-            return self.queue.plan(Duration::from_secs(1), failed);
+            let failed = SimulationEvent::Engine(node, incarnation, Box::new(failed));
+            return self.queue.schedule(Duration::from_secs(1), failed);
         }
         let Some(database) = self.group.databases.get_mut(backend) else {
             return;
@@ -88,11 +89,13 @@
                 position: Some(database.position()),
             }
         };
-        self.queue
-            .plan(delay, Happening::Engine(node, incarnation, Box::new(event)));
+        self.queue.schedule(
+            delay,
+            SimulationEvent::Engine(node, incarnation, Box::new(event)),
+        );
     }
 
-    pub(crate) fn command_at(
+    pub(crate) fn run_command(
         &mut self,
         node: usize,
         connection_key: ConnectionKey,
@@ -126,7 +129,7 @@
             self.check_tenant(&executed.id, opened_for.as_ref());
         }
         let is_lost = outcome.executed.is_some()
-            && self.random.random_range(0..100) < self.answer_loss_percent;
+            && self.random.random_range(0..100) < self.response_loss_percent;
         if is_lost {
             self.stalled.insert(connection_key);
             return;
@@ -144,12 +147,12 @@
             connection: connection_key.connection,
             reply,
         };
-        let reply = Happening::Engine(node, connection_key.incarnation, Box::new(reply));
+        let reply = SimulationEvent::Engine(node, connection_key.incarnation, Box::new(reply));
         match outcome.committed {
             Some(entry) if self.options.synchronous_replicas > 0 => {
                 self.wait_for_replicas(connection_key, entry, delay, reply);
             }
-            _ => self.queue.plan(delay, reply),
+            _ => self.queue.schedule(delay, reply),
         }
     }
 
@@ -160,11 +163,11 @@
         connection_key: ConnectionKey,
         entry: crate::database::LogEntry,
         delay: Duration,
-        reply: Happening,
+        reply: SimulationEvent,
     ) {
         let replicas = self.options.synchronous_replicas;
         if self.group.is_replicated(&entry, replicas) {
-            return self.queue.plan(delay, reply);
+            return self.queue.schedule(delay, reply);
         }
         let is_over = self.stalled.contains(&connection_key)
             || !self
@@ -176,8 +179,8 @@
             self.stalled.insert(connection_key);
             return;
         }
-        let waits = Happening::AwaitReplicas(connection_key, entry, delay, Box::new(reply));
-        self.queue.plan(REPLICATION_TICK, waits);
+        let waits = SimulationEvent::AwaitReplicas(connection_key, entry, delay, Box::new(reply));
+        self.queue.schedule(REPLICATION_TICK, waits);
     }
 
     /// A single statement, or the first of a transaction, must not reach a back end that has been leaving
@@ -195,7 +198,7 @@
                 | BackendCommand::Begin { .. }
         );
         let now = self.now();
-        let is_in_touch = now >= self.nodes[node].in_touch_since + CONTACT;
+        let is_connected = now >= self.nodes[node].connected_since + MIN_CONNECTED_TIME;
         let leaving_since = self
             .group
             .databases
@@ -203,11 +206,11 @@
             .and_then(|database| database.leaving_since);
         if let Some(since) = leaving_since
             && is_new
-            && is_in_touch
+            && is_connected
         {
             self.checker.count(Invariant::Leaving);
             // It counts from when the store took it, which it does only while it is up.
-            let since = self.store.taken_at(since);
+            let since = self.store.accepted_at(since);
             if now > since + self.options.drain_limit {
                 let text = format!("{backend}, leaving since {since:?}, got work of node {node}");
                 self.checker.record_violation(now, Invariant::Leaving, text);
@@ -217,104 +220,109 @@
 
     pub(crate) fn replicate(&mut self) {
         let now = self.now();
-        self.queue.plan(REPLICATION_TICK, Happening::Replicate);
-        self.group.replicate(now, USUAL_LAG);
+        self.queue
+            .schedule(REPLICATION_TICK, SimulationEvent::Replicate);
+        self.group.replicate(now, NORMAL_LAG);
         let rolled_back = self.group.demote_old_primaries(now);
         self.checker.record_rollback(&rolled_back);
     }
 
     /// What a member answers to a question; none when it is not reached.
-    fn answer_to(
+    fn answer_query(
         &mut self,
         node: usize,
         backend: &BackendId,
-        question: Question,
+        query: MemberQuery,
     ) -> Option<MemberStatus> {
         let reaches = self.reaches(node, backend);
         let database = self.group.databases.get_mut(backend)?;
         if !reaches || !database.is_alive {
             return None;
         }
-        match question {
-            Question::Status | Question::Received(_) => {}
-            Question::Hold(term) => database.hold(term),
-            Question::Resume => database.resume(),
-            Question::StepDown(term) => database.step_down(term),
+        match query {
+            MemberQuery::Status | MemberQuery::Received(_) => {}
+            MemberQuery::Hold(term) => database.hold(term),
+            MemberQuery::Resume => database.resume(),
+            MemberQuery::StepDown(term) => database.step_down(term),
         }
         let status = database.status();
-        if matches!(question, Question::StepDown(_)) && self.group.listed.contains_key(backend) {
+        if matches!(query, MemberQuery::StepDown(_)) && self.group.listed.contains_key(backend) {
             // A change of role is told right away.
             self.group.announce(backend);
-            self.push_to_all();
+            self.notify_all_nodes();
         }
         Some(status)
     }
 
-    pub(crate) fn ask_at(
+    pub(crate) fn query_member(
         &mut self,
         node: usize,
         incarnation: u64,
         backend: &BackendId,
-        question: Question,
+        query: MemberQuery,
     ) {
         if !self.is_running(node, incarnation) {
             return;
         }
-        let status = self.answer_to(node, backend, question);
-        if question == Question::Resume {
+        let status = self.answer_query(node, backend, query);
+        if query == MemberQuery::Resume {
             return;
         }
-        if let (Question::Received(all), Some(status)) = (question, status)
+        if let (MemberQuery::Received(all), Some(status)) = (query, status)
             && !status.received.covers(all)
-            && self.random.random_range(0..RECEIVED_LOOKS) > 0
+            && self.random.random_range(0..MEAN_RECEIVED_CHECKS) > 0
         {
-            let again = Happening::AskAt(node, incarnation, backend.clone(), question);
-            return self.queue.plan(ASK_AGAIN, again);
+            let again = SimulationEvent::QueryMember(node, incarnation, backend.clone(), query);
+            return self.queue.schedule(RETRY_PAUSE, again);
         }
         let delay = if status.is_some() {
             self.delay(node, backend)
         } else {
-            MEMBER_PATIENCE
+            MEMBER_TIMEOUT
         };
-        let event = DutyEvent::StatusReply(backend.clone(), status);
-        self.queue
-            .plan(delay, Happening::Duty(node, incarnation, Box::new(event)));
+        let event = FailoverEvent::StatusReply(backend.clone(), status);
+        self.queue.schedule(
+            delay,
+            SimulationEvent::Failover(node, incarnation, Box::new(event)),
+        );
     }
 
     /// A node looks at a back end that another finds silent, and tells it if it is.
-    pub(crate) fn verify_at(
+    pub(crate) fn verify_backend(
         &mut self,
         node: usize,
         incarnation: u64,
         backend: &BackendId,
         asker: NodeId,
     ) {
-        let answers = self.answer_to(node, backend, Question::Status).is_some();
+        let answers = self
+            .answer_query(node, backend, MemberQuery::Status)
+            .is_some();
         let place = usize::try_from(asker.0).unwrap_or(0);
         if answers || !self.is_running(node, incarnation) || place >= self.nodes.len() {
             return;
         }
-        let found = DutyEvent::FoundSilent(backend.clone());
-        self.queue.plan(
-            MEMBER_PATIENCE,
-            Happening::Duty(node, incarnation, Box::new(found)),
+        let found = FailoverEvent::FoundSilent(backend.clone());
+        self.queue.schedule(
+            MEMBER_TIMEOUT,
+            SimulationEvent::Failover(node, incarnation, Box::new(found)),
         );
         let own = NodeId(u64::try_from(node).unwrap_or(0));
-        let told = DutyEvent::Verified(own, backend.clone());
+        let told = FailoverEvent::Verified(own, backend.clone());
         let told_incarnation = self.nodes[place].incarnation;
-        self.queue.plan(
-            MEMBER_PATIENCE,
-            Happening::Duty(place, told_incarnation, Box::new(told)),
+        self.queue.schedule(
+            MEMBER_TIMEOUT,
+            SimulationEvent::Failover(place, told_incarnation, Box::new(told)),
         );
     }
 
     /// A member is asked to step down or to hold, by the node itself or by a peer.
-    pub(crate) fn reach_at(
+    pub(crate) fn call_member(
         &mut self,
         node: usize,
         incarnation: u64,
         backend: &BackendId,
-        question: Question,
+        query: MemberQuery,
         via: &Via,
     ) {
         if !self.is_running(node, incarnation) {
@@ -325,9 +333,9 @@
             Via::Peer(peer) => usize::try_from(peer.0).unwrap_or(0),
         };
         let now = self.now();
-        let can_ask = self.nodes[asking].is_running && now >= self.nodes[asking].frozen_until;
+        let can_ask = self.nodes[asking].is_running && now >= self.nodes[asking].paused_until;
         let is_skipped = self.options.broken == Some(BrokenVariant::NoStepDown)
-            && matches!(question, Question::StepDown(_));
+            && matches!(query, MemberQuery::StepDown(_));
         let is_alive = self.group.databases[backend].is_alive;
         let reaches = can_ask && self.reaches(asking, backend);
         let reach = if is_skipped {
@@ -340,24 +348,26 @@
             MemberCallResult::Refused
         } else {
             let led = self.group.databases[backend].role == BackendRole::Primary;
-            let status = self.answer_to(asking, backend, question);
-            let is_lost = self.random.random_range(0..100) < self.answer_loss_percent;
+            let status = self.answer_query(asking, backend, query);
+            let is_lost = self.random.random_range(0..100) < self.response_loss_percent;
             status
                 .filter(|_| !is_lost)
-                .map_or(MemberCallResult::Silent, |status| reach_of(led, status))
+                .map_or(MemberCallResult::Silent, |status| call_result(led, status))
         };
         let delay = if reach == MemberCallResult::Silent {
-            MEMBER_PATIENCE
+            MEMBER_TIMEOUT
         } else {
             FAR_DELAY
         };
-        let event = DutyEvent::MemberCallEnded(backend.clone(), via.clone(), reach);
-        self.queue
-            .plan(delay, Happening::Duty(node, incarnation, Box::new(event)));
+        let event = FailoverEvent::MemberCallEnded(backend.clone(), via.clone(), reach);
+        self.queue.schedule(
+            delay,
+            SimulationEvent::Failover(node, incarnation, Box::new(event)),
+        );
     }
 
     /// A node is asked what it knows of the lead.
-    pub(crate) fn ask_lead_at(
+    pub(crate) fn query_peer_leadership(
         &mut self,
         node: usize,
         incarnation: u64,
@@ -366,12 +376,12 @@
     ) {
         let now = self.now();
         let asked = &self.nodes[peer];
-        if !asked.is_running || now < asked.frozen_until {
+        if !asked.is_running || now < asked.paused_until {
             return;
         }
         let service = crate::group::service();
         let peer_incarnation = asked.incarnation;
-        self.tell_engine(
+        self.handle_engine_event(
             peer,
             peer_incarnation,
             Event::LeadershipQueried(service.clone()),
@@ -384,13 +394,13 @@
                 asked_at,
                 age,
             };
-            let event = Happening::Engine(node, incarnation, Box::new(event));
-            self.queue.plan(NEAR_DELAY, event);
+            let event = SimulationEvent::Engine(node, incarnation, Box::new(event));
+            self.queue.schedule(NEAR_DELAY, event);
         }
     }
 
     /// A peer says what it knows of the leader's position, and how old that is by its own clock.
-    pub(crate) fn ask_peer_at(
+    pub(crate) fn query_peer_position(
         &mut self,
         node: usize,
         incarnation: u64,
@@ -399,7 +409,7 @@
     ) {
         let now = self.now();
         let asked = &self.nodes[peer];
-        if !asked.is_running || now < asked.frozen_until {
+        if !asked.is_running || now < asked.paused_until {
             return;
         }
         let service = crate::group::service();
@@ -410,8 +420,8 @@
                 asked_at,
                 age,
             };
-            let event = Happening::Engine(node, incarnation, Box::new(event));
-            self.queue.plan(FAR_DELAY, event);
+            let event = SimulationEvent::Engine(node, incarnation, Box::new(event));
+            self.queue.schedule(FAR_DELAY, event);
         }
     }
 
@@ -443,6 +453,6 @@
                 self.group.announce(&id);
             }
         }
-        self.push_to_all();
+        self.notify_all_nodes();
     }
 }
--- a/crates/stairward-simulation/src/world_nodes.rs
+++ b/crates/stairward-simulation/src/world_nodes.rs
@@ -6,24 +6,24 @@
 use stairward_engine::{
     BackendCommand, BackendEvidence, ConnectionId, Effect, Event, LeadershipChange, Response,
 };
-use stairward_failover::{Event as DutyEvent, LeaderEvidence};
+use stairward_failover::{Event as FailoverEvent, LeaderEvidence};
 use stairward_limits::GrantRequest;
 use stairward_types::{BackendId, Freshness, LogPosition, NodeId};
 
 use crate::checker::Invariant;
 use crate::database::ConnectionKey;
-use crate::nodes::content_of;
+use crate::nodes::configuration_number;
 use crate::options::BrokenVariant;
 use crate::tenants::tenant_name;
-use crate::world::{CALLER_DELAY, FAR_DELAY, Happening, MULTIPLEX_ONE_IN, NEAR_DELAY, World};
+use crate::world::{CALLER_DELAY, FAR_DELAY, MULTIPLEX_ONE_IN, NEAR_DELAY, SimulationEvent, World};
 
 impl World {
-    pub(crate) fn tell_engine(&mut self, index: usize, incarnation: u64, event: Event) {
+    pub(crate) fn handle_engine_event(&mut self, index: usize, incarnation: u64, event: Event) {
         if !self.is_running(index, incarnation) {
             return;
         }
         let now = self.now();
-        let event = self.damage_event(event);
+        let event = self.corrupt_event(event);
         let event = self.hide_lost_log(index, event);
         let node = &mut self.nodes[index];
         let effects = node.engine.handle(now, event);
@@ -32,16 +32,16 @@
         {
             node.timer_at = wake;
             self.queue
-                .plan_at(wake, Happening::EngineTimer(index, incarnation));
+                .schedule_at(wake, SimulationEvent::EngineTimer(index, incarnation));
         }
-        self.note_configuration(index);
+        self.check_configuration_order(index);
         for effect in effects {
-            self.carry_out(index, incarnation, effect);
+            self.apply_effect(index, incarnation, effect);
         }
     }
 
     /// A broken node does not know that back ends leave.
-    pub(crate) fn damage_event(&self, mut event: Event) -> Event {
+    pub(crate) fn corrupt_event(&self, mut event: Event) -> Event {
         if self.options.broken == Some(BrokenVariant::IgnoredLeaving)
             && let Event::BackendsListed { list, .. } = &mut event
         {
@@ -74,26 +74,26 @@
         event
     }
 
-    pub(crate) fn note_configuration(&mut self, index: usize) {
+    pub(crate) fn check_configuration_order(&mut self, index: usize) {
         let now = self.now();
         let node = &mut self.nodes[index];
         let Some(table) = node.engine.routing_table() else {
             return;
         };
-        let content = content_of(table);
+        let content = configuration_number(table);
         self.checker.count(Invariant::Configuration);
-        if content < node.newest_content {
+        if content < node.newest_configuration {
             let text = format!(
                 "node {index} went back from {} to {content}",
-                node.newest_content
+                node.newest_configuration
             );
             self.checker
                 .record_violation(now, Invariant::Configuration, text);
         }
-        node.newest_content = content;
+        node.newest_configuration = content;
     }
 
-    pub(crate) fn carry_out(&mut self, index: usize, incarnation: u64, effect: Effect) {
+    pub(crate) fn apply_effect(&mut self, index: usize, incarnation: u64, effect: Effect) {
         match effect {
             Effect::AcceptSession { .. }
             | Effect::Record(_)
@@ -106,7 +106,7 @@
             | Effect::RecordFleetSize(_)
             | Effect::CoordinatorChanged { .. }
             | Effect::Stopped => {}
-            Effect::PingHolder { holder } => self.ask_holder(index, incarnation, holder),
+            Effect::PingHolder { holder } => self.ping_holder(index, incarnation, holder),
             Effect::Forward {
                 holder,
                 session,
@@ -129,43 +129,45 @@
                     format!("{now:?} node-{index}: {leader} of {term:?} {change:?}, {awaited:?}");
                 self.decisions.push(seen);
                 let is_revoked = change == LeadershipChange::Revoked;
-                self.tell_duty(
+                self.handle_failover_event(
                     index,
                     incarnation,
-                    DutyEvent::LeadershipRevoked(service, is_revoked),
+                    FailoverEvent::LeadershipRevoked(service, is_revoked),
                 );
             }
             Effect::QueryLeadership { holder, .. } => {
                 let asked_at = self.now();
                 let peer = usize::try_from(holder.0).unwrap_or(0);
-                let ask = Happening::AskLeadAt(index, incarnation, peer, asked_at);
-                self.queue.plan(NEAR_DELAY, ask);
+                let ask = SimulationEvent::QueryPeerLeadership(index, incarnation, peer, asked_at);
+                self.queue.schedule(NEAR_DELAY, ask);
             }
             Effect::RequestLimitGrant(coordinator, ask) => {
                 let peer = usize::try_from(coordinator.0).unwrap_or(0);
-                let ask = Happening::AskLimitAt(index, incarnation, peer, Box::new(ask));
-                self.queue.plan(FAR_DELAY, ask);
+                let ask =
+                    SimulationEvent::RequestLimitGrant(index, incarnation, peer, Box::new(ask));
+                self.queue.schedule(FAR_DELAY, ask);
             }
             Effect::QueryPosition { .. } => {
                 let asked_at = self.now();
                 let peer = (index + 1) % self.nodes.len();
-                let ask = Happening::AskPeerAt(index, incarnation, peer, asked_at);
-                self.queue.plan(FAR_DELAY, ask);
+                let ask = SimulationEvent::QueryPeerPosition(index, incarnation, peer, asked_at);
+                self.queue.schedule(FAR_DELAY, ask);
             }
             Effect::RefuseSession { session, .. } | Effect::CloseSession { session } => {
                 if let Some(caller) = self.caller_of(session) {
-                    let cut = Happening::CallerCut(caller, session.0);
-                    self.queue.plan(CALLER_DELAY, cut);
+                    let cut = SimulationEvent::CallerDisconnected(caller, session.0);
+                    self.queue.schedule(CALLER_DELAY, cut);
                 }
             }
             Effect::Respond { session, response } => {
-                let Some(response) = self.answer_guest(session, response) else {
+                let Some(response) = self.answer_forwarded(session, response) else {
                     return;
                 };
                 if let Some(caller) = self.caller_of(session) {
-                    let response = self.damage_response(response);
-                    let hears = Happening::CallerHears(caller, session.0, Box::new(response));
-                    self.queue.plan(CALLER_DELAY, hears);
+                    let response = self.corrupt_response(response);
+                    let hears =
+                        SimulationEvent::CallerResponse(caller, session.0, Box::new(response));
+                    self.queue.schedule(CALLER_DELAY, hears);
                 }
             }
             Effect::Open { connection, target } => {
@@ -179,9 +181,14 @@
                     }
                     _ => target.tenant,
                 };
-                let open =
-                    Happening::OpenAt(index, incarnation, connection, target.backend, tenant);
-                self.queue.plan(delay, open);
+                let open = SimulationEvent::OpenConnection(
+                    index,
+                    incarnation,
+                    connection,
+                    target.backend,
+                    tenant,
+                );
+                self.queue.schedule(delay, open);
             }
             Effect::Send {
                 connection,
@@ -194,8 +201,10 @@
                         incarnation,
                         connection,
                     };
-                    self.queue
-                        .plan(delay, Happening::CloseAt(connection_key, backend));
+                    self.queue.schedule(
+                        delay,
+                        SimulationEvent::CloseConnection(connection_key, backend),
+                    );
                 }
             }
             Effect::BackendObserved { backend, evidence } => {
@@ -206,13 +215,17 @@
                     BackendEvidence::LostLog => LeaderEvidence::LostLog,
                     BackendEvidence::NotLeader | BackendEvidence::ConnectionLimitReached => return,
                 };
-                self.tell_duty(index, incarnation, DutyEvent::Evidence(backend, evidence));
+                self.handle_failover_event(
+                    index,
+                    incarnation,
+                    FailoverEvent::Evidence(backend, evidence),
+                );
             }
         }
     }
 
     /// A coordinator answers a node that asked it, if it runs.
-    pub(crate) fn ask_limit(
+    pub(crate) fn request_limit_grant(
         &mut self,
         node: usize,
         incarnation: u64,
@@ -233,11 +246,11 @@
             }
         }
         let granted = Event::LimitGranted(coordinator, grant);
-        let granted = Happening::Engine(node, incarnation, Box::new(granted));
-        self.queue.plan(FAR_DELAY, granted);
+        let granted = SimulationEvent::Engine(node, incarnation, Box::new(granted));
+        self.queue.schedule(FAR_DELAY, granted);
     }
 
-    pub(crate) fn damage_response(&mut self, mut response: Response) -> Response {
+    pub(crate) fn corrupt_response(&mut self, mut response: Response) -> Response {
         if self.options.broken == Some(BrokenVariant::FalseNotRun)
             && let stairward_engine::ResponseResult::Refused { code, .. } = &mut response.result
             && code.class() == stairward_types::OutcomeClass::OutcomeUnknown
@@ -257,7 +270,7 @@
         let Some(backend) = self.nodes[index].connections.get(&connection).cloned() else {
             return;
         };
-        let (connection, command) = self.damage_command(index, &backend, connection, command);
+        let (connection, command) = self.corrupt_command(index, &backend, connection, command);
         let delay = self.delay(index, &backend);
         let connection_key = ConnectionKey {
             incarnation,
@@ -266,17 +279,21 @@
         if self.options.broken == Some(BrokenVariant::DuplicateWrite)
             && matches!(&command, BackendCommand::Run { text, .. } if text.starts_with("WRITE"))
         {
-            let again =
-                Happening::CommandAt(index, connection_key, backend.clone(), command.clone());
-            self.queue.plan(delay, again);
+            let again = SimulationEvent::RunCommand(
+                index,
+                connection_key,
+                backend.clone(),
+                command.clone(),
+            );
+            self.queue.schedule(delay, again);
         }
-        self.queue.plan(
+        self.queue.schedule(
             delay,
-            Happening::CommandAt(index, connection_key, backend, command),
+            SimulationEvent::RunCommand(index, connection_key, backend, command),
         );
     }
 
-    pub(crate) fn damage_command(
+    pub(crate) fn corrupt_command(
         &mut self,
         index: usize,
         backend: &BackendId,
--- a/crates/stairward-simulation/src/world_store.rs
+++ b/crates/stairward-simulation/src/world_store.rs
@@ -6,7 +6,8 @@
 use rand::RngExt as _;
 use stairward_engine::{BackendDescription, Event, ServiceHolders};
 use stairward_failover::{
-    Effect as DutyEffect, Event as DutyEvent, FailoverRecord, PromotionOutcome, RecordVersion, Via,
+    Effect as FailoverEffect, Event as FailoverEvent, FailoverRecord, PromotionOutcome,
+    RecordVersion, Via,
 };
 use stairward_types::{BackendId, NodeId, StoreRevision, Term, Time};
 
@@ -16,12 +17,12 @@
 use crate::store_view::{Entry, StoreView};
 use crate::tenants::directory;
 use crate::world::{
-    FAR_DELAY, Happening, PROMOTION_TIME, Question, STORE_DELAY, STORE_POLL, World,
+    FAR_DELAY, MemberQuery, PROMOTION_TIME, STORE_DELAY, STORE_POLL, SimulationEvent, World,
 };
 use stairward_membership::feed::StoreObject as _;
 
 /// More revisions than a copy of the store gives out in a run.
-const REVISIONS_OF_A_COPY: u64 = 1_000_000;
+const REVISIONS_PER_COPY: u64 = 1_000_000;
 /// For so long after a node's write of a service's record no other node writes it.
 const HOLDER_LEASE: Duration = Duration::from_millis(3_000);
 /// Zones that nodes are spread over.
@@ -33,11 +34,13 @@
     }
 
     /// Changes in the store are shown to every node that watches.
-    pub(crate) fn push_to_all(&mut self) {
+    pub(crate) fn notify_all_nodes(&mut self) {
         for index in 0..self.nodes.len() {
             let incarnation = self.nodes[index].incarnation;
-            self.queue
-                .plan(STORE_DELAY, Happening::ShowStore(index, incarnation));
+            self.queue.schedule(
+                STORE_DELAY,
+                SimulationEvent::DeliverStoreState(index, incarnation),
+            );
         }
     }
 
@@ -45,12 +48,12 @@
         if !self.is_running(node, incarnation) {
             return;
         }
-        self.show_store(node, incarnation);
+        self.deliver_store_state(node, incarnation);
         self.queue
-            .plan(STORE_POLL, Happening::PollStore(node, incarnation));
+            .schedule(STORE_POLL, SimulationEvent::PollStore(node, incarnation));
     }
 
-    pub(crate) fn show_store(&mut self, node: usize, incarnation: u64) {
+    pub(crate) fn deliver_store_state(&mut self, node: usize, incarnation: u64) {
         if !self.is_running(node, incarnation) || !self.store_reaches(node) {
             return;
         }
@@ -69,45 +72,45 @@
             directory(&self.options, content),
             self.options.cold,
         );
-        self.show_members(node, incarnation);
-        self.tell_engine(node, incarnation, Event::ConfigurationChanged(table));
-        let (list, since) = self.show_entries(node);
+        self.deliver_members(node, incarnation);
+        self.handle_engine_event(node, incarnation, Event::ConfigurationChanged(table));
+        let (list, since) = self.visible_entries(node);
         let backends = Event::BackendsListed {
             list: list.clone(),
             since,
         };
-        self.tell_engine(node, incarnation, backends);
-        self.show_evacuated(node, incarnation, since);
+        self.handle_engine_event(node, incarnation, backends);
+        self.deliver_evacuations(node, incarnation, since);
         let nodes = u32::try_from(self.nodes.len()).unwrap_or(1);
-        self.tell_engine(node, incarnation, Event::NodeCountChanged(nodes));
+        self.handle_engine_event(node, incarnation, Event::NodeCountChanged(nodes));
         let holders = ServiceHolders {
             first_ranked: self.first_holder_for(node),
-            leadership_source: self.lead_source_for(node),
-            forward_targets: self.holders_for(node),
+            leadership_source: self.leadership_source_for(node),
+            forward_targets: self.forward_targets_for(node),
             ..ServiceHolders::default()
         };
         let holders = BTreeMap::from([(crate::group::service(), holders)]);
-        self.tell_engine(node, incarnation, Event::HoldersChanged(holders));
+        self.handle_engine_event(node, incarnation, Event::HoldersChanged(holders));
         let peers: Vec<_> = (0..self.nodes.len())
             .filter(|peer| *peer != node)
             .map(|peer| NodeId(u64::try_from(peer).unwrap_or(0)))
             .collect();
         let users = peers.iter().copied().collect();
-        self.tell_duty(node, incarnation, DutyEvent::LeaderUsers(users));
-        self.tell_duty(node, incarnation, DutyEvent::RelayPeers(peers));
+        self.handle_failover_event(node, incarnation, FailoverEvent::LeaderUsers(users));
+        self.handle_failover_event(node, incarnation, FailoverEvent::RelayPeers(peers));
         let groups = self.nodes[node].groups(&list, self.options.synchronous_replicas);
-        self.tell_duty(node, incarnation, DutyEvent::NodeCount(nodes));
-        self.tell_duty(node, incarnation, DutyEvent::Groups(groups));
+        self.handle_failover_event(node, incarnation, FailoverEvent::NodeCount(nodes));
+        self.handle_failover_event(node, incarnation, FailoverEvent::Groups(groups));
         let version = self.record_version();
         let record = self.store.record.clone();
         let records = record.map(|record| (crate::group::service(), (version, record)));
         let records = records.into_iter().collect();
-        let era = self.era_as_told();
-        self.tell_duty(node, incarnation, DutyEvent::Records { era, records });
+        let era = self.visible_era();
+        self.handle_failover_event(node, incarnation, FailoverEvent::Records { era, records });
     }
 
     /// The databases' entries as a node sees them, and after which moment what is new in them came about.
-    fn show_entries(&mut self, node: usize) -> (Vec<BackendDescription>, Option<Time>) {
+    fn visible_entries(&mut self, node: usize) -> (Vec<BackendDescription>, Option<Time>) {
         let (now, era) = (self.now(), self.store.era);
         let keeps = self.options.broken != Some(BrokenVariant::UnprotectedRestore);
         let in_era = |entry: &BackendDescription| BackendDescription {
@@ -120,124 +123,153 @@
         if !keeps {
             node.entries = StoreView::default();
         }
-        let mut seen = node.entries.show(now, era, listed.collect());
+        let mut seen = node.entries.apply_listing(now, era, listed.collect());
         for (name, entry) in &mut seen {
             // An entry that reads as before was not written again.
-            if let Some(before) = node.told_entries.get(name)
+            if let Some(before) = node.delivered_entries.get(name)
                 && before.revision().era() < entry.revision().era()
                 && before.has_same_content(entry)
             {
                 entry.0.revision = before.revision();
             }
         }
-        node.told_entries.clone_from(&seen);
-        let since = node.shown_at;
+        node.delivered_entries.clone_from(&seen);
+        let since = node.last_current_at;
         // What is written again after a loss may have been said before it.
         if node.entries.is_settled() {
-            node.shown_at = Some(now);
+            node.last_current_at = Some(now);
         }
         (seen.into_values().map(|entry| entry.0).collect(), since)
     }
 
     /// The first node of a zone asks members about the lead for the others of its zone.
-    fn lead_source_for(&self, node: usize) -> Option<NodeId> {
+    fn leadership_source_for(&self, node: usize) -> Option<NodeId> {
         let source = node % ZONES;
         let is_other = source != node;
         is_other.then(|| NodeId(u64::try_from(source).unwrap_or(0)))
     }
 
-    pub(crate) fn tell_duty(&mut self, index: usize, incarnation: u64, event: DutyEvent) {
+    pub(crate) fn handle_failover_event(
+        &mut self,
+        index: usize,
+        incarnation: u64,
+        event: FailoverEvent,
+    ) {
         if !self.is_running(index, incarnation) {
             return;
         }
         let now = self.now();
-        let effects = self.nodes[index].duty.handle(now, event);
+        let effects = self.nodes[index].failover.handle(now, event);
         for effect in effects {
-            self.carry_out_duty(index, incarnation, effect);
+            self.apply_failover_effect(index, incarnation, effect);
         }
         let node = &mut self.nodes[index];
-        let wake = node.duty.next_wake(now);
+        let wake = node.failover.next_wake(now);
         if let Some(wake) = wake
-            && (node.duty_timer_at <= now || wake < node.duty_timer_at)
+            && (node.failover_timer_at <= now || wake < node.failover_timer_at)
         {
-            node.duty_timer_at = wake;
+            node.failover_timer_at = wake;
             self.queue
-                .plan_at(wake, Happening::DutyTimer(index, incarnation));
+                .schedule_at(wake, SimulationEvent::FailoverTimer(index, incarnation));
         }
     }
 
-    pub(crate) fn carry_out_duty(&mut self, index: usize, incarnation: u64, effect: DutyEffect) {
+    pub(crate) fn apply_failover_effect(
+        &mut self,
+        index: usize,
+        incarnation: u64,
+        effect: FailoverEffect,
+    ) {
         match effect {
-            DutyEffect::WriteRecord(_, version, record) => {
-                let write = Happening::RecordAt(index, incarnation, version, record);
-                self.queue.plan(STORE_DELAY, write);
+            FailoverEffect::WriteRecord(_, version, record) => {
+                let write = SimulationEvent::WriteRecord(index, incarnation, version, record);
+                self.queue.schedule(STORE_DELAY, write);
             }
-            DutyEffect::ReportSilent(silent) => {
+            FailoverEffect::ReportSilent(silent) => {
                 let own = NodeId(u64::try_from(index).unwrap_or(0));
                 for peer in (0..self.nodes.len()).filter(|peer| *peer != index) {
-                    let event = DutyEvent::Suspicion(own, silent.clone());
+                    let event = FailoverEvent::Suspicion(own, silent.clone());
                     let incarnation = self.nodes[peer].incarnation;
-                    let told = Happening::Duty(peer, incarnation, Box::new(event));
-                    self.queue.plan(FAR_DELAY * 3, told);
+                    let told = SimulationEvent::Failover(peer, incarnation, Box::new(event));
+                    self.queue.schedule(FAR_DELAY * 3, told);
                 }
             }
-            DutyEffect::Verify { backend, asker } => {
+            FailoverEffect::Verify { backend, asker } => {
                 let delay = self.delay(index, &backend) * 3;
-                let verify = Happening::VerifyAt(index, incarnation, backend, asker);
-                self.queue.plan(delay, verify);
+                let verify = SimulationEvent::VerifyBackend(index, incarnation, backend, asker);
+                self.queue.schedule(delay, verify);
             }
-            DutyEffect::QueryStatus(backend) => {
+            FailoverEffect::QueryStatus(backend) => {
                 let delay = self.delay(index, &backend) * 3;
-                let ask = Happening::AskAt(index, incarnation, backend, Question::Status);
-                self.queue.plan(delay, ask);
+                let ask =
+                    SimulationEvent::QueryMember(index, incarnation, backend, MemberQuery::Status);
+                self.queue.schedule(delay, ask);
             }
-            DutyEffect::Hold(backend, term) => {
+            FailoverEffect::Hold(backend, term) => {
                 let is_broken = self.options.broken == Some(BrokenVariant::NoHold);
-                let question = if is_broken {
-                    Question::Status
+                let query = if is_broken {
+                    MemberQuery::Status
                 } else {
-                    Question::Hold(term)
+                    MemberQuery::Hold(term)
                 };
                 let delay = self.delay(index, &backend) * 3;
-                let ask = Happening::AskAt(index, incarnation, backend, question);
-                self.queue.plan(delay, ask);
+                let ask = SimulationEvent::QueryMember(index, incarnation, backend, query);
+                self.queue.schedule(delay, ask);
             }
-            DutyEffect::QueryUntilReceived(backend, all) => {
+            FailoverEffect::QueryUntilReceived(backend, all) => {
                 let delay = self.delay(index, &backend);
-                let ask = Happening::AskAt(index, incarnation, backend, Question::Received(all));
-                self.queue.plan(delay, ask);
+                let ask = SimulationEvent::QueryMember(
+                    index,
+                    incarnation,
+                    backend,
+                    MemberQuery::Received(all),
+                );
+                self.queue.schedule(delay, ask);
             }
-            DutyEffect::StepDown(backend, term, ways) => {
-                self.reach_for(index, incarnation, &backend, Question::StepDown(term), ways);
+            FailoverEffect::StepDown(backend, term, ways) => {
+                self.schedule_member_calls(
+                    index,
+                    incarnation,
+                    &backend,
+                    MemberQuery::StepDown(term),
+                    ways,
+                );
             }
-            DutyEffect::Revoke(_, term, users) => {
+            FailoverEffect::Revoke(_, term, users) => {
                 let own = NodeId(u64::try_from(index).unwrap_or(0));
                 for user in users.into_iter().chain([own]) {
-                    let revoke = Happening::RevokeAt(index, incarnation, user, term);
-                    self.queue.plan(FAR_DELAY * 3, revoke);
+                    let revoke = SimulationEvent::RevokeLeadership(index, incarnation, user, term);
+                    self.queue.schedule(FAR_DELAY * 3, revoke);
                 }
             }
-            DutyEffect::AnnounceAttemptEnded(service, users) => {
+            FailoverEffect::AnnounceAttemptEnded(service, users) => {
                 let own = NodeId(u64::try_from(index).unwrap_or(0));
                 for user in users.into_iter().chain([own]) {
                     let place = usize::try_from(user.0).unwrap_or(0);
                     let told = self.nodes[place].incarnation;
                     let event = Event::PromotionEnded(service.clone());
-                    let settle = Happening::Engine(place, told, Box::new(event));
-                    self.queue.plan(FAR_DELAY * 3, settle);
+                    let settle = SimulationEvent::Engine(place, told, Box::new(event));
+                    self.queue.schedule(FAR_DELAY * 3, settle);
                 }
             }
-            DutyEffect::HoldVia(backend, term, ways) => {
-                self.reach_for(index, incarnation, &backend, Question::Hold(term), ways);
+            FailoverEffect::HoldVia(backend, term, ways) => {
+                self.schedule_member_calls(
+                    index,
+                    incarnation,
+                    &backend,
+                    MemberQuery::Hold(term),
+                    ways,
+                );
             }
-            DutyEffect::Resume(backend) => {
-                let resume = Happening::AskAt(index, incarnation, backend, Question::Resume);
-                self.queue.plan(STORE_DELAY, resume);
+            FailoverEffect::Resume(backend) => {
+                let resume =
+                    SimulationEvent::QueryMember(index, incarnation, backend, MemberQuery::Resume);
+                self.queue.schedule(STORE_DELAY, resume);
             }
-            DutyEffect::Promote(_, backend, token) => {
+            FailoverEffect::Promote(_, backend, token) => {
                 self.promote(index, incarnation, backend, token)
             }
-            DutyEffect::Log(_, action) => {
+            FailoverEffect::Log(_, action) => {
                 let now = self.now();
                 self.decisions
                     .push(format!("{now:?} {}: {action:?}", node_name(index)));
@@ -246,10 +278,16 @@
     }
 
     /// Another node is told that a term may begin, and answers.
-    pub(crate) fn revoke_at(&mut self, node: usize, incarnation: u64, user: NodeId, term: Term) {
+    pub(crate) fn revoke_leadership(
+        &mut self,
+        node: usize,
+        incarnation: u64,
+        user: NodeId,
+        term: Term,
+    ) {
         let place = usize::try_from(user.0).unwrap_or(0);
         let told = &self.nodes[place];
-        if !told.is_running || self.now() < told.frozen_until {
+        if !told.is_running || self.now() < told.paused_until {
             return;
         }
         let told_incarnation = told.incarnation;
@@ -261,26 +299,26 @@
             Some(BrokenVariant::IgnoredRevocation) => {}
             _ => {
                 let event = Event::LeadershipRevoked(service.clone(), term);
-                self.tell_engine(place, told_incarnation, event);
+                self.handle_engine_event(place, told_incarnation, event);
             }
         }
         let newest = self.nodes[place].engine.newest_term(&service);
-        let revoked = DutyEvent::Revoked {
+        let revoked = FailoverEvent::Revoked {
             service,
             term,
             user,
             newest,
         };
-        let revoked = Happening::Duty(node, incarnation, Box::new(revoked));
-        self.queue.plan(FAR_DELAY, revoked);
+        let revoked = SimulationEvent::Failover(node, incarnation, Box::new(revoked));
+        self.queue.schedule(FAR_DELAY, revoked);
     }
 
-    fn reach_for(
+    fn schedule_member_calls(
         &mut self,
         index: usize,
         incarnation: u64,
         backend: &BackendId,
-        question: Question,
+        query: MemberQuery,
         ways: Vec<Via>,
     ) {
         for via in ways {
@@ -288,13 +326,14 @@
                 Via::Direct => self.delay(index, backend) * 3,
                 Via::Peer(_) => FAR_DELAY * 4,
             };
-            let reach = Happening::ReachAt(index, incarnation, backend.clone(), question, via);
-            self.queue.plan(delay, reach);
+            let reach =
+                SimulationEvent::CallMember(index, incarnation, backend.clone(), query, via);
+            self.queue.schedule(delay, reach);
         }
     }
 
     /// The era of the store as nodes are told it; always the first one for some that are broken.
-    fn era_as_told(&self) -> u64 {
+    fn visible_era(&self) -> u64 {
         match self.options.broken {
             Some(BrokenVariant::IgnoredEra | BrokenVariant::HiddenRecordLoss) => 0,
             _ => self.store.era,
@@ -302,23 +341,23 @@
     }
 
     /// The revisions by which those of a later copy are higher for a node that is told of no copies.
-    fn lead_of_copy(&self) -> u64 {
+    fn copy_revision_offset(&self) -> u64 {
         match self.options.broken {
-            Some(BrokenVariant::HiddenRecordLoss) => self.store.era * REVISIONS_OF_A_COPY,
+            Some(BrokenVariant::HiddenRecordLoss) => self.store.era * REVISIONS_PER_COPY,
             _ => 0,
         }
     }
 
     fn record_version(&self) -> RecordVersion {
-        let revision = self.store.record_version + self.lead_of_copy();
-        RecordVersion(StoreRevision::new(self.era_as_told(), revision))
+        let revision = self.store.record_version + self.copy_revision_offset();
+        RecordVersion(StoreRevision::new(self.visible_era(), revision))
     }
 
     /// No two nodes write a service's record within a lease, whatever the store has lost meanwhile.
-    fn check_holder(&mut self, writer: &str) {
+    fn check_record_writer(&mut self, writer: &str) {
         let now = self.now();
         self.checker.count(Invariant::SingleRecordWriter);
-        let last = self.last_holder.replace((now, writer.to_owned()));
+        let last = self.last_record_writer.replace((now, writer.to_owned()));
         if let Some((at, holder)) = last
             && holder != writer
             && now < at + HOLDER_LEASE
@@ -329,7 +368,7 @@
         }
     }
 
-    pub(crate) fn record_at(
+    pub(crate) fn write_record_from(
         &mut self,
         node: usize,
         incarnation: u64,
@@ -338,53 +377,56 @@
     ) {
         let service = crate::group::service();
         if !self.store_reaches(node) {
-            let failed = Happening::Duty(
+            let failed = SimulationEvent::Failover(
                 node,
                 incarnation,
-                Box::new(DutyEvent::RecordFailed(service.clone())),
+                Box::new(FailoverEvent::RecordFailed(service.clone())),
             );
-            return self.queue.plan(Duration::from_millis(1_500), failed);
+            return self.queue.schedule(Duration::from_millis(1_500), failed);
         }
-        let expected = version.0.revision().saturating_sub(self.lead_of_copy());
+        let expected = version
+            .0
+            .revision()
+            .saturating_sub(self.copy_revision_offset());
         let writer = record.holder.clone();
         let written = self.store.write_record(expected, record.clone());
-        self.push_to_all();
-        if version.0.era() != self.era_as_told() {
+        self.notify_all_nodes();
+        if version.0.era() != self.visible_era() {
             // Another copy of the store answers: what came of it tells nothing.
-            let failed = DutyEvent::RecordFailed(service);
-            let failed = Happening::Duty(node, incarnation, Box::new(failed));
-            return self.queue.plan(STORE_DELAY, failed);
+            let failed = FailoverEvent::RecordFailed(service);
+            let failed = SimulationEvent::Failover(node, incarnation, Box::new(failed));
+            return self.queue.schedule(STORE_DELAY, failed);
         }
         if written.is_some() {
-            self.check_holder(&writer);
+            self.check_record_writer(&writer);
         }
-        if self.store.loses_answers && self.random.random_range(0..2) == 0 {
-            let failed = Happening::Duty(
+        if self.store.loses_responses && self.random.random_range(0..2) == 0 {
+            let failed = SimulationEvent::Failover(
                 node,
                 incarnation,
-                Box::new(DutyEvent::RecordFailed(service.clone())),
+                Box::new(FailoverEvent::RecordFailed(service.clone())),
             );
-            return self.queue.plan(Duration::from_millis(1_500), failed);
+            return self.queue.schedule(Duration::from_millis(1_500), failed);
         }
         let events = match written {
-            Some(_) => vec![DutyEvent::RecordWritten(
+            Some(_) => vec![FailoverEvent::RecordWritten(
                 service,
                 self.record_version(),
                 record,
             )],
             None => vec![
-                DutyEvent::Record(
+                FailoverEvent::Record(
                     service.clone(),
                     self.record_version(),
                     self.store.record.clone(),
                 ),
-                DutyEvent::RecordFailed(service.clone()),
+                FailoverEvent::RecordFailed(service.clone()),
             ],
         };
         for event in events {
-            self.queue.plan(
+            self.queue.schedule(
                 STORE_DELAY,
-                Happening::Duty(node, incarnation, Box::new(event)),
+                SimulationEvent::Failover(node, incarnation, Box::new(event)),
             );
         }
     }
@@ -409,21 +451,21 @@
         self.checker.record_promotion(now, token.0, decision);
         let is_late = self.promotions_are_late && self.random.random_range(0..2) == 0;
         let delay = if is_late {
-            self.between(2_000, 9_000)
+            self.random_duration(2_000, 9_000)
         } else {
             STORE_DELAY
         };
-        let promote = Happening::PromoteAt(index, incarnation, backend, token, !is_late);
-        self.queue.plan(delay, promote);
+        let promote = SimulationEvent::Promote(index, incarnation, backend, token, !is_late);
+        self.queue.schedule(delay, promote);
         if is_late {
             let unknown =
-                DutyEvent::Promotion(crate::group::service(), token, PromotionOutcome::Unknown);
-            let unknown = Happening::Duty(index, incarnation, Box::new(unknown));
-            self.queue.plan(Duration::from_millis(2_200), unknown);
+                FailoverEvent::Promotion(crate::group::service(), token, PromotionOutcome::Unknown);
+            let unknown = SimulationEvent::Failover(index, incarnation, Box::new(unknown));
+            self.queue.schedule(Duration::from_millis(2_200), unknown);
         }
     }
 
-    pub(crate) fn promote_at(
+    pub(crate) fn run_promotion(
         &mut self,
         node: usize,
         incarnation: u64,
@@ -441,16 +483,18 @@
         } else {
             self.group.fence = token.0;
             if self.group.primary() != Some(backend) {
-                self.queue
-                    .plan(PROMOTION_TIME, Happening::Leads(backend.clone()));
+                self.queue.schedule(
+                    PROMOTION_TIME,
+                    SimulationEvent::PromotionCompletes(backend.clone()),
+                );
             }
             PromotionOutcome::Accepted
         };
         if is_answered {
-            let event = DutyEvent::Promotion(crate::group::service(), token, outcome);
-            self.queue.plan(
+            let event = FailoverEvent::Promotion(crate::group::service(), token, outcome);
+            self.queue.schedule(
                 STORE_DELAY,
-                Happening::Duty(node, incarnation, Box::new(event)),
+                SimulationEvent::Failover(node, incarnation, Box::new(event)),
             );
         }
     }
