--- a/crates/stairward-simulation/src/callers.rs
+++ b/crates/stairward-simulation/src/callers.rs
@@ -1,4 +1,4 @@
-//! Callers: sessions that send operations one after the other and note what they are told.
+//! Callers: sessions that send operations one after the other and record the responses.
 
 use std::collections::BTreeMap;
 
@@ -9,16 +9,16 @@
 
 use crate::checker::{Checker, Invariant, ReadKind, SentStatement};
 
-/// The databases that routes lead to, with what their reads must see.
+/// The databases that callers connect to, with the reads that their routes provide.
 pub const DATABASES: [(&str, ReadKind); 3] = [
     ("leader", ReadKind::Leader),
     ("bounded", ReadKind::Bounded),
     ("own", ReadKind::Own),
 ];
-/// The callers' only prepared name.
+/// The only prepared statement name that callers use.
 const PREPARED_NAME: &str = "p1";
 
-/// What a caller was told.
+/// The outcome that a caller was told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ReportedOutcome {
     Success,
@@ -37,16 +37,16 @@
     }
 }
 
-/// A session of a caller.
+/// A caller and its current session.
 #[derive(Debug)]
 pub struct Caller {
-    /// Its number, the same for all its sessions.
+    /// The caller's number, which all its sessions share.
     pub number: u64,
-    /// Its session's number, new with each connection.
+    /// The session's number, which is new with each connection.
     pub session: u64,
-    /// The node and the life of it that it is connected to.
+    /// The node that it is connected to, and that node's incarnation.
     pub node: Option<(usize, u64)>,
-    /// The database it asked for, by its place in [`DATABASES`].
+    /// Index of its database in [`DATABASES`].
     pub database: usize,
     values: BTreeMap<String, String>,
     prepared: Option<PreparedStatement>,
@@ -57,11 +57,11 @@
     before: Vec<String>,
     writes: Vec<String>,
     in_flight: Option<(String, StatementKind)>,
-    /// Statements sent.
+    /// Number of statements sent in this session.
     sent_count: u64,
 }
 
-/// What a caller does next.
+/// A caller's next step.
 #[derive(Debug)]
 pub enum Step {
     /// Send a statement.
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Connects anew.
+    /// Starts a new session on a node.
     pub fn start_session(&mut self, session: u64, node: (usize, u64), database: usize) {
         *self = Self {
             session,
@@ -101,12 +101,12 @@
         };
     }
 
-    /// The number of the operation under way.
+    /// Number of the last statement sent in this session.
     pub fn request_number(&self) -> u64 {
         self.sent_count
     }
 
-    /// Whether an answer is due.
+    /// Whether a response is outstanding.
     pub fn is_waiting(&self) -> bool {
         self.in_flight.is_some()
     }
@@ -165,7 +165,7 @@
         remaining
     }
 
-    /// The next statement, or leaving.
+    /// Returns the next statement to send, or closes the session.
     pub fn next_step(
         &mut self,
         random: &mut ChaCha8Rng,
@@ -220,7 +220,7 @@
         }
     }
 
-    /// Hears an answer. Returns whether it goes on with this session.
+    /// Processes a response. Returns whether the session continues.
     pub fn receive_response(
         &mut self,
         now: Time,
@@ -229,7 +229,10 @@
     ) -> bool {
         checker.count(Invariant::OneResponse);
         let Some((id, kind)) = self.in_flight.take() else {
-            let text = format!("session {} heard {response:?} unasked", self.session);
+            let text = format!(
+                "session {} received an unexpected response {response:?}",
+                self.session
+            );
             checker.record_violation(now, Invariant::OneResponse, text);
             return false;
         };
--- a/crates/stairward-simulation/src/checker.rs
+++ b/crates/stairward-simulation/src/checker.rs
@@ -1,4 +1,4 @@
-//! What must hold, checked against what callers were told and what databases did.
+//! Checks invariants against the responses that callers received and the statements that databases executed.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -7,85 +7,85 @@
 
 use crate::database::{Database, ExecutedStatement, LogEntry};
 
-/// Something that must hold.
+/// An invariant of the system.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Invariant {
-    /// A read sees what it must.
+    /// A read sees every commit that its consistency level requires.
     FreshRead,
-    /// A write that was promised not to be kept is not.
+    /// A write that was reported as not run is not committed.
     NotRunGuarantee,
-    /// A write takes effect once.
+    /// A write takes effect at most once.
     AtMostOnce,
-    /// Databases run only what callers asked, unchanged.
+    /// Databases only run statements that callers sent, with unchanged text.
     UnmodifiedStatement,
-    /// Statements run in their own transaction, under their own session's values.
+    /// Statements run in their own transaction and with the values of their own session.
     SessionIsolation,
-    /// No write is acknowledged that the old primary committed after another had taken over.
+    /// No write is acknowledged that an old primary committed after the next term began.
     OneLeader,
-    /// Where replicas are synchronous, a promotion loses no acknowledged commit.
+    /// With synchronous replicas, a promotion loses no acknowledged commit.
     Kept,
-    /// One decision a fencing token.
+    /// A fencing token is used for at most one promotion.
     UniqueToken,
-    /// One node at a time writes a service's record.
+    /// Within a lease, only one node writes a service's failover record.
     SingleRecordWriter,
-    /// A configuration comes into force in time and never goes back.
+    /// A configuration comes into force in time and is never replaced by an older one.
     Configuration,
-    /// A back end that has been leaving for long gets no new work.
+    /// A back end that is leaving receives no new work after the drain limit.
     Leaving,
-    /// A caller gets one answer a statement, and none besides.
+    /// A caller receives exactly one response to each statement.
     OneResponse,
     /// A statement runs on a connection that was opened for its own tenant.
     TenantIsolation,
-    /// No statement runs with a key that was withdrawn.
+    /// No statement runs with a withdrawn key.
     KeyRevocation,
     /// No tenant runs more operations than its limit allows.
     TenantRateLimit,
-    /// No work reaches a database of a zone that has been evacuated for long.
+    /// No work reaches a database after its zone's evacuation had to take effect.
     ZoneEvacuation,
-    /// A database that has just started gets no more requests in a second than its service allows.
+    /// A database that has just started receives no more requests per second than its service allows.
     WarmUp,
 }
 
-/// A violation.
+/// A violation of an invariant.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Violation {
-    /// What was violated.
+    /// The violated invariant.
     pub invariant: Invariant,
-    /// When.
+    /// When the violation was detected.
     pub at: Time,
-    /// How.
+    /// A description of what was observed.
     pub text: String,
 }
 
-/// What a read must see besides what is older than the staleness.
+/// Which commits a read must see.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReadKind {
-    /// Every commit acknowledged before.
+    /// Every commit acknowledged before the read started.
     Leader,
-    /// Every commit acknowledged longer than the staleness before.
+    /// Every commit acknowledged before the read's start minus the allowed staleness.
     Bounded,
-    /// The same, and every commit of the own session.
+    /// Like [`Self::Bounded`], and every earlier acknowledged commit of the same session.
     Own,
 }
 
-/// What a caller sent.
+/// A statement as a caller sent it.
 #[derive(Debug, Clone)]
 pub struct SentStatement {
     /// The caller's session.
     pub session: u64,
-    /// The caller's operation; statements of one transaction share it.
+    /// The caller's operation; all statements of a transaction share it.
     pub operation: u64,
     /// The statement's text.
     pub text: String,
-    /// What its reads must see.
+    /// Which commits its reads must see.
     pub kind: ReadKind,
-    /// When the first byte of the read, or of its transaction, was sent.
+    /// When the caller started the statement or its transaction.
     pub start: Time,
-    /// The values that were acknowledged to the session.
+    /// The session values that were acknowledged to the caller.
     pub values: BTreeMap<String, String>,
-    /// Statements of the same transaction that were answered before.
+    /// Earlier statements of the same transaction that received a response.
     pub before: Vec<String>,
-    /// Whether it belongs to a transaction.
+    /// Whether the statement belongs to a transaction.
     pub in_transaction: bool,
 }
 
@@ -96,7 +96,7 @@
     entry: LogEntry,
 }
 
-/// The history and its checks.
+/// The history of a run and its checks.
 #[derive(Debug)]
 pub struct Checker {
     staleness: Duration,
@@ -105,20 +105,20 @@
     acknowledged: Vec<Acknowledged>,
     reported_not_run: BTreeSet<u64>,
     decisions: BTreeMap<u64, String>,
-    /// When each write was committed, by its statement's id.
+    /// Commit time and log entry of each write, by statement id.
     committed_at: BTreeMap<String, (Time, LogEntry)>,
     /// When each term began.
     terms: BTreeMap<Term, Time>,
-    /// Acknowledged commits that a promotion rolled back.
+    /// Number of acknowledged commits that promotions rolled back.
     pub acknowledged_then_lost: u64,
-    /// What was violated so far.
+    /// The violations so far.
     pub violations: Vec<Violation>,
     /// How often each invariant was checked.
     pub checked: BTreeMap<Invariant, u64>,
 }
 
 impl Checker {
-    /// An empty history.
+    /// An empty history; `staleness` is the maximum age of a bounded read.
     pub fn new(staleness: Duration) -> Self {
         Self {
             staleness,
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Notes a violation.
+    /// Records a violation.
     pub fn record_violation(&mut self, at: Time, invariant: Invariant, text: String) {
         self.violations.push(Violation {
             invariant,
@@ -144,23 +144,23 @@
         });
     }
 
-    /// Notes that an invariant was checked.
+    /// Counts one check of an invariant.
     pub fn count(&mut self, invariant: Invariant) {
         *self.checked.entry(invariant).or_default() += 1;
     }
 
-    /// The session and the operation that a statement is of.
+    /// The session and operation of a statement.
     pub fn session_and_operation(&self, statement: &str) -> Option<(u64, u64)> {
         let sent = self.sent.get(statement)?;
         Some((sent.session, sent.operation))
     }
 
-    /// A caller sent a statement.
+    /// Records that a caller sent a statement.
     pub fn record_sent(&mut self, id: String, sent: SentStatement) {
         self.sent.insert(id, sent);
     }
 
-    /// A database ran a statement.
+    /// Records that a database ran a statement, and checks it.
     pub fn record_executed(
         &mut self,
         now: Time,
@@ -172,11 +172,11 @@
             return self.record_violation(
                 now,
                 Invariant::UnmodifiedStatement,
-                format!("{} was not asked", executed.id),
+                format!("{} was never sent", executed.id),
             );
         };
         if sent.text != executed.text {
-            let text = format!("{:?} became {:?}", sent.text, executed.text);
+            let text = format!("text {:?} was changed to {:?}", sent.text, executed.text);
             self.record_violation(now, Invariant::UnmodifiedStatement, text);
         }
         self.check_transaction(now, &sent, executed);
@@ -187,13 +187,17 @@
 
     fn check_transaction(&mut self, now: Time, sent: &SentStatement, executed: &ExecutedStatement) {
         self.count(Invariant::SessionIsolation);
-        let is_foreign = |id: &String| {
+        let is_of_other_operation = |id: &String| {
             let other = self.sent.get(id);
             other.is_none_or(|other| other.operation != sent.operation)
         };
-        if executed.earlier_statements.iter().any(is_foreign) {
+        if executed
+            .earlier_statements
+            .iter()
+            .any(is_of_other_operation)
+        {
             let text = format!(
-                "{} ran beside {:?}",
+                "{} ran in a transaction with {:?} of other operations",
                 executed.id, executed.earlier_statements
             );
             return self.record_violation(now, Invariant::SessionIsolation, text);
@@ -202,14 +206,14 @@
             && (!executed.in_transaction || executed.earlier_statements != sent.before)
         {
             let text = format!(
-                "{} ran after {:?}, not {:?}",
+                "{} ran after statements {:?}, expected {:?}",
                 executed.id, executed.earlier_statements, sent.before
             );
             return self.record_violation(now, Invariant::SessionIsolation, text);
         }
         if executed.text != "COMMIT" && sent.values != executed.values {
             let text = format!(
-                "{} ran under {:?}, not {:?}",
+                "{} ran with values {:?}, expected {:?}",
                 executed.id, executed.values, sent.values
             );
             self.record_violation(now, Invariant::SessionIsolation, text);
@@ -244,14 +248,14 @@
             .find(|write| must_see(write) && !sees(write));
         if let Some(missed) = missed {
             let text = format!(
-                "{} ({:?}, from {:?}) read {} up to {read_at} without {:?}, acknowledged at {:?}",
+                "{} ({:?}, started at {:?}) read {} up to {read_at} and missed {:?}, acknowledged at {:?}",
                 executed.id, sent.kind, sent.start, database.id, missed.entry, missed.at
             );
             self.record_violation(now, Invariant::FreshRead, text);
         }
     }
 
-    /// A commit took effect.
+    /// Records that a commit took effect, and checks that its writes have not been committed before.
     pub fn record_commit(&mut self, now: Time, entry: &LogEntry) {
         for id in &entry.writes {
             self.committed_at.insert(id.clone(), (now, entry.clone()));
@@ -259,13 +263,13 @@
             let commits = self.commits.entry(id.clone()).or_default();
             commits.push(entry.clone());
             if commits.len() > 1 {
-                let text = format!("{id} took effect at {commits:?}");
+                let text = format!("{id} was committed more than once: {commits:?}");
                 self.record_violation(now, Invariant::AtMostOnce, text);
             }
         }
     }
 
-    /// A promotion rolled commits back that must all be kept.
+    /// Checks that a promotion rolled back no acknowledged commit.
     pub fn check_kept(&mut self, now: Time, rolled_back: &[LogEntry]) {
         self.count(Invariant::Kept);
         let lost = self
@@ -274,17 +278,20 @@
             .find(|write| rolled_back.contains(&write.entry))
             .cloned();
         if let Some(lost) = lost {
-            let text = format!("{:?}, acknowledged at {:?}, is lost", lost.entry, lost.at);
+            let text = format!(
+                "{:?}, acknowledged at {:?}, was rolled back",
+                lost.entry, lost.at
+            );
             self.record_violation(now, Invariant::Kept, text);
         }
     }
 
-    /// A term has begun.
+    /// Records when a term began.
     pub fn record_term_start(&mut self, now: Time, term: Term) {
         self.terms.insert(term, now);
     }
 
-    /// A write that is acknowledged was not committed at an old primary after another had taken over.
+    /// Checks that no acknowledged write was committed by an old primary after the next term began.
     fn check_one_leader(&mut self, now: Time, writes: &[String]) {
         for id in writes {
             let Some((at, entry)) = self.committed_at.get(id).cloned() else {
@@ -294,7 +301,7 @@
             let mut later = self.terms.range(Term(entry.at.term.0 + 1)..);
             if let Some((term, began)) = later.find(|(_, began)| **began < at) {
                 let text = format!(
-                    "{id}, committed at {at:?} as {:?}, is acknowledged after term {term} began at {began:?}",
+                    "{id}, committed at {at:?} as {:?}, was acknowledged although term {term} had begun at {began:?}",
                     entry.at
                 );
                 self.record_violation(now, Invariant::OneLeader, text);
@@ -302,7 +309,7 @@
         }
     }
 
-    /// A promotion rolled commits back: they no longer count.
+    /// Records that a promotion rolled back commits, which then no longer count as committed or acknowledged.
     pub fn record_rollback(&mut self, entries: &[LogEntry]) {
         for entry in entries {
             let lost = self
@@ -319,7 +326,7 @@
         }
     }
 
-    /// A caller was told that a write is kept.
+    /// Records that writes were acknowledged to a caller.
     pub fn record_acknowledgement(&mut self, now: Time, session: u64, writes: &[String]) {
         self.check_one_leader(now, writes);
         let entry = writes
@@ -327,7 +334,7 @@
             .and_then(|id| self.commits.get(id))
             .and_then(|commits| commits.first())
             .cloned();
-        // None where it was rolled back before its answer arrived.
+        // A commit that was rolled back before its response arrived has no entry left.
         if let Some(entry) = entry {
             self.acknowledged.push(Acknowledged {
                 at: now,
@@ -337,13 +344,13 @@
         }
     }
 
-    /// A caller was promised that nothing of its operation is kept.
+    /// Records that an operation was reported to its caller as not run.
     pub fn record_not_run(&mut self, operation: u64) {
         self.count(Invariant::NotRunGuarantee);
         self.reported_not_run.insert(operation);
     }
 
-    /// At the end: no promise was broken.
+    /// At the end of a run, checks that no write that was reported as not run is committed.
     pub fn check_not_run_guarantees(&mut self, now: Time) {
         let broken: Vec<_> = self
             .commits
@@ -354,17 +361,17 @@
             .map(|(id, _)| id.clone())
             .collect();
         for id in broken {
-            let text = format!("{id} is kept although the caller was promised that it is not");
+            let text = format!("{id} is committed although it was reported as not run");
             self.record_violation(now, Invariant::NotRunGuarantee, text);
         }
     }
 
-    /// A promotion was asked for.
+    /// Records a promotion request, and checks that its fencing token was not used before.
     pub fn record_promotion(&mut self, now: Time, token: u64, decision: String) {
         self.count(Invariant::UniqueToken);
         let known = self.decisions.get(&token).cloned();
         if let Some(known) = known {
-            let text = format!("token {token}: {known}, then {decision}");
+            let text = format!("token {token} was used twice: {known}, then {decision}");
             self.record_violation(now, Invariant::UniqueToken, text);
         }
         self.decisions.insert(token, decision);
--- a/crates/stairward-simulation/src/database.rs
+++ b/crates/stairward-simulation/src/database.rs
@@ -1,4 +1,4 @@
-//! One database: its log, its connections, and how it runs statements.
+//! One simulated database: its log, its connections, and how it runs statements.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -11,78 +11,78 @@
     BackendId, BackendRole, Freshness, LogPosition, MemberStatus, TenantName, Term, Time,
 };
 
-/// The position of a log without an entry.
+/// The position of an empty log.
 const EMPTY_LOG: Freshness = Freshness::new(Term(1), LogPosition(0));
 
-/// A connection, unique in the world: the node's life and its own number.
+/// A connection of any node: the node's incarnation and the connection's number within it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ConnectionKey {
-    /// The node's life, unique in the world.
+    /// Incarnation of the node's process, unique within a run.
     pub incarnation: u64,
-    /// The connection's number in it.
+    /// Number of the connection within that incarnation.
     pub connection: stairward_engine::ConnectionId,
 }
 
-/// A committed write.
+/// A committed log entry.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LogEntry {
     /// Its position in the log.
     pub at: Freshness,
-    /// The statements' ids.
+    /// Ids of the write statements.
     pub writes: Vec<String>,
 }
 
 /// A transaction open on a connection.
 #[derive(Debug, Clone, Default)]
 pub struct OpenTransaction {
-    /// Whether only reads may follow.
+    /// Whether it was opened as read-only.
     pub is_read_only: bool,
-    /// Ids of its writes.
+    /// Ids of its write statements.
     pub writes: Vec<String>,
-    /// Ids of its statements.
+    /// Ids of all its statements.
     pub statements: Vec<String>,
-    /// Whether only its end is accepted.
+    /// Whether it has failed, so that it can only be ended.
     pub has_failed: bool,
 }
 
-/// What a connection holds.
+/// The state of a connection.
 #[derive(Debug, Clone, Default)]
 pub struct ConnectionState {
-    /// The tenant that it was opened for.
+    /// The tenant that the connection was opened for.
     pub tenant: Option<TenantName>,
     /// Values set on it.
     pub values: BTreeMap<String, String>,
-    /// What is prepared on it.
+    /// Statements prepared on it.
     pub prepared: BTreeSet<PreparedStatement>,
     /// The open transaction.
     pub transaction: Option<OpenTransaction>,
 }
 
-/// What a database did with a command, for the checks.
+/// A statement that a database ran, for the checks.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ExecutedStatement {
     /// The statement's id.
     pub id: String,
-    /// The statement's text, or shape and arguments.
+    /// The statement's text, or the shape and arguments of a prepared statement.
     pub text: String,
-    /// Whether it read, and up to which position.
+    /// For a read, the number of log entries that were applied.
     pub read_at: Option<usize>,
-    /// Other statements of the same transaction.
+    /// Ids of earlier statements of the same transaction.
     pub earlier_statements: Vec<String>,
     /// Whether a transaction was open.
     pub in_transaction: bool,
-    /// The values it ran under.
+    /// The connection's values when it ran.
     pub values: BTreeMap<String, String>,
 }
 
 /// The outcome of a command.
 #[derive(Debug)]
 pub struct Outcome {
-    /// The answer.
+    /// The response.
     pub reply: BackendReply,
-    /// The caller's statement that ran.
+    /// The client's statement that ran, if any.
     pub executed: Option<ExecutedStatement>,
-    /// A commit took effect.
+    /// The log entry that was committed, if any.
     pub committed: Option<LogEntry>,
 }
 
@@ -94,49 +94,49 @@
     )
 }
 
-/// One database.
+/// One simulated database.
 #[derive(Debug)]
 pub struct Database {
     /// Its id.
     pub id: BackendId,
     /// Whether its process runs.
     pub is_alive: bool,
-    /// Whether nothing reaches it and it says nothing.
+    /// Whether it is unresponsive: nothing reaches it and it sends nothing.
     pub is_silent: bool,
     /// Its role.
     pub role: BackendRole,
-    /// The term it is in.
+    /// Its current term; 0 after it has lost its log.
     pub term: Term,
-    /// All that it has received.
+    /// All log entries that it has received.
     pub log: Vec<LogEntry>,
-    /// How much of it is applied.
+    /// How many of them are applied.
     pub applied: usize,
     /// Open connections.
     pub connections: BTreeMap<ConnectionKey, ConnectionState>,
-    /// Connections it takes.
+    /// Maximum number of connections.
     pub connection_limit: usize,
-    /// Until when it is cold after its last start.
+    /// When the cold period after its last start ends.
     pub cold_until: Time,
-    /// How long it said at its last start that it would be.
+    /// Length of the cold period that it announced at its last start.
     pub announced_cold_time: Duration,
-    /// How often its process has started; it tells which start it is.
+    /// How often its process has started; listed as its incarnation.
     pub start_count: u64,
     /// When requests reached it while it was cold, within the last second.
     pub cold_request_times: Vec<Time>,
-    /// Since when discovery says that it leaves or is gone, as the store took it.
+    /// Since when it has been leaving or has been removed from discovery.
     pub leaving_since: Option<Time>,
-    /// Whether nothing passes between it and the other members.
+    /// Whether it is partitioned from the other members.
     pub is_isolated: bool,
-    /// Below which term it was told not to receive; 0 where it receives.
+    /// It receives no entries of terms below this one; 0 when it is not on hold.
     pub held: Term,
-    /// Since when it, an old primary, has reached the new one.
+    /// For an old primary, since when it has been connected to the new one.
     pub connected_to_successor_since: Option<Time>,
-    /// How many times later than usual it applies.
+    /// Factor by which the usual delay of applying the log is multiplied.
     pub lag_factor: u32,
 }
 
 impl Database {
-    /// A database with an empty log.
+    /// A running database with an empty log.
     pub fn new(id: BackendId, role: BackendRole, connection_limit: usize) -> Self {
         Self {
             id,
@@ -160,7 +160,7 @@
         }
     }
 
-    /// Starts again and knows nothing of before; a primary goes on calling itself that.
+    /// Loses its log, term and hold, as after a restart on an empty disk; the role stays.
     pub fn discard_state(&mut self) {
         self.log.clear();
         self.applied = 0;
@@ -169,14 +169,14 @@
         self.connected_to_successor_since = None;
     }
 
-    /// How far it has applied the log, with the term of the last entry.
+    /// The position up to which it has applied the log.
     pub fn position(&self) -> Freshness {
         self.log[..self.applied]
             .last()
             .map_or(EMPTY_LOG, |entry| entry.at)
     }
 
-    /// What it says of itself.
+    /// The status that it reports.
     #[must_use]
     pub fn status(&self) -> MemberStatus {
         MemberStatus {
@@ -187,44 +187,45 @@
         }
     }
 
-    /// Whether other members reach it.
+    /// Whether other members can reach it.
     #[must_use]
     pub const fn is_reachable(&self) -> bool {
         self.is_alive && !self.is_silent && !self.is_isolated
     }
 
-    /// Whether it knows nothing of any term: it has started and received nothing yet.
+    /// Whether it has lost its log and not received anything since.
     #[must_use]
     pub const fn has_lost_log(&self) -> bool {
         self.term.0 == 0
     }
 
-    /// Whether other members receive its log. What knows nothing is in no term, and others are in a later one.
+    /// Whether other members receive its log. A database that has lost its log is in no term, and the others
+    /// are in a later one.
     #[must_use]
     pub const fn can_ship_log(&self) -> bool {
         self.is_reachable() && !self.has_lost_log()
     }
 
-    /// Is told not to receive in any term below this one.
+    /// Puts the database on hold: it receives nothing from a primary of a term below this one.
     pub fn hold(&mut self, term: Term) {
         if self.role == BackendRole::Replica && term > self.term {
             self.held = self.held.max(term);
         }
     }
 
-    /// Is told to receive again.
+    /// Ends a hold.
     pub fn resume(&mut self) {
         self.held = Term(0);
     }
 
-    /// Is told to give way to a term.
+    /// Steps down if its own term is older than this one.
     pub fn step_down(&mut self, term: Term) {
         if self.term < term {
             self.role = BackendRole::Replica;
         }
     }
 
-    /// Whether the applied log holds a position.
+    /// Whether the applied log contains a position.
     fn contains_position(&self, floor: Freshness) -> bool {
         let Ok(number) = usize::try_from(floor.position.0) else {
             return false;
@@ -235,7 +236,7 @@
         if number > self.applied {
             return false;
         }
-        // A position of an earlier term may have been rolled back and its number used again.
+        // A position of an earlier term may have been rolled back and its number reused.
         self.log[number - 1].at == floor
     }
 
@@ -425,7 +426,7 @@
         entry
     }
 
-    /// Ends every connection; what was open on them is undone.
+    /// Closes every connection, which rolls back open transactions.
     pub fn drop_connections(&mut self) -> Vec<ConnectionKey> {
         std::mem::take(&mut self.connections).into_keys().collect()
     }
--- a/crates/stairward-simulation/src/evacuations.rs
+++ b/crates/stairward-simulation/src/evacuations.rs
@@ -22,7 +22,7 @@
     /// The operator asks that nothing be sent to a zone's databases. Returns the zone, if it is not evacuated yet.
     pub(crate) fn evacuate(&mut self) -> Option<ZoneName> {
         let number = self.random.random_range(1..=ZONES);
-        let zone = ZoneName::new(format!("zone-{number}")).expect("a name");
+        let zone = ZoneName::new(format!("zone-{number}")).expect("valid name");
         if self.store.evacuated.contains_key(&zone) {
             return None;
         }
--- a/crates/stairward-simulation/src/faults.rs
+++ b/crates/stairward-simulation/src/faults.rs
@@ -1,4 +1,4 @@
-//! Faults: when they strike, what they do, and how they end.
+//! Injects faults, carries them out and ends them.
 
 use std::time::Duration;
 
@@ -9,22 +9,22 @@
 use crate::restores::StoreCopy;
 use crate::world::{SimulationEvent, World};
 
-/// How much later than its time a leaving database ends.
+/// How long a leaving database keeps running after the drain limit.
 const SHUTDOWN_DELAY: Duration = Duration::from_secs(2);
-/// Silence after which discovery forgets a database.
+/// How long a database must be unresponsive before discovery removes it.
 pub(crate) const LISTING_TIMEOUT: Duration = Duration::from_millis(3_600);
-/// Share of statements whose answers are lost, in percent.
+/// Percentage of statements whose responses are lost.
 const LOST_RESPONSES_PERCENT: u32 = 8;
-/// The shortest pause between two faults, in milliseconds.
+/// Minimum pause between two faults, in milliseconds.
 const MIN_PAUSE_MS: u64 = 100;
-/// How many times later a lagging replica applies.
+/// Factor by which a lagging replica applies later than usual.
 const LAG_FACTOR: u32 = 60;
 
 /// How a fault ends.
 #[derive(Debug)]
 pub(crate) enum FaultEnd {
     DatabaseStarts(BackendId),
-    /// It starts and knows nothing of before.
+    /// The database restarts without its log.
     DatabaseStartsWithoutLog(BackendId),
     DatabaseUnlisted(BackendId, u64),
     DatabaseStops(BackendId),
@@ -36,7 +36,7 @@
     PromotionsRecover,
     StoreResponsesRecover,
     EvacuationEnds(ZoneName),
-    /// The store goes away, and is to come back from this copy.
+    /// The store becomes unavailable, to be restored from this copy.
     StoreStops(Box<StoreCopy>),
     StoreRestored(Box<StoreCopy>),
     OperatorRewrites,
@@ -44,79 +44,81 @@
 }
 
 impl World {
-    /// The next fault strikes.
+    /// Injects the next fault and schedules the one after it.
     pub fn inject_fault(&mut self) {
         let is_early = self.now() < stairward_types::Time::ZERO + self.options.duration;
         if self.remaining_faults == 0 || self.options.faults.is_empty() || !is_early {
             return;
         }
         self.remaining_faults -= 1;
-        let place = self.random.random_range(0..self.options.faults.len());
-        let kind = self.options.faults[place];
-        let length = self.random_duration(1_000, 6_000);
+        let index = self.random.random_range(0..self.options.faults.len());
+        let kind = self.options.faults[index];
+        let duration = self.random_duration(1_000, 6_000);
         let now = self.now();
-        self.faults.push(format!("{now:?} {kind:?} for {length:?}"));
-        self.apply(kind, length);
+        self.faults
+            .push(format!("{now:?} {kind:?} for {duration:?}"));
+        self.apply(kind, duration);
         let pause = self.random_duration(MIN_PAUSE_MS, self.options.max_pause_ms);
         self.queue.schedule(pause, SimulationEvent::InjectFault);
     }
 
-    fn apply(&mut self, kind: FaultKind, length: Duration) {
+    fn apply(&mut self, kind: FaultKind, duration: Duration) {
         match kind {
-            FaultKind::PrimaryCrash => self.crash_primary(length),
-            FaultKind::PrimaryUnresponsive => self.silence_primary(length),
+            FaultKind::PrimaryCrash => self.crash_primary(duration),
+            FaultKind::PrimaryUnresponsive => self.silence_primary(duration),
             FaultKind::PrimaryLeaves => self.start_leaving_primary(),
             FaultKind::GroupLeaves => self.start_leaving_all(),
             FaultKind::PrimaryLostLog => {
                 if let Some(id) = self.running_primary() {
-                    self.restart_without_log(id, length / 4);
+                    self.restart_without_log(id, duration / 4);
                 }
             }
             FaultKind::ReplicaLostLog => {
                 if let Some(id) = self.random_replica() {
-                    self.restart_without_log(id, length / 4);
+                    self.restart_without_log(id, duration / 4);
                 }
             }
-            FaultKind::PrimaryIsolated => self.isolate_primary(length),
-            FaultKind::ReplicaLag => self.slow_replica(length),
-            FaultKind::ReplicaIsolated => self.isolate_replica(length),
+            FaultKind::PrimaryIsolated => self.isolate_primary(duration),
+            FaultKind::ReplicaLag => self.slow_replica(duration),
+            FaultKind::ReplicaIsolated => self.isolate_replica(duration),
             FaultKind::NodeKill => self.kill_random_node(),
-            FaultKind::NodePause => self.pause_random_node(length),
-            FaultKind::PrimaryPartition => self.partition_primary(length),
-            FaultKind::StorePartition => self.partition_from_store(length),
-            FaultKind::StoreUnavailable => self.stop_store(length),
-            FaultKind::StoreRestored => self.plan_restore(length),
+            FaultKind::NodePause => self.pause_random_node(duration),
+            FaultKind::PrimaryPartition => self.partition_primary(duration),
+            FaultKind::StorePartition => self.partition_from_store(duration),
+            FaultKind::StoreUnavailable => self.stop_store(duration),
+            FaultKind::StoreRestored => self.plan_restore(duration),
             FaultKind::StoreResponseLost => {
                 self.store.loses_responses = true;
-                self.end_after(length, FaultEnd::StoreResponsesRecover);
+                self.end_after(duration, FaultEnd::StoreResponsesRecover);
             }
             FaultKind::DelayedPromotion => {
                 self.promotions_are_late = true;
-                self.end_after(length * 2, FaultEnd::PromotionsRecover);
+                self.end_after(duration * 2, FaultEnd::PromotionsRecover);
             }
             FaultKind::ResponseLost => {
                 self.response_loss_percent = LOST_RESPONSES_PERCENT;
-                self.end_after(length, FaultEnd::DatabaseResponsesRecover);
+                self.end_after(duration, FaultEnd::DatabaseResponsesRecover);
             }
             FaultKind::ConfigurationChange => self.change_configuration(),
             FaultKind::Evacuation => {
                 if let Some(zone) = self.evacuate() {
-                    self.end_after(length * 2, FaultEnd::EvacuationEnds(zone));
+                    self.end_after(duration * 2, FaultEnd::EvacuationEnds(zone));
                 }
             }
         }
     }
 
-    pub(crate) fn end_after(&mut self, length: Duration, ending: FaultEnd) {
+    pub(crate) fn end_after(&mut self, duration: Duration, end: FaultEnd) {
         self.queue
-            .schedule(length, SimulationEvent::FaultEnds(ending));
+            .schedule(duration, SimulationEvent::FaultEnds(end));
     }
 
     fn running_primary(&self) -> Option<BackendId> {
         let id = self.group.primary()?;
         let database = self.group.databases.get(id)?;
-        let is_whole = database.is_alive && !database.is_silent && database.leaving_since.is_none();
-        is_whole.then(|| id.clone())
+        let is_running =
+            database.is_alive && !database.is_silent && database.leaving_since.is_none();
+        is_running.then(|| id.clone())
     }
 
     fn random_replica(&mut self) -> Option<BackendId> {
@@ -128,15 +130,15 @@
             .filter(|id| Some(*id) != primary.as_ref())
             .cloned()
             .collect();
-        let place = self.random.random_range(0..replicas.len());
-        replicas.get(place).cloned()
+        let index = self.random.random_range(0..replicas.len());
+        replicas.get(index).cloned()
     }
 
     fn random_node(&mut self) -> usize {
         self.random.random_range(0..self.nodes.len())
     }
 
-    fn crash_primary(&mut self, length: Duration) {
+    fn crash_primary(&mut self, duration: Duration) {
         if let Some(id) = self.running_primary() {
             self.stop_database(&id);
             let revision = self.group.revision;
@@ -144,11 +146,11 @@
                 LISTING_TIMEOUT,
                 FaultEnd::DatabaseUnlisted(id.clone(), revision),
             );
-            self.end_after(length, FaultEnd::DatabaseStarts(id));
+            self.end_after(duration, FaultEnd::DatabaseStarts(id));
         }
     }
 
-    fn silence_primary(&mut self, length: Duration) {
+    fn silence_primary(&mut self, duration: Duration) {
         if let Some(id) = self.running_primary() {
             if let Some(database) = self.group.databases.get_mut(&id) {
                 database.is_silent = true;
@@ -160,7 +162,7 @@
                 LISTING_TIMEOUT,
                 FaultEnd::DatabaseUnlisted(id.clone(), revision),
             );
-            self.end_after(length, FaultEnd::DatabaseStarts(id));
+            self.end_after(duration, FaultEnd::DatabaseStarts(id));
         }
     }
 
@@ -170,16 +172,16 @@
         }
     }
 
-    /// A database's process ends and starts again a while later, without its log. At most one in a run does while the
-    /// others hold theirs: two would lose what was acknowledged.
+    /// Restarts a database without its log after a pause. Does nothing if another database has lost its log
+    /// too: losing two logs would lose acknowledged commits.
     fn restart_without_log(&mut self, id: BackendId, pause: Duration) {
-        let are_others_whole = self
+        let others_have_logs = self
             .group
             .databases
             .values()
             .all(|database| database.id == id || database.can_ship_log());
         let is_alive = self.group.databases.get(&id).is_some_and(|d| d.is_alive);
-        if is_alive && are_others_whole {
+        if is_alive && others_have_logs {
             self.stop_database(&id);
             self.end_after(pause, FaultEnd::DatabaseStartsWithoutLog(id));
         }
@@ -195,7 +197,7 @@
         }
     }
 
-    /// A database says that it leaves, and ends after its time.
+    /// A database announces that it is leaving, and stops after the drain limit.
     fn start_leaving(&mut self, id: BackendId) {
         let now = self.now();
         if let Some(database) = self.group.databases.get_mut(&id) {
@@ -207,30 +209,30 @@
         self.end_after(drain_limit + SHUTDOWN_DELAY, FaultEnd::DatabaseStops(id));
     }
 
-    fn isolate_primary(&mut self, length: Duration) {
+    fn isolate_primary(&mut self, duration: Duration) {
         if let Some(id) = self.running_primary() {
             if let Some(database) = self.group.databases.get_mut(&id) {
                 database.is_isolated = true;
             }
-            self.end_after(length, FaultEnd::ReplicaRecovers(id));
+            self.end_after(duration, FaultEnd::ReplicaRecovers(id));
         }
     }
 
-    fn slow_replica(&mut self, length: Duration) {
+    fn slow_replica(&mut self, duration: Duration) {
         if let Some(id) = self.random_replica() {
             if let Some(database) = self.group.databases.get_mut(&id) {
                 database.lag_factor = LAG_FACTOR;
             }
-            self.end_after(length, FaultEnd::ReplicaRecovers(id));
+            self.end_after(duration, FaultEnd::ReplicaRecovers(id));
         }
     }
 
-    fn isolate_replica(&mut self, length: Duration) {
+    fn isolate_replica(&mut self, duration: Duration) {
         if let Some(id) = self.random_replica() {
             if let Some(database) = self.group.databases.get_mut(&id) {
                 database.is_isolated = true;
             }
-            self.end_after(length, FaultEnd::ReplicaRecovers(id));
+            self.end_after(duration, FaultEnd::ReplicaRecovers(id));
         }
     }
 
@@ -243,46 +245,46 @@
         }
     }
 
-    fn pause_random_node(&mut self, length: Duration) {
+    fn pause_random_node(&mut self, duration: Duration) {
         let node = self.random_node();
-        let until = self.now() + length;
+        let until = self.now() + duration;
         self.nodes[node].paused_until = until;
         self.nodes[node].connected_since = self.nodes[node].connected_since.max(until);
     }
 
-    fn partition_primary(&mut self, length: Duration) {
+    fn partition_primary(&mut self, duration: Duration) {
         let Some(id) = self.running_primary() else {
             return;
         };
         let count = self.nodes.len().div_ceil(2);
-        let cut: Vec<_> = (0..count).map(|node| (node, id.clone())).collect();
-        self.partitions.extend(cut.iter().cloned());
-        self.end_after(length, FaultEnd::PartitionHeals(cut));
+        let partition: Vec<_> = (0..count).map(|node| (node, id.clone())).collect();
+        self.partitions.extend(partition.iter().cloned());
+        self.end_after(duration, FaultEnd::PartitionHeals(partition));
     }
 
-    fn partition_from_store(&mut self, length: Duration) {
+    fn partition_from_store(&mut self, duration: Duration) {
         let node = self.random_node();
-        let until = self.now() + length;
+        let until = self.now() + duration;
         self.nodes[node].is_cut_from_store = true;
         self.nodes[node].connected_since = self.nodes[node].connected_since.max(until);
-        self.end_after(length, FaultEnd::StorePartitionHeals(node));
+        self.end_after(duration, FaultEnd::StorePartitionHeals(node));
     }
 
-    fn stop_store(&mut self, length: Duration) {
-        self.stop_store_for(length);
-        self.end_after(length, FaultEnd::StoreRecovers);
+    fn stop_store(&mut self, duration: Duration) {
+        self.stop_store_for(duration);
+        self.end_after(duration, FaultEnd::StoreRecovers);
     }
 
-    /// The store answers nothing until it is told otherwise, which is expected after this time.
-    pub(crate) fn stop_store_for(&mut self, length: Duration) {
-        let until = self.now() + length;
+    /// Makes the store unavailable until it is recovered explicitly, which is expected after this time.
+    pub(crate) fn stop_store_for(&mut self, duration: Duration) {
+        let until = self.now() + duration;
         self.store.go_down(self.now());
         for node in &mut self.nodes {
             node.connected_since = node.connected_since.max(until);
         }
     }
 
-    /// A database starts again in its old role and knows nothing of before.
+    /// Starts a database in its previous role without its log.
     fn start_without_log(&mut self, id: &BackendId) {
         let now = self.now();
         let Some(role) = self.group.databases.get(id).map(|database| database.role) else {
@@ -296,14 +298,13 @@
         }
         self.group.announce(id);
         self.notify_all_nodes();
-        self.decisions.push(format!(
-            "{now:?} {id} starts again without its log as {role:?}"
-        ));
+        self.decisions
+            .push(format!("{now:?} {id} restarts without its log as {role:?}"));
     }
 
-    /// A fault ends.
-    pub fn end_fault(&mut self, ending: FaultEnd) {
-        match ending {
+    /// Ends a fault.
+    pub fn end_fault(&mut self, end: FaultEnd) {
+        match end {
             FaultEnd::DatabaseStarts(id) => self.start_database(&id),
             FaultEnd::DatabaseStartsWithoutLog(id) => self.start_without_log(&id),
             FaultEnd::DatabaseUnlisted(id, revision) => {
@@ -312,12 +313,12 @@
                     .listed
                     .get(&id)
                     .is_some_and(|listed| listed.revision.revision() <= revision);
-                let is_away = self
+                let is_unreachable = self
                     .group
                     .databases
                     .get(&id)
                     .is_some_and(|database| !database.is_alive || database.is_silent);
-                if is_unchanged && is_away {
+                if is_unchanged && is_unreachable {
                     let now = self.now();
                     self.group.unlist(&id, now);
                     self.notify_all_nodes();
@@ -336,8 +337,8 @@
                     database.is_isolated = false;
                 }
             }
-            FaultEnd::PartitionHeals(cut) => {
-                for pair in cut {
+            FaultEnd::PartitionHeals(partition) => {
+                for pair in partition {
                     self.partitions.remove(&pair);
                 }
             }
--- a/crates/stairward-simulation/src/group.rs
+++ b/crates/stairward-simulation/src/group.rs
@@ -1,4 +1,4 @@
-//! The databases of one service together: replication, promotion, and what discovery says of them.
+//! The databases of one service: replication, promotion, and their entries in discovery.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,10 +10,10 @@
 
 use crate::database::{Database, LogEntry};
 
-/// How long an old primary goes on once it reaches the new one.
+/// How long an old primary keeps running once it is connected to the new one.
 const OLD_PRIMARY_RUN_TIME: Duration = Duration::from_secs(1);
 
-/// The one service.
+/// The name of the only service.
 pub const SERVICE: &str = "core";
 
 /// The databases of one service.
@@ -21,23 +21,23 @@
 pub struct Group {
     /// The databases by id.
     pub databases: BTreeMap<BackendId, Database>,
-    /// What discovery says.
+    /// The entries in discovery.
     pub listed: BTreeMap<BackendId, BackendDescription>,
-    /// Grows with each change of what discovery says.
+    /// Revision of discovery, which rises with each change.
     pub revision: u64,
     /// The highest fencing token seen.
     pub fence: u64,
-    /// Whether an old primary goes on after another was promoted, until it steps down or has reached the
-    /// new one for a while.
+    /// Whether an old primary keeps running after another was promoted, until it steps down or has been
+    /// connected to the new one for a while.
     pub old_primaries_keep_running: bool,
-    /// The database that leads the newest term, or led it and has stepped down: the others receive from it.
+    /// The database that was promoted last, which the others replicate from even after it has stepped down.
     source: BackendId,
     applied_at: BTreeMap<BackendId, Vec<(Time, usize)>>,
 }
 
-/// The one service's name.
+/// The name of the only service.
 pub fn service() -> ServiceName {
-    ServiceName::new(SERVICE).expect("a name")
+    ServiceName::new(SERVICE).expect("valid name")
 }
 
 impl Group {
@@ -45,7 +45,7 @@
     pub fn new(connection_limit: usize) -> Self {
         let mut databases = BTreeMap::new();
         for number in 1..=3 {
-            let id = BackendId::new(format!("db-{number}")).expect("a name");
+            let id = BackendId::new(format!("db-{number}")).expect("valid name");
             let role = if number == 1 {
                 BackendRole::Primary
             } else {
@@ -59,7 +59,7 @@
             revision: 0,
             fence: 0,
             old_primaries_keep_running: false,
-            source: BackendId::new("db-1").expect("a name"),
+            source: BackendId::new("db-1").expect("valid name"),
             applied_at: BTreeMap::new(),
         };
         let ids: Vec<_> = group.databases.keys().cloned().collect();
@@ -69,7 +69,7 @@
         group
     }
 
-    /// Discovery takes in what a database says of itself.
+    /// Lists a database in discovery with its current state.
     pub fn announce(&mut self, id: &BackendId) {
         let Some(database) = self.databases.get(id) else {
             return;
@@ -80,7 +80,7 @@
             id: id.clone(),
             service: service(),
             address: ([127, 0, 0, 1], 7_000 + number).into(),
-            zone: ZoneName::new(format!("zone-{number}")).expect("a name"),
+            zone: ZoneName::new(format!("zone-{number}")).expect("valid name"),
             is_leaving: database.leaving_since.is_some(),
             role: database.role,
             incarnation: Some(Incarnation(database.start_count)),
@@ -91,7 +91,7 @@
         self.listed.insert(id.clone(), description);
     }
 
-    /// Discovery takes in what a database says of itself, unless it lists just that.
+    /// Lists a database in discovery, but keeps the entry and the revision if nothing has changed.
     pub fn announce_if_changed(&mut self, id: &BackendId) {
         let listed = self.listed.get(id).cloned();
         let revision = self.revision;
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Discovery forgets a database. It counts as leaving from then on.
+    /// Removes a database from discovery. It counts as leaving from then on.
     pub fn unlist(&mut self, id: &BackendId, now: Time) {
         self.revision += 1;
         self.listed.remove(id);
@@ -117,7 +117,7 @@
         }
     }
 
-    /// A database forgets all that it knew. Returns what nobody else has of it.
+    /// Erases a database's log. Returns the entries that no other database has.
     pub fn erase_log(&mut self, id: &BackendId) -> Vec<LogEntry> {
         let Some(database) = self.databases.get_mut(id) else {
             return Vec::new();
@@ -128,7 +128,7 @@
         log.into_iter().filter(|entry| !is_kept(entry)).collect()
     }
 
-    /// The database that leads the newest term.
+    /// The primary of the newest term.
     pub fn primary(&self) -> Option<&BackendId> {
         let primaries = self
             .databases
@@ -139,8 +139,8 @@
             .map(|database| &database.id)
     }
 
-    /// A database leads the next term with what it has received; the others follow it. Returns what they had
-    /// beyond that.
+    /// Promotes a database to primary of the next term with the log that it has received; the others follow
+    /// it. Returns the entries of the others that are rolled back.
     pub fn promote(&mut self, id: &BackendId) -> Vec<LogEntry> {
         let newest = self.databases.values().map(|database| database.term).max();
         self.applied_at.clear();
@@ -176,7 +176,8 @@
         rolled_back
     }
 
-    /// Old primaries that have reached the new one for a while follow it. Returns what they had beyond it.
+    /// Demotes old primaries that have been connected to the new one for long enough. Returns the entries
+    /// that are rolled back.
     pub fn demote_old_primaries(&mut self, now: Time) -> Vec<LogEntry> {
         let Some(leader) = self.databases.get(&self.source) else {
             return Vec::new();
@@ -202,7 +203,7 @@
         rolled_back
     }
 
-    /// Whether a commit is on as many replicas as it must be before it is acknowledged.
+    /// Whether enough replicas have received a commit for it to be acknowledged.
     #[must_use]
     pub fn is_replicated(&self, entry: &LogEntry, replicas: u32) -> bool {
         let number = usize::try_from(entry.at.position.0).unwrap_or(usize::MAX);
@@ -213,8 +214,8 @@
         holding >= usize::try_from(replicas).unwrap_or(usize::MAX)
     }
 
-    /// Replicas receive what the primary has, and apply it after `lag` times their own factor. The log of a
-    /// primary that has stepped down is received to its end.
+    /// Replicas receive the primary's log and apply it after `lag` multiplied by their own factor. The log of
+    /// a primary that has stepped down is received to its end.
     pub fn replicate(&mut self, now: Time, lag: Duration) {
         let source = self.source.clone();
         let Some(leader) = self.databases.remove(&source) else {
@@ -231,7 +232,7 @@
                 if database.log.len() != leader.log.len()
                     || database.log.last() != leader.log.last()
                 {
-                    // One that led before may have more than the present leader.
+                    // A former primary may have more entries than the current one.
                     let same =
                         database.log.len() - divergent_entries(&database.log, &leader.log).len();
                     database.applied = database.applied.min(same);
@@ -252,7 +253,7 @@
     }
 }
 
-/// What a log has beyond its common beginning with another.
+/// The entries of a log after its common prefix with another.
 fn divergent_entries<'a>(log: &'a [LogEntry], kept: &[LogEntry]) -> &'a [LogEntry] {
     let same = log
         .iter()
--- a/crates/stairward-simulation/src/lib.rs
+++ b/crates/stairward-simulation/src/lib.rs
@@ -1,9 +1,9 @@
-//! Deterministic simulation of the statement engine and the failover duty.
+//! Deterministic simulation of the statement engine and the failover controller.
 //!
-//! Several nodes run the real [`stairward_engine::Engine`] and [`stairward_failover::FailoverController`] on a
-//! virtual clock, before a group of databases that elect nobody, with a metadata store and a promotion
-//! call between them. Faults strike; what callers were told is compared with what the databases did. One
-//! seed is one run.
+//! Several nodes run the real [`stairward_engine::Engine`] and [`stairward_failover::FailoverController`] on
+//! a virtual clock. They serve a replication group whose databases do not elect a primary themselves, and use
+//! a simulated metadata store and promotion call. The simulation injects faults and compares the responses
+//! that callers received with what the databases executed. A seed determines a run completely.
 
 #![forbid(unsafe_code)]
 
--- a/crates/stairward-simulation/src/nodes.rs
+++ b/crates/stairward-simulation/src/nodes.rs
@@ -1,4 +1,4 @@
-//! One simulated node: the real engine and the real duty.
+//! One simulated node: the real engine and the real failover controller.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -21,47 +21,48 @@
 use crate::options::{BrokenVariant, Options};
 use crate::store_view::{Entry, Evacuation, StoreView};
 
-/// How old a bounded read may be.
+/// Maximum staleness of a bounded read.
 pub(crate) const STALENESS: Duration = Duration::from_millis(1_000);
-/// Connections each database takes.
+/// Maximum number of connections to each database.
 pub(crate) const CONNECTION_LIMIT: u32 = 40;
 
-/// How much shorter than it may a node uses back ends that leave: from when it heard, and from when they can have said
-/// so.
+/// Margins subtracted from the drain limit to get how long a node uses a leaving back end: after it learned
+/// of the announcement, and after the earliest time at which it can have been made.
 const NOTICE_MARGIN: Duration = Duration::from_secs(3);
 const ANNOUNCEMENT_MARGIN: Duration = Duration::from_secs(1);
 
-/// One node.
+/// One simulated node.
 #[derive(Debug)]
 pub(crate) struct Node {
     pub engine: Engine,
     pub failover: FailoverController,
-    /// Grows with each start of the process; unique in the world.
+    /// Rises with each start of a node's process; unique within a run.
     pub incarnation: u64,
     pub is_running: bool,
     pub paused_until: Time,
     pub connections: BTreeMap<ConnectionId, BackendId>,
     pub is_cut_from_store: bool,
-    /// Since when it has been able to reach the store without a fault.
+    /// Since when it has had no fault on the way to the store.
     pub connected_since: Time,
-    /// When what it was shown of the store was last certainly the newest.
+    /// When the store state delivered to it was last known to be current.
     pub last_current_at: Option<Time>,
-    /// The databases' entries, as it sees them.
+    /// The database entries as the node sees them.
     pub entries: StoreView<Entry>,
-    /// The entries as they were last told to its engine.
+    /// The entries that were last delivered to its engine.
     pub delivered_entries: BTreeMap<String, Entry>,
-    /// The evacuations, as it sees them.
+    /// The evacuations as the node sees them.
     pub evacuations: StoreView<Evacuation>,
     pub last_known_primaries: LastKnownPrimaries,
-    /// The evacuated zones, as it was last shown them.
+    /// The evacuated zones that were last delivered to it.
     pub evacuated: BTreeSet<ZoneName>,
-    /// The newest configuration that it has had in force, by its content.
+    /// The newest configuration that it has had in force, identified by its content.
     pub newest_configuration: u64,
     pub timer_at: Time,
     pub failover_timer_at: Time,
 }
 
-/// How long a leader counts as confirmed, and how long whoever replaces it waits therefore.
+/// How long the engine considers a leadership confirmed, and how long the failover controller waits for
+/// confirmations to expire.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Leases {
     pub engine: Option<Duration>,
@@ -69,7 +70,7 @@
 }
 
 impl Leases {
-    /// What nodes of a run work by.
+    /// The leases for the nodes of a run.
     pub fn of(options: &Options) -> Self {
         let usual = options
             .old_primaries_keep_running
@@ -88,7 +89,6 @@
     }
 }
 
-/// A node's name.
 pub(crate) fn node_name(index: usize) -> String {
     format!("node-{index}")
 }
@@ -96,7 +96,7 @@
 impl Node {
     pub fn start(index: usize, incarnation: u64, now: Time, run: &Options) -> Self {
         let leases = Leases::of(run);
-        let zone = |number: usize| ZoneName::new(format!("zone-{number}")).expect("a name");
+        let zone = |number: usize| ZoneName::new(format!("zone-{number}")).expect("valid name");
         let own = index % 3 + 1;
         let distances = (1..=3).map(|number| {
             let distance = if number == own {
@@ -148,7 +148,8 @@
         }
     }
 
-    /// The duty's view of the back ends: a primary that is no longer listed stays known as missing.
+    /// The groups as the failover controller sees them: a primary that is no longer listed is kept as
+    /// missing.
     pub fn groups(
         &mut self,
         list: &[BackendDescription],
@@ -173,12 +174,12 @@
     }
 }
 
-/// The name of the route that shows a configuration's revision.
+/// Name of a route that identifies a configuration by its revision.
 pub(crate) fn revision_route(revision: u64) -> GroupId {
-    GroupId::new(format!("revision-{revision}")).expect("a name")
+    GroupId::new(format!("revision-{revision}")).expect("valid name")
 }
 
-/// The configuration of a revision.
+/// The configuration with the given revision and content.
 pub(crate) fn routing_table(
     revision: u64,
     content: u64,
@@ -208,7 +209,9 @@
     let mut routes: BTreeMap<_, _> = DATABASES
         .iter()
         .zip(consistencies)
-        .map(|((name, _), consistency)| (GroupId::new(*name).expect("a name"), route(consistency)))
+        .map(|((name, _), consistency)| {
+            (GroupId::new(*name).expect("valid name"), route(consistency))
+        })
         .collect();
     routes.insert(revision_route(content), route(Consistency::Primary));
     let limits = ServiceLimits {
@@ -225,7 +228,7 @@
     })
 }
 
-/// The revision that a configuration's content shows.
+/// The revision that a configuration's content identifies.
 pub(crate) fn configuration_number(table: &RoutingTable) -> u64 {
     let names: BTreeSet<_> = table.routes.keys().collect();
     let shown = names
--- a/crates/stairward-simulation/src/options.rs
+++ b/crates/stairward-simulation/src/options.rs
@@ -1,4 +1,4 @@
-//! What a run is made of.
+//! Options of a simulation run, its fault kinds and the deliberately broken variants.
 
 use std::time::Duration;
 
@@ -7,64 +7,67 @@
 /// A kind of fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FaultKind {
-    /// The primary's process ends; it comes back with its log.
+    /// The primary's process stops and later restarts with its log.
     PrimaryCrash,
-    /// The primary falls silent and comes back with its log.
+    /// The primary stops responding and later recovers with its log.
     PrimaryUnresponsive,
-    /// The primary says that it leaves, and ends after its time.
+    /// The primary announces that it is leaving and stops after the drain limit.
     PrimaryLeaves,
-    /// The primary and its replicas don't reach each other.
+    /// The primary and its replicas cannot reach each other.
     PrimaryIsolated,
-    /// A replica applies late.
+    /// A replica applies the log with a large delay.
     ReplicaLag,
-    /// A replica receives nothing.
+    /// A replica receives no log entries.
     ReplicaIsolated,
-    /// A node's process is killed and started again.
+    /// A node's process is killed and restarted.
     NodeKill,
-    /// A node stands still.
+    /// A node processes no events for a while.
     NodePause,
-    /// Some nodes and the primary don't reach each other.
+    /// Some nodes and the primary cannot reach each other.
     PrimaryPartition,
-    /// A node and the store don't reach each other.
+    /// A node and the metadata store cannot reach each other.
     StorePartition,
-    /// The store answers nothing.
+    /// The metadata store does not respond.
     StoreUnavailable,
-    /// Writes to the store are done and not answered.
+    /// The metadata store carries out writes, but their responses are lost.
     StoreResponseLost,
-    /// Promotions are not answered and carried out late.
+    /// Promotions are carried out late and their responses are lost.
     DelayedPromotion,
-    /// Databases run statements whose answers are lost.
+    /// Databases run statements, but the responses are lost.
     ResponseLost,
-    /// The configuration changes.
+    /// The operator changes the configuration.
     ConfigurationChange,
     /// A zone is evacuated for a while.
     Evacuation,
-    /// The primary's process ends and starts again under its id, calls itself primary, and knows nothing of before.
+    /// The primary's process restarts under the same id without its log or term, and reports itself as
+    /// primary.
     PrimaryLostLog,
-    /// A replica's does, and calls itself replica.
+    /// A replica's process restarts under the same id without its log or term, and reports itself as replica.
     ReplicaLostLog,
-    /// The store goes away and comes back from a copy some seconds old.
+    /// The metadata store becomes unavailable and is restored from a copy that is some seconds old.
     StoreRestored,
-    /// All databases of the group say that they leave, close upon each other, and end after their time.
+    /// All databases of the group announce at the same time that they are leaving, and stop after the drain
+    /// limit.
     GroupLeaves,
 }
 
 impl FaultKind {
-    /// The kinds where zones are evacuated too.
+    /// All kinds of [`Self::ALL`], and zone evacuations.
     #[must_use]
     pub fn with_evacuations() -> Vec<Self> {
         let evacuations = [Self::Evacuation; 3];
         Self::ALL.into_iter().chain(evacuations).collect()
     }
 
-    /// The kinds where the store comes back from older copies too.
+    /// All kinds of [`Self::ALL`], and restores of the metadata store from older copies.
     #[must_use]
     pub fn with_restores() -> Vec<Self> {
         let restores = [Self::StoreRestored; 5];
         Self::ALL.into_iter().chain(restores).collect()
     }
 
-    /// All kinds but restores, evacuations, groups that leave and databases that forget, which are drawn apart, so that a seed goes on standing for the same run.
+    /// All kinds except restores, evacuations, groups that leave and lost logs. Those are only added on
+    /// request, so that a seed keeps producing the same run.
     pub const ALL: [Self; 15] = [
         Self::PrimaryCrash,
         Self::PrimaryUnresponsive,
@@ -84,57 +87,58 @@
     ];
 }
 
-/// A deliberately broken node, to show that the checks can fail. The damage is done to what the real code
-/// wants done, on its way out or in.
+/// A deliberately broken node, which shows that the checks can fail. The simulation alters the effects or
+/// events of the real code.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BrokenVariant {
-    /// Reads go out without their floor.
+    /// Reads are sent without the position that they must at least see.
     NoReadFloor,
-    /// Reads at the leader go out without the transaction around them.
+    /// Reads at the leader are sent without the surrounding transaction that proves its leadership.
     NoLeaderCheck,
-    /// A write whose outcome is unknown is called not run.
+    /// A write with an unknown outcome is reported as not run.
     FalseNotRun,
-    /// A write goes out twice.
+    /// Each write is sent twice.
     DuplicateWrite,
-    /// Values and prepared names are not dropped between sessions.
+    /// Session values and prepared statements are not reset between sessions.
     NoSessionReset,
-    /// Statements of a transaction go to another connection.
+    /// Some statements of a transaction are sent to another connection.
     WrongConnection,
-    /// Every decision uses the same fencing token.
+    /// Every promotion uses the same fencing token.
     ReusedToken,
-    /// Back ends that leave are not known to leave.
+    /// Nodes do not see that a back end is leaving.
     IgnoredLeaving,
-    /// An older configuration is put in force over a newer one.
+    /// An older configuration replaces a newer one.
     StaleConfiguration,
-    /// Replicas are asked but not held before a promotion.
+    /// Replicas are asked for their status before a promotion, but not put on hold.
     NoHold,
-    /// An old primary is taken to have stepped down without being asked.
+    /// An old primary is assumed to have stepped down although it was not asked to.
     NoStepDown,
-    /// Nodes don't hear that replicas are on hold.
+    /// Nodes do not see that replicas are on hold and ignore revocations of leadership.
     IgnoredRevocation,
-    /// Whoever promotes does not wait until the nodes' confirmations have lapsed.
+    /// The promoting node does not wait until the leadership confirmations of other nodes have expired.
     NoLeaseWait,
-    /// Nodes take a confirmation to hold longer than whoever promotes waits.
+    /// Nodes consider a leadership confirmation valid for longer than the promoting node waits.
     LongLease,
-    /// What a leader answers is passed on without a confirmation.
+    /// Responses of a leader are passed on without a confirmation of its leadership.
     NoConfirmation,
-    /// Connections are opened for one tenant and used for all.
+    /// Connections are opened for one tenant and used for all tenants.
     SharedTenantConnections,
-    /// A key that was withdrawn is still known.
+    /// Withdrawn keys are still accepted.
     RevokedKeyAccepted,
-    /// A coordinator grants whatever is asked for.
+    /// A rate limit coordinator grants every request in full.
     UnlimitedGrants,
-    /// A node that has started anew does not know of evacuations.
+    /// A restarted node does not know of evacuations.
     ForgottenEvacuation,
-    /// Every node takes itself for the one that sends to databases that have just started.
+    /// Every node considers itself the only one that sends requests to databases that have just started.
     EveryNodeFirstRanked,
-    /// Nodes don't see that a primary has lost its log.
+    /// Nodes do not see that a primary has lost its log.
     HiddenLostLog,
-    /// Revisions of the store are taken without the copy that they are of.
+    /// Store revisions are compared without the era of the store copy that they belong to.
     IgnoredEra,
-    /// Nodes don't learn that records may have been lost, though revisions rise.
+    /// Revisions rise after a restore and the era stays, so that nodes do not detect that records may have
+    /// been lost.
     HiddenRecordLoss,
-    /// Nodes take a restored store's older word at once.
+    /// Nodes apply the older state of a restored store immediately.
     UnprotectedRestore,
 }
 
@@ -168,45 +172,47 @@
     ];
 }
 
-/// A run.
+/// Options of a run.
 #[derive(Debug, Clone)]
 pub struct Options {
     /// The seed.
     pub seed: u64,
-    /// Kinds of faults that strike.
+    /// The kinds of faults to inject.
     pub faults: Vec<FaultKind>,
-    /// How many faults strike in all.
+    /// Number of faults to inject.
     pub fault_count: u32,
-    /// The longest pause between two of them, in milliseconds.
+    /// Maximum pause between two faults, in milliseconds.
     pub max_pause_ms: u64,
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: u32,
-    /// Sessions at once.
+    /// Number of concurrent sessions.
     pub sessions: u32,
-    /// Operations of twenty that are single writes; with 1 or less, transactions only read.
+    /// How many of twenty operations are single writes. With 1 or less, transactions only read.
     pub writes_per_twenty: u32,
-    /// How long callers act.
+    /// How long callers send statements.
     pub duration: Duration,
-    /// Connections to each back end that nodes are told they may hold together. Few make some nodes forward.
+    /// Maximum number of connections that all nodes together may hold to each back end. With few connections,
+    /// some nodes have to forward statements.
     pub connections: u32,
-    /// Replicas that must have received a commit before it is acknowledged.
+    /// Number of replicas that must have received a commit before it is acknowledged.
     pub synchronous_replicas: u32,
-    /// Whether an old primary goes on after another was promoted.
+    /// Whether an old primary keeps accepting writes after another was promoted.
     pub old_primaries_keep_running: bool,
-    /// Tenants that callers belong to, in turn; with 0 they are not told apart.
+    /// Number of tenants, assigned to callers in turn. With 0 the run has no tenants.
     pub tenants: u64,
-    /// Operations a second that each tenant may run, and as many at once; none where that is not limited.
+    /// Operations per second that each tenant may run, which is also its burst; `None` for no limit.
     pub tenant_rate: Option<u64>,
-    /// How databases that have just started are to be treated; none where they are like all others.
+    /// How databases that have just started are treated; `None` if they are treated like all others.
     pub cold: Option<ColdStart>,
-    /// How long a back end that leaves may get new work, from when the store took that.
+    /// How long a leaving back end may receive new work, counted from when the store accepted its
+    /// announcement.
     pub drain_limit: Duration,
-    /// A deliberate damage.
+    /// The broken variant that the nodes run, if any.
     pub broken: Option<BrokenVariant>,
 }
 
 impl Options {
-    /// A run with all kinds of faults.
+    /// A run with all kinds of [`FaultKind::ALL`].
     #[must_use]
     pub fn new(seed: u64) -> Self {
         Self {
--- a/crates/stairward-simulation/src/queue.rs
+++ b/crates/stairward-simulation/src/queue.rs
@@ -26,19 +26,19 @@
         self.now
     }
 
-    pub fn schedule(&mut self, after: Duration, happening: H) {
-        self.schedule_at(self.now + after, happening);
+    pub fn schedule(&mut self, after: Duration, event: H) {
+        self.schedule_at(self.now + after, event);
     }
 
-    pub fn schedule_at(&mut self, at: Time, happening: H) {
+    pub fn schedule_at(&mut self, at: Time, event: H) {
         self.sequence += 1;
         let at = at.max(self.now);
-        self.events.insert((at, self.sequence), happening);
+        self.events.insert((at, self.sequence), event);
     }
 
     pub fn next(&mut self) -> Option<H> {
-        let ((at, _), happening) = self.events.pop_first()?;
+        let ((at, _), event) = self.events.pop_first()?;
         self.now = at;
-        Some(happening)
+        Some(event)
     }
 }
--- a/crates/stairward-simulation/src/store.rs
+++ b/crates/stairward-simulation/src/store.rs
@@ -1,42 +1,42 @@
-//! The metadata store: the configuration and the record of the one service.
+//! The metadata store: the configuration, evacuations and the failover record of the only service.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use stairward_failover::FailoverRecord;
 use stairward_types::{Time, ZoneName};
 
-/// The store.
+/// The metadata store.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Store {
     pub is_down: bool,
-    /// When it went away and when it came back, in order.
+    /// Start and end of each outage, in order.
     pub outages: Vec<(Time, Time)>,
     pub loses_responses: bool,
     pub record_version: u64,
     pub record: Option<FailoverRecord>,
-    /// The newest configuration's revision.
+    /// Revision of the newest configuration.
     pub configuration: u64,
     /// Evacuated zones, and since when.
     pub evacuated: BTreeMap<ZoneName, Time>,
-    /// Its newest revision.
+    /// The newest revision.
     pub revisions: u64,
-    /// Rises each time that it comes back from an older copy.
+    /// Rises each time that the store is restored from an older copy.
     pub era: u64,
-    /// The revision of the configuration that the operator wrote last, which the store may have lost.
+    /// Revision of the configuration that the operator wrote last, which a restore may have lost.
     pub operator_configuration: u64,
-    /// Evacuations that the store has lost and the operator has not written again yet.
+    /// Evacuations that a restore has lost and the operator has not written again yet.
     pub unrestored_evacuations: BTreeSet<ZoneName>,
 }
 
 impl Store {
-    /// It answers nothing from now on.
+    /// Makes the store unavailable.
     pub fn go_down(&mut self, now: Time) {
         if !std::mem::replace(&mut self.is_down, true) {
             self.outages.push((now, Time::NEVER));
         }
     }
 
-    /// It answers again.
+    /// Ends the outage.
     pub fn recover(&mut self, now: Time) {
         self.is_down = false;
         if let Some((_, end)) = self.outages.last_mut() {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// When it took a word that was said at a moment: at once, or as soon as it was back.
+    /// When the store accepted an announcement: immediately, or at the end of the outage it was made in.
     pub fn accepted_at(&self, announced_at: Time) -> Time {
         let outage = self
             .outages
@@ -53,8 +53,8 @@
         outage.map_or(announced_at, |(_, back)| *back)
     }
 
-    /// Writes the record under its condition, which names a revision and no era. Returns the version afterwards, or none
-    /// for a conflict.
+    /// Writes the record if its version is the expected one. The condition contains no era. Returns the new
+    /// version, or `None` on a conflict.
     pub fn write_record(&mut self, expected: u64, record: FailoverRecord) -> Option<u64> {
         if expected != self.record_version {
             return None;
--- a/crates/stairward-simulation/src/tenants.rs
+++ b/crates/stairward-simulation/src/tenants.rs
@@ -46,7 +46,7 @@
 
 /// A tenant's name.
 pub(crate) fn tenant_name(tenant: u64) -> TenantName {
-    TenantName::new(format!("tenant-{tenant}")).expect("a name")
+    TenantName::new(format!("tenant-{tenant}")).expect("valid name")
 }
 
 /// The key that a configuration brings for a tenant.
--- a/crates/stairward-simulation/src/world.rs
+++ b/crates/stairward-simulation/src/world.rs
@@ -1,4 +1,4 @@
-//! The world: everything that happens, in order.
+//! The simulated world: all state, and the events in the order of their time.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -20,33 +20,33 @@
 use crate::store::Store;
 use crate::tenants::TenantHistory;
 
-/// One way between a caller and a node.
+/// One-way delay between a caller and a node.
 pub(crate) const CALLER_DELAY: Duration = Duration::from_millis(3);
-/// One way between a node and the store.
+/// One-way delay between a node and the metadata store.
 pub(crate) const STORE_DELAY: Duration = Duration::from_millis(3);
-/// One way between a node and a database of its own zone, and of another.
+/// One-way delay between a node and a database of its own zone, and of another zone.
 pub(crate) const NEAR_DELAY: Duration = Duration::from_millis(1);
 pub(crate) const FAR_DELAY: Duration = Duration::from_millis(8);
-/// How often replicas receive and apply.
+/// How often replicas receive and apply the log.
 pub(crate) const REPLICATION_TICK: Duration = Duration::from_millis(4);
-/// How late a replica applies when nothing is wrong.
+/// Apply delay of a replica without faults.
 pub(crate) const NORMAL_LAG: Duration = Duration::from_millis(8);
-/// A promotion's time.
+/// How long a promotion takes.
 pub(crate) const PROMOTION_TIME: Duration = Duration::from_millis(600);
-/// How often a node looks at the store again.
+/// How often a node polls the metadata store.
 pub(crate) const STORE_POLL: Duration = Duration::from_millis(1_000);
-/// How long a caller waits for an answer.
+/// How long a caller waits for a response.
 pub(crate) const CALLER_TIMEOUT: Duration = Duration::from_secs(5);
-/// After the callers' time the run goes on for so long.
+/// How long the run continues after callers have stopped.
 pub(crate) const SETTLE_TIME: Duration = Duration::from_secs(4);
-/// A configuration is in force on a node in touch within this time.
+/// A connected node must have a configuration in force within this time.
 pub(crate) const CONFIGURATION_LIMIT: Duration = Duration::from_secs(4);
-/// A node is in touch when nothing has been wrong with it for this long.
+/// A node counts as connected when it has had no fault for this long.
 pub(crate) const MIN_CONNECTED_TIME: Duration = Duration::from_secs(5);
-/// One in so many statements of a transaction is sent to another connection by a broken node.
+/// The wrong-connection variant sends one in this many statements to another connection.
 pub(crate) const MULTIPLEX_ONE_IN: u32 = 12;
 
-/// A question of the duty to a database.
+/// A query of the failover controller to a database.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum MemberQuery {
     Status,
@@ -56,7 +56,7 @@
     Resume,
 }
 
-/// Something that happens.
+/// An event of the simulation. The first number is usually the node, the second its incarnation.
 #[derive(Debug)]
 pub(crate) enum SimulationEvent {
     Engine(usize, u64, Box<Event>),
@@ -76,15 +76,15 @@
         Box<SimulationEvent>,
     ),
     QueryPeerPosition(usize, u64, usize, Time),
-    /// A node finds that its link to another has ended.
+    /// A node detects that its connection to another node has ended.
     LinkLost(usize, u64, NodeId),
     QueryMember(usize, u64, BackendId, MemberQuery),
-    /// A node looks at a back end that another finds silent.
+    /// A node checks a back end that another node reports as unresponsive.
     VerifyBackend(usize, u64, BackendId, NodeId),
-    /// A node asks a member to step down or to hold, by a way.
+    /// A node asks a member to step down or to hold, directly or through a peer.
     CallMember(usize, u64, BackendId, MemberQuery, Via),
     QueryPeerLeadership(usize, u64, usize, Time),
-    /// A node asks another for operations of tenants with a limit.
+    /// A node asks a coordinator to grant operations of tenants with a rate limit.
     RequestLimitGrant(usize, u64, usize, Box<GrantRequest>),
     RevokeLeadership(usize, u64, NodeId, Term),
     Promote(
@@ -107,26 +107,26 @@
     End,
 }
 
-/// What came of a run.
+/// The result of a run.
 #[derive(Debug)]
 pub struct Report {
-    /// What was violated.
+    /// The violations of invariants.
     pub violations: Vec<Violation>,
     /// How often each invariant was checked.
     pub checked: BTreeMap<Invariant, u64>,
     /// Statements that succeeded.
     pub succeeded: u64,
-    /// Statements that did not.
+    /// Statements that did not succeed.
     pub failed: u64,
-    /// Promotions carried out.
+    /// Promotions that took effect.
     pub promotions: u64,
     /// Acknowledged commits that promotions rolled back.
     pub acknowledged_then_lost: u64,
-    /// What struck.
+    /// The injected faults.
     pub faults: Vec<String>,
-    /// Steps of the failover duty, and promotions that took effect.
+    /// Steps of the failover controllers, and promotions that took effect.
     pub decisions: Vec<String>,
-    /// A number that any difference between two runs would change.
+    /// A hash of the event times, which differs when two runs differ in them.
     pub fingerprint: u64,
 }
 
@@ -141,15 +141,15 @@
     pub checker: Checker,
     pub callers: Vec<Caller>,
     pub guests: crate::guests::ForwardedSessions,
-    /// Pairs of node and database that don't reach each other.
+    /// Pairs of node and database that cannot reach each other.
     pub partitions: BTreeSet<(usize, BackendId)>,
-    /// Connections that say nothing any more.
+    /// Connections on which no more responses arrive.
     pub stalled: BTreeSet<ConnectionKey>,
     pub response_loss_percent: u32,
     pub promotions_are_late: bool,
     pub faults: Vec<String>,
     pub decisions: Vec<String>,
-    /// Who last wrote the service's record, and when, whatever the store has lost since.
+    /// Who last wrote the service's record, and when. A restore of the store does not reset it.
     pub(crate) last_record_writer: Option<(Time, String)>,
     pub remaining_faults: u32,
     pub last_incarnation: u64,
@@ -167,11 +167,11 @@
 pub fn simulate(options: &Options) -> Report {
     let mut world = World::new(options.clone());
     world.schedule_initial_events();
-    while let Some(happening) = world.queue.next() {
+    while let Some(event) = world.queue.next() {
         if world.is_over {
             break;
         }
-        world.handle_event(happening);
+        world.handle_event(event);
     }
     world.report()
 }
@@ -267,15 +267,15 @@
         }
     }
 
-    fn handle_event(&mut self, happening: SimulationEvent) {
+    fn handle_event(&mut self, event: SimulationEvent) {
         self.fingerprint = self
             .fingerprint
             .wrapping_mul(0x0100_0000_01b3)
             .wrapping_add(self.now().0);
-        let Some(happening) = self.postpone_if_paused(happening) else {
+        let Some(event) = self.postpone_if_paused(event) else {
             return;
         };
-        match happening {
+        match event {
             SimulationEvent::Engine(node, incarnation, event) => {
                 self.handle_engine_event(node, incarnation, *event)
             }
@@ -366,22 +366,22 @@
         }
     }
 
-    /// What happens to a frozen node happens when it thaws.
-    fn postpone_if_paused(&mut self, happening: SimulationEvent) -> Option<SimulationEvent> {
-        let node = match &happening {
+    /// Postpones events of a paused node until the pause ends.
+    fn postpone_if_paused(&mut self, event: SimulationEvent) -> Option<SimulationEvent> {
+        let node = match &event {
             SimulationEvent::Engine(node, ..)
             | SimulationEvent::Failover(node, ..)
             | SimulationEvent::EngineTimer(node, _)
             | SimulationEvent::FailoverTimer(node, _)
             | SimulationEvent::PollStore(node, _)
             | SimulationEvent::DeliverStoreState(node, _) => *node,
-            _ => return Some(happening),
+            _ => return Some(event),
         };
         let until = self.nodes[node].paused_until;
         if self.now() >= until {
-            return Some(happening);
+            return Some(event);
         }
-        self.queue.schedule_at(until, happening);
+        self.queue.schedule_at(until, event);
         None
     }
 
--- a/crates/stairward-simulation/src/world_callers.rs
+++ b/crates/stairward-simulation/src/world_callers.rs
@@ -83,7 +83,7 @@
         let key = self.assign_key(index, node);
         let event = Event::SessionOpened {
             session: SessionId(self.sessions),
-            database: GroupId::new(DATABASES[database].0).expect("a name"),
+            database: GroupId::new(DATABASES[database].0).expect("valid name"),
             key,
         };
         let event = SimulationEvent::Engine(node.0, node.1, Box::new(event));
--- a/crates/stairward-simulation/src/world_databases.rs
+++ b/crates/stairward-simulation/src/world_databases.rs
@@ -441,7 +441,7 @@
         let began = self.now();
         self.checker.record_term_start(began, term);
         self.decisions
-            .push(format!("{began:?} {backend} leads {term:?}"));
+            .push(format!("{began:?} {backend} is primary of {term:?}"));
         if self.options.synchronous_replicas > 0 {
             let now = self.now();
             self.checker.check_kept(now, &rolled_back);
