--- a/crates/stairward-simulation/examples/run_seed.rs
+++ b/crates/stairward-simulation/examples/run_seed.rs
@@ -1,6 +1,8 @@
-//! Runs seeds of the simulation where old primaries go on, and prints what struck, what the duty decided and
-//! the first violations of each that has any. `cargo run --release --example run_seed -- FROM TO [close] [restores]`; with
-//! `close`, faults strike close upon each other; with `restores`, the store comes back from older copies too.
+//! Runs seeds in which old primaries keep running, and prints the injected faults, the failover decisions and
+//! the first violations of each seed that has any.
+//!
+//! Usage: `cargo run --release --example run_seed -- FROM TO [close] [restores]`. With `close`, faults follow
+//! each other quickly; with `restores`, the store is also restored from older copies.
 
 use stairward_simulation::{FaultKind, Options, simulate};
 
--- a/crates/stairward-simulation/examples/seeds.rs
+++ b/crates/stairward-simulation/examples/seeds.rs
@@ -1,4 +1,4 @@
-//! Runs a range of seeds with all kinds of faults and prints what was violated: `seeds FIRST LAST`.
+//! Runs a range of seeds with all kinds of faults and prints violations: `seeds FIRST LAST`.
 
 use stairward_simulation::{Options, simulate};
 
@@ -15,7 +15,7 @@
     for seed in first..=last {
         let report = simulate(&Options::new(seed));
         if let Some(violation) = report.violations.first() {
-            println!("seed {seed}: {violation:?}, strikes {:?}", report.faults);
+            println!("seed {seed}: {violation:?}, faults {:?}", report.faults);
         }
         violations += report.violations.len();
         promotions += report.promotions;
--- a/crates/stairward-simulation/src/cold.rs
+++ b/crates/stairward-simulation/src/cold.rs
@@ -1,5 +1,5 @@
-//! Databases that have just started: what discovery says of them, who is told to send there, and the check that all nodes
-//! together send no more than the service allows.
+//! Databases that have just started: their cold period, the node that may send to them, and the check that
+//! all nodes together stay within the service's rate.
 
 use std::time::Duration;
 
@@ -11,24 +11,24 @@
 use crate::options::BrokenVariant;
 use crate::world::World;
 
-/// The span in which requests are counted.
+/// Window in which requests are counted.
 const WINDOW: Duration = Duration::from_secs(1);
-/// What the rate is multiplied by, as the platform's pages have it.
+/// Factor applied to the rate, as the platform documents it.
 pub(crate) const EXCESS: f64 = 1.5;
-/// Requests a second more.
+/// Requests per second allowed in addition.
 pub(crate) const SLACK: f64 = 5.0;
 
-/// How databases that have just started are to be treated.
+/// How databases that have just started are treated.
 #[derive(Debug, Clone, Copy)]
 pub struct ColdStart {
-    /// Requests a second that one may get.
+    /// Requests per second that a cold database may receive.
     pub rate: u32,
-    /// How long it stays cold.
+    /// How long a database stays cold after its start.
     pub duration: Duration,
 }
 
 impl ColdStart {
-    /// The requests that may reach a cold database in any second.
+    /// The maximum number of requests that may reach a cold database in one second.
     fn bound(self) -> usize {
         let bound = f64::from(self.rate) * EXCESS + SLACK;
         #[allow(
@@ -42,7 +42,8 @@
 }
 
 impl World {
-    /// A node is told who sends to cold databases: the first node that runs. A broken one takes itself for it.
+    /// The first running node, which sends to cold databases. The broken variant makes each node believe that
+    /// it is the one.
     pub(crate) fn first_holder_for(&self, node: usize) -> Option<NodeId> {
         self.options.cold.as_ref()?;
         let running = self.nodes.iter().position(|other| other.is_running);
@@ -53,7 +54,8 @@
         Some(NodeId(u64::try_from(first).unwrap_or(0)))
     }
 
-    /// No more requests reach a cold database in any second than its service allows, from all nodes, in touch or not.
+    /// Checks that a cold database receives no more requests in any second than its service allows, from all
+    /// nodes together, whether they are connected to the store or not.
     pub(crate) fn check_cold(
         &mut self,
         node: usize,
@@ -77,8 +79,8 @@
         if arrived > cold.bound() {
             let is_known = self.nodes[node].engine.is_cold(now, backend);
             let text = format!(
-                "{backend} got {arrived} requests within a second while cold, the last of node {node}, \
-                 which takes it for cold: {is_known}"
+                "{backend} received {arrived} requests within a second while cold, the last from node {node}, \
+                 which considers it cold: {is_known}"
             );
             self.checker.record_violation(now, Invariant::WarmUp, text);
         }
--- a/crates/stairward-simulation/src/evacuations.rs
+++ b/crates/stairward-simulation/src/evacuations.rs
@@ -1,4 +1,4 @@
-//! Evacuated zones: what the store says, what nodes are shown of it, and the check that nothing arrives there.
+//! Evacuated zones: the store's state, what nodes see of it, and the check that no work arrives in the zone.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,13 +13,13 @@
 use crate::store_view::Evacuation;
 use crate::world::{MIN_CONNECTED_TIME, World};
 
-/// From an evacuation's acknowledgement to the last work that may arrive in the zone.
+/// Maximum time from an evacuation's acknowledgement to the last work that arrives in the zone.
 const EVACUATION_LIMIT: Duration = Duration::from_secs(5);
-/// Databases, one in each zone.
+/// Number of zones, with one database each.
 const ZONES: u32 = 3;
 
 impl World {
-    /// The operator asks that nothing be sent to a zone's databases. Returns the zone, if it is not evacuated yet.
+    /// The operator evacuates a random zone. Returns the zone, or `None` if it is evacuated already.
     pub(crate) fn evacuate(&mut self) -> Option<ZoneName> {
         let number = self.random.random_range(1..=ZONES);
         let zone = ZoneName::new(format!("zone-{number}")).expect("valid name");
@@ -32,14 +32,15 @@
         Some(zone)
     }
 
-    /// The operator takes an evacuation back.
+    /// The operator ends an evacuation.
     pub(crate) fn end_evacuation(&mut self, zone: &ZoneName) {
         self.store.evacuated.remove(zone);
         self.store.unrestored_evacuations.remove(zone);
         self.notify_all_nodes();
     }
 
-    /// The evacuated zones as a node is shown them. A broken node forgets them when it starts anew.
+    /// Delivers the evacuated zones to a node. The forgotten-evacuation variant delivers none after a
+    /// restart.
     pub(crate) fn deliver_evacuations(
         &mut self,
         node: usize,
@@ -52,7 +53,7 @@
         let listed: BTreeMap<String, Evacuation> = if has_forgotten {
             BTreeMap::new()
         } else {
-            // Later ones have higher revisions.
+            // Later evacuations have higher revisions.
             let evacuated = self.store.evacuated.iter();
             let object = |at: &Time| Evacuation(StoreRevision::new(era, at.0));
             evacuated
@@ -70,7 +71,8 @@
         );
     }
 
-    /// No work of a node in touch reaches a database whose zone has been evacuated for long.
+    /// Checks that no work of a connected node reaches a database after its zone's evacuation had to take
+    /// effect.
     pub(crate) fn check_evacuated(
         &mut self,
         node: usize,
@@ -87,10 +89,12 @@
             return;
         };
         self.checker.count(Invariant::ZoneEvacuation);
-        // It counts from when the store took it, which it does only while it is up.
+        // The limit counts from when the store accepted the evacuation, which it only does while it is
+        // available.
         let since = self.store.accepted_at(since);
         if now > since + EVACUATION_LIMIT {
-            let text = format!("{backend}, evacuated at {since:?}, got work of node {node}");
+            let text =
+                format!("{backend}, evacuated at {since:?}, received new work of node {node}");
             self.checker
                 .record_violation(now, Invariant::ZoneEvacuation, text);
         }
--- a/crates/stairward-simulation/src/faults.rs
+++ b/crates/stairward-simulation/src/faults.rs
@@ -172,8 +172,8 @@
         }
     }
 
-    /// Restarts a database without its log after a pause. Does nothing if another database has lost its log
-    /// too: losing two logs would lose acknowledged commits.
+    /// Restarts a database without its log after a pause. Does nothing unless all others are reachable
+    /// and have their logs: losing two logs would lose acknowledged commits.
     fn restart_without_log(&mut self, id: BackendId, pause: Duration) {
         let others_have_logs = self
             .group
--- a/crates/stairward-simulation/src/guests.rs
+++ b/crates/stairward-simulation/src/forwarding.rs
@@ -1,4 +1,4 @@
-//! Sessions whose statements other nodes run: the links between nodes.
+//! Sessions whose statements are forwarded to other nodes, and the connections between nodes.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,22 +9,22 @@
 
 use crate::world::{FAR_DELAY, SimulationEvent, World};
 
-/// One in so many signs of life is lost.
+/// One in this many pings is lost.
 const PING_LOSS_ONE_IN: u32 = 3;
-/// Numbers of guests begin here, above all callers' sessions.
+/// Ids of forwarded sessions start here, above the ids of all callers' sessions.
 const FIRST_FORWARDED_SESSION: u64 = 1 << 40;
 
-/// A node in one of its lives.
+/// A node and its incarnation.
 type NodeIncarnation = (usize, u64);
 
-/// A session at the node that its caller is connected to.
+/// A session on the node that its caller is connected to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Origin {
     node: NodeIncarnation,
     session: SessionId,
 }
 
-/// Sessions that run elsewhere than where their callers are connected.
+/// Forwarded sessions, by origin and by their id on the holder.
 #[derive(Debug, Default)]
 pub(crate) struct ForwardedSessions {
     by_origin: BTreeMap<(NodeIncarnation, Origin), SessionId>,
@@ -33,7 +33,7 @@
 }
 
 impl World {
-    /// The holders that a node must forward to; none where it holds connections itself.
+    /// The holders that a node must forward to; empty if it holds connections itself.
     pub(crate) fn forward_targets_for(&self, node: usize) -> Vec<NodeId> {
         let demand = HolderSizing {
             connections: self.options.connections,
@@ -57,9 +57,9 @@
         request: u64,
         forwarded: ForwardedRequest,
     ) {
-        let place = usize::try_from(holder.0).unwrap_or(0);
-        let holder_incarnation = self.nodes[place].incarnation;
-        if !self.nodes[place].is_running {
+        let holder_index = usize::try_from(holder.0).unwrap_or(0);
+        let holder_incarnation = self.nodes[holder_index].incarnation;
+        if !self.nodes[holder_index].is_running {
             return self.queue.schedule(
                 FAR_DELAY,
                 SimulationEvent::LinkLost(node, incarnation, holder),
@@ -69,34 +69,40 @@
             node: (node, incarnation),
             session,
         };
-        let key = ((place, holder_incarnation), origin);
-        let known = self.guests.by_origin.get(&key).copied();
-        let own = known.unwrap_or_else(|| {
-            self.guests.last += 1;
-            SessionId(FIRST_FORWARDED_SESSION + self.guests.last)
+        let key = ((holder_index, holder_incarnation), origin);
+        let known = self.forwarded_sessions.by_origin.get(&key).copied();
+        let session_id = known.unwrap_or_else(|| {
+            self.forwarded_sessions.last += 1;
+            SessionId(FIRST_FORWARDED_SESSION + self.forwarded_sessions.last)
         });
-        self.guests.by_origin.insert(key, own);
-        self.guests
-            .by_session
-            .insert(own, (origin, (place, holder_incarnation), request));
+        self.forwarded_sessions.by_origin.insert(key, session_id);
+        self.forwarded_sessions.by_session.insert(
+            session_id,
+            (origin, (holder_index, holder_incarnation), request),
+        );
         let event = Event::ForwardedRequest {
-            session: own,
+            session: session_id,
             forwarded: Box::new(forwarded),
         };
-        let event = SimulationEvent::Engine(place, holder_incarnation, Box::new(event));
+        let event = SimulationEvent::Engine(holder_index, holder_incarnation, Box::new(event));
         self.queue.schedule(FAR_DELAY, event);
     }
 
-    /// Sends an answer to the node that its session is at; gives it back when it is a caller's.
+    /// Sends a response to the node that forwarded the session. Returns the response if the session is not
+    /// forwarded.
     pub(crate) fn answer_forwarded(
         &mut self,
-        own: SessionId,
+        session_id: SessionId,
         response: Response,
     ) -> Option<Response> {
-        if own.0 < FIRST_FORWARDED_SESSION {
+        if session_id.0 < FIRST_FORWARDED_SESSION {
             return Some(response);
         }
-        let (origin, (holder, _), request) = self.guests.by_session.get(&own).copied()?;
+        let (origin, (holder, _), request) = self
+            .forwarded_sessions
+            .by_session
+            .get(&session_id)
+            .copied()?;
         let event = Event::ForwardAnswered {
             holder: NodeId(u64::try_from(holder).unwrap_or(0)),
             session: origin.session,
@@ -116,26 +122,27 @@
         holder: NodeId,
         session: SessionId,
     ) {
-        let place = usize::try_from(holder.0).unwrap_or(0);
-        let holder_incarnation = self.nodes[place].incarnation;
+        let holder_index = usize::try_from(holder.0).unwrap_or(0);
+        let holder_incarnation = self.nodes[holder_index].incarnation;
         let origin = Origin {
             node: (node, incarnation),
             session,
         };
-        let own = self
-            .guests
+        let session_id = self
+            .forwarded_sessions
             .by_origin
-            .remove(&((place, holder_incarnation), origin));
-        if let Some(own) = own {
-            self.close_forwarded_session(own, (place, holder_incarnation), FAR_DELAY);
+            .remove(&((holder_index, holder_incarnation), origin));
+        if let Some(session_id) = session_id {
+            self.close_forwarded_session(session_id, (holder_index, holder_incarnation), FAR_DELAY);
         }
     }
 
-    /// Asks a holder for a sign of life, which is lost now and then.
+    /// Pings a holder; some pings are lost.
     pub(crate) fn ping_holder(&mut self, node: usize, incarnation: u64, holder: NodeId) {
-        let place = usize::try_from(holder.0).unwrap_or(0);
-        // One that does not run is silent; that its connection has ended is told by `links_lost`.
-        if self.nodes[place].is_running && self.random.random_range(0..PING_LOSS_ONE_IN) > 0 {
+        let holder_index = usize::try_from(holder.0).unwrap_or(0);
+        // A stopped node does not respond; `disconnect_node` reports that its connections have ended.
+        if self.nodes[holder_index].is_running && self.random.random_range(0..PING_LOSS_ONE_IN) > 0
+        {
             let event = Event::HolderAlive(holder);
             let sign = SimulationEvent::Engine(node, incarnation, Box::new(event));
             self.queue.schedule(FAR_DELAY * 2, sign);
@@ -143,41 +150,43 @@
     }
 
     fn close_forwarded_sessions(&mut self, is_lost: impl Fn(&(NodeIncarnation, Origin)) -> bool) {
-        let keys = self.guests.by_origin.keys().copied();
+        let keys = self.forwarded_sessions.by_origin.keys().copied();
         let lost: Vec<_> = keys.filter(is_lost).collect();
         for key in lost {
-            if let Some(own) = self.guests.by_origin.remove(&key) {
+            if let Some(session_id) = self.forwarded_sessions.by_origin.remove(&key) {
                 let (holder, _) = key;
-                self.close_forwarded_session(own, holder, FAR_DELAY);
+                self.close_forwarded_session(session_id, holder, FAR_DELAY);
             }
         }
     }
 
     fn close_forwarded_session(
         &mut self,
-        own: SessionId,
+        session_id: SessionId,
         holder: NodeIncarnation,
         delay: Duration,
     ) {
-        self.guests.by_session.remove(&own);
-        let closed = Event::SessionClosed { session: own };
+        self.forwarded_sessions.by_session.remove(&session_id);
+        let closed = Event::SessionClosed {
+            session: session_id,
+        };
         let closed = SimulationEvent::Engine(holder.0, holder.1, Box::new(closed));
         self.queue.schedule(delay, closed);
     }
 
-    /// A node finds that its link to another has ended: what it had forwarded there is undone, also what the other
-    /// one, back in a new life, took since.
+    /// A node detects that its connection to a holder has ended, and the sessions that it forwarded there are
+    /// closed. That includes sessions that a restarted holder has accepted since.
     pub(crate) fn link_lost(&mut self, node: usize, incarnation: u64, holder: NodeId) {
-        let place = usize::try_from(holder.0).unwrap_or(0);
+        let holder_index = usize::try_from(holder.0).unwrap_or(0);
         self.close_forwarded_sessions(|(held_by, origin)| {
-            held_by.0 == place && origin.node == (node, incarnation)
+            held_by.0 == holder_index && origin.node == (node, incarnation)
         });
         if self.is_running(node, incarnation) {
             self.handle_engine_event(node, incarnation, Event::HolderLost(holder));
         }
     }
 
-    /// A node's process has ended: its guests are lost, and what it had forwarded is undone.
+    /// Closes the sessions that a stopped node held for others, and those that it had forwarded.
     pub(crate) fn disconnect_node(&mut self, node: usize, incarnation: u64) {
         self.close_forwarded_sessions(|(holder, origin)| {
             *holder == (node, incarnation) || origin.node == (node, incarnation)
--- a/crates/stairward-simulation/src/queue.rs
+++ b/crates/stairward-simulation/src/queue.rs
@@ -1,11 +1,11 @@
-//! What will happen, in the order of time.
+//! The queue of future events, ordered by time.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use stairward_types::Time;
 
-/// Happenings by their moment; those of one moment in the order in which they were planned.
+/// Events by time; events of the same time are ordered by when they were scheduled.
 #[derive(Debug)]
 pub(crate) struct Queue<H> {
     now: Time,
--- a/crates/stairward-simulation/src/restores.rs
+++ b/crates/stairward-simulation/src/restores.rs
@@ -1,5 +1,5 @@
-//! The store comes back from an older copy: what was written since is gone, and its revisions are given out again. The
-//! operator and the databases write again what they wrote.
+//! Restores of the metadata store from an older copy: later writes are lost and their revisions are used
+//! again. The operator and the databases rewrite their latest state.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -11,12 +11,12 @@
 use crate::store::Store;
 use crate::world::{SimulationEvent, World};
 
-/// How long the store is away before it comes back, in milliseconds.
+/// Range of the outage before a restore, in milliseconds.
 const OUTAGE_MS: (u64, u64) = (300, 1_500);
-/// How long after that the operator, and each database, writes again, in milliseconds.
+/// Range of the delay until the operator and each database rewrite their state, in milliseconds.
 const REWRITE_DELAY_MS: (u64, u64) = (100, 1_300);
 
-/// What the store held at a moment.
+/// The state of the store at a point in time.
 #[derive(Debug)]
 pub(crate) struct StoreCopy {
     store: Store,
@@ -25,7 +25,7 @@
 }
 
 impl World {
-    /// The store is to come back, some time from now, as it is at this moment.
+    /// Copies the store now, to restore it from this copy after some time.
     pub(crate) fn plan_restore(&mut self, age: Duration) {
         let copy = StoreCopy {
             store: self.store.clone(),
@@ -70,7 +70,7 @@
         }
     }
 
-    /// What the operator wrote last is written again where the store has lost it.
+    /// The operator rewrites its latest state if the store has lost it.
     pub(crate) fn rewrite_operator_state(&mut self) {
         let now = self.now();
         self.store.configuration = self.store.operator_configuration;
@@ -83,7 +83,7 @@
             .schedule(crate::world::CONFIGURATION_LIMIT, check);
     }
 
-    /// A database that lives writes its entry again.
+    /// A running database rewrites its entry.
     pub(crate) fn rewrite_database_entry(&mut self, id: &BackendId) {
         let database = self.group.databases.get(id);
         if database.is_some_and(|database| database.is_alive && !database.is_silent) {
--- a/crates/stairward-simulation/src/store_view.rs
+++ b/crates/stairward-simulation/src/store_view.rs
@@ -1,4 +1,5 @@
-//! What a node makes of the store's objects, as the platform's adapter does: whole listings, across copies of the store.
+//! A node's view of the store's objects. Like the platform's adapter, it takes whole listings and handles
+//! restored copies of the store.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -7,8 +8,8 @@
 use stairward_membership::feed::{RestoredView, StoreObject};
 use stairward_types::{StoreRevision, Time};
 
-/// How long those who wrote what the store lost are given to write it again: what a database that has ended had written
-/// goes after 3.6 s.
+/// How long writers are given to rewrite what a restore has lost. The entry of a stopped database expires
+/// after 3.6 s.
 const REWRITE_TIMEOUT: Duration = Duration::from_millis(4_100);
 
 /// A database's entry.
@@ -30,7 +31,7 @@
     }
 }
 
-/// An operator's wish that a zone be evacuated.
+/// A request to evacuate a zone.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Evacuation(pub StoreRevision);
 
@@ -44,7 +45,7 @@
     }
 }
 
-/// The objects of a kind as one node sees them.
+/// All objects of a kind as one node sees them.
 #[derive(Debug)]
 pub(crate) struct StoreView<T> {
     listed: BTreeMap<String, T>,
@@ -65,7 +66,7 @@
 }
 
 impl<T: StoreObject> StoreView<T> {
-    /// Takes a listing of a copy of the store in. Returns the objects as the node sees them.
+    /// Applies a listing of the store. Returns the objects as the node sees them.
     pub fn apply_listing(
         &mut self,
         now: Time,
@@ -73,7 +74,7 @@
         listed: BTreeMap<String, T>,
     ) -> BTreeMap<String, T> {
         let before = std::mem::replace(&mut self.listed, listed);
-        // A node that has just started can't know when the store last came back.
+        // A node that has just started cannot know when the store was last restored.
         let may_be_restored = self.restored.era().is_none() && era > 0;
         let names_before: BTreeSet<String> = before.keys().cloned().collect();
         let gone = self.gone.clone();
@@ -92,7 +93,7 @@
         self.restored.effective_objects(&self.listed)
     }
 
-    /// Whether no loss of the store's is recent.
+    /// Whether no recent restore may have lost objects.
     pub fn is_settled(&self) -> bool {
         self.retained_until.is_none()
     }
--- a/crates/stairward-simulation/src/tenants.rs
+++ b/crates/stairward-simulation/src/tenants.rs
@@ -1,4 +1,4 @@
-//! Tenants of a run: whose statements run where, with which keys, and how many operations.
+//! Tenants of a run: checks which tenant's connections and keys statements use, and how many operations run.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -11,50 +11,49 @@
 use crate::options::{BrokenVariant, Options};
 use crate::world::{CONFIGURATION_LIMIT, MIN_CONNECTED_TIME, World};
 
-/// A key is withdrawn by the configuration that comes so many after the one that brought it.
+/// A key is withdrawn this many configurations after the one that introduced it.
 const KEY_GENERATIONS: u64 = 2;
-/// How long after the bound of a configuration a statement that was sent before it may still run.
+/// How long after a configuration has to be in force an earlier statement may still run.
 const STATEMENT_TIME: Duration = Duration::from_millis(1_000);
-/// The window in which operations are counted.
+/// Window in which operations are counted.
 const WINDOW: Duration = Duration::from_secs(5);
-/// How much later than its admission an operation may run: the life of a grant and a statement's time.
+/// How long after its admission an operation may run: the lifetime of a grant plus the statement timeout.
 const ADMISSION_DELAY: Duration = Duration::from_millis(500 + 800);
-/// How much faster than the checker's a clock may run.
+/// Maximum rate of a node's clock relative to the checker's.
 const MAX_CLOCK_RATE: f64 = 1.05;
 
-/// Whose session it is.
+/// The owner of a session.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Owner {
     pub tenant: u64,
-    /// The configuration that brought its key.
+    /// The configuration that introduced its key.
     pub generation: u64,
     pub node: (usize, u64),
 }
 
-/// What the checks of tenants need to remember.
+/// History for the checks of tenants.
 #[derive(Debug, Default)]
 pub(crate) struct TenantHistory {
-    /// Sessions by number.
+    /// Owners of sessions by session number.
     pub owners: BTreeMap<u64, Owner>,
     /// When each configuration was acknowledged.
     pub acknowledged: BTreeMap<u64, Time>,
-    /// Operations that have run, by session and number.
+    /// Operations that have run, by session and operation number.
     seen: BTreeSet<(u64, u64)>,
     /// When operations of each tenant first ran.
     operations: BTreeMap<u64, Vec<Time>>,
 }
 
-/// A tenant's name.
 pub(crate) fn tenant_name(tenant: u64) -> TenantName {
     TenantName::new(format!("tenant-{tenant}")).expect("valid name")
 }
 
-/// The key that a configuration brings for a tenant.
+/// The key that a configuration introduces for a tenant.
 pub(crate) fn key_of(tenant: u64, generation: u64) -> ApiKey {
     ApiKey::new(format!("key-{tenant}-{generation}"))
 }
 
-/// The tenants of a configuration; none where a run has no tenants.
+/// The tenants of a configuration; `None` if the run has no tenants.
 pub(crate) fn directory(options: &Options, content: u64) -> Option<TenantDirectory> {
     if options.tenants == 0 {
         return None;
@@ -80,7 +79,7 @@
 }
 
 impl World {
-    /// Tells a node which others live, and how many there are on record.
+    /// Tells a node which nodes are live and the recorded number of nodes.
     pub(crate) fn deliver_members(&mut self, node: usize, incarnation: u64) {
         if self.options.tenants == 0 {
             return;
@@ -102,7 +101,7 @@
         self.handle_engine_event(node, incarnation, members);
     }
 
-    /// Checks a statement that a database has run on a connection that was opened for a tenant.
+    /// Checks a statement that a database ran on a connection opened for a tenant.
     pub(crate) fn check_tenant(&mut self, statement: &str, opened_for: Option<&TenantName>) {
         if self.options.tenants == 0 {
             return;
@@ -117,7 +116,7 @@
         self.checker.count(Invariant::TenantIsolation);
         if opened_for != Some(&tenant_name(owner.tenant)) {
             let text = format!(
-                "{statement} of tenant {} ran for {opened_for:?}",
+                "{statement} of tenant {} ran on a connection of {opened_for:?}",
                 owner.tenant
             );
             self.checker
@@ -130,7 +129,7 @@
         }
     }
 
-    /// No statement runs with a key that was withdrawn, where its client's node is in touch.
+    /// Checks that no statement runs with a withdrawn key if its caller's node is connected to the store.
     fn check_key(&mut self, now: Time, statement: &str, owner: Owner) {
         let withdrawn = owner.generation + KEY_GENERATIONS;
         let Some(since) = self.tenants.acknowledged.get(&withdrawn).copied() else {
@@ -150,7 +149,7 @@
         }
     }
 
-    /// Counts each tenant's operations in every window.
+    /// Checks the number of each tenant's operations in every window.
     pub(crate) fn check_limits(&mut self) {
         let Some(rate) = self.options.tenant_rate else {
             return;
@@ -165,7 +164,9 @@
             #[allow(clippy::cast_precision_loss, reason = "a count of a short run")]
             let is_over = most as f64 > bound;
             if is_over {
-                let text = format!("{most} operations of tenant {tenant}, allowed {bound}");
+                let text = format!(
+                    "{most} operations of tenant {tenant} in one window, at most {bound} allowed"
+                );
                 let now = self.now();
                 self.checker
                     .record_violation(now, Invariant::TenantRateLimit, text);
--- a/crates/stairward-simulation/src/world.rs
+++ b/crates/stairward-simulation/src/world.rs
@@ -140,7 +140,7 @@
     pub tenants: TenantHistory,
     pub checker: Checker,
     pub callers: Vec<Caller>,
-    pub guests: crate::guests::ForwardedSessions,
+    pub forwarded_sessions: crate::forwarding::ForwardedSessions,
     /// Pairs of node and database that cannot reach each other.
     pub partitions: BTreeSet<(usize, BackendId)>,
     /// Connections on which no more responses arrive.
@@ -195,7 +195,7 @@
             checker: Checker::new(STALENESS),
             tenants: TenantHistory::default(),
             callers: callers.collect(),
-            guests: crate::guests::ForwardedSessions::default(),
+            forwarded_sessions: crate::forwarding::ForwardedSessions::default(),
             partitions: BTreeSet::new(),
             stalled: BTreeSet::new(),
             response_loss_percent: 0,
--- a/crates/stairward-simulation/src/world_callers.rs
+++ b/crates/stairward-simulation/src/world_callers.rs
@@ -1,4 +1,4 @@
-//! Callers' turns; the starts and ends of processes.
+//! Turns of callers, starts and stops of nodes and databases, and configuration changes.
 
 use rand::RngExt as _;
 use stairward_engine::{Event, Response, SessionId};
@@ -90,7 +90,8 @@
         self.queue.schedule(CALLER_DELAY, event);
     }
 
-    /// Notes whose session a caller's new one is; its key is the newest one.
+    /// Records the owner of a caller's new session. Returns its key, which the newest configuration
+    /// introduced.
     fn assign_key(&mut self, index: usize, node: (usize, u64)) -> Option<ApiKey> {
         if self.options.tenants == 0 {
             return None;
@@ -160,7 +161,7 @@
             .schedule(pause, SimulationEvent::CallerTurn(index));
     }
 
-    /// A node's process ends.
+    /// Kills a node's process.
     pub(crate) fn kill_node(&mut self, index: usize) {
         self.nodes[index].is_running = false;
         let incarnation = self.nodes[index].incarnation;
@@ -195,7 +196,7 @@
         );
     }
 
-    /// A database's process ends: its connections end with it.
+    /// Stops a database's process, which closes its connections.
     pub(crate) fn stop_database(&mut self, id: &BackendId) {
         let Some(database) = self.group.databases.get_mut(id) else {
             return;
@@ -218,14 +219,14 @@
         }
     }
 
-    /// A database's process starts again, with its log.
+    /// Starts a database's process with its log, or makes an unresponsive database responsive again.
     pub(crate) fn start_database(&mut self, id: &BackendId) {
         let now = self.now();
         let newest = self.group.databases.values().map(|d| d.term).max();
         let Some(database) = self.group.databases.get_mut(id) else {
             return;
         };
-        // One that only fell silent has not started anew.
+        // A database that was only unresponsive has not restarted.
         let has_restarted = !database.is_alive;
         database.is_alive = true;
         database.is_silent = false;
@@ -253,7 +254,7 @@
                 && !self.store.is_down
                 && node.connected_since <= since;
             if is_connected && node.newest_configuration < revision {
-                let text = format!("node {index} has not {revision} in force");
+                let text = format!("node {index} does not have configuration {revision} in force");
                 self.checker
                     .record_violation(now, Invariant::Configuration, text);
             }
--- a/crates/stairward-simulation/src/world_databases.rs
+++ b/crates/stairward-simulation/src/world_databases.rs
@@ -1,4 +1,4 @@
-//! Connections, commands, replication and questions at databases.
+//! Connections, commands and replication of databases, and queries to them and between nodes.
 
 use std::time::Duration;
 
@@ -15,13 +15,13 @@
     SimulationEvent, World,
 };
 
-/// How long a member that is not reached is waited for.
+/// How long a node waits for an unreachable member.
 const MEMBER_TIMEOUT: Duration = Duration::from_millis(800);
-/// Pause before a member that has not received enough is looked at again, and looks on average.
+/// Pause before a member that has not received enough is checked again, and the mean number of such checks.
 const RETRY_PAUSE: Duration = Duration::from_millis(15);
 const MEAN_RECEIVED_CHECKS: u32 = 20;
 
-/// What came of a question to a member that led before or did not.
+/// The result of a call to a member; `led` says whether it was primary before the call.
 fn call_result(led: bool, status: MemberStatus) -> MemberCallResult {
     if led && status.role == BackendRole::Replica {
         MemberCallResult::GaveWay(status)
@@ -134,7 +134,8 @@
             self.stalled.insert(connection_key);
             return;
         }
-        // Answers of one connection keep their order: those that take no slot are as slow as the rest.
+        // Responses of a connection stay in order: commands that run no client statement are as slow as the
+        // rest.
         let work = if outcome.executed.is_some() { 8 } else { 0 };
         let delay = self.delay(node, backend) + Duration::from_millis(work);
         let mut reply = outcome.reply;
@@ -156,8 +157,8 @@
         }
     }
 
-    /// The answer to a commit comes once enough replicas have received it. Until then the connection says
-    /// nothing, and if the commit is lost it never does.
+    /// Sends the response to a commit once enough replicas have received it. Until then the connection
+    /// returns nothing; if the commit is lost, it never does.
     pub(crate) fn wait_for_replicas(
         &mut self,
         connection_key: ConnectionKey,
@@ -183,8 +184,8 @@
         self.queue.schedule(REPLICATION_TICK, waits);
     }
 
-    /// A single statement, or the first of a transaction, must not reach a back end that has been leaving
-    /// for long.
+    /// Checks that no single statement and no first statement of a transaction reaches a back end that has
+    /// been leaving for longer than the drain limit.
     pub(crate) fn check_leaving(
         &mut self,
         node: usize,
@@ -209,10 +210,12 @@
             && is_connected
         {
             self.checker.count(Invariant::Leaving);
-            // It counts from when the store took it, which it does only while it is up.
+            // The limit counts from when the store accepted the announcement, which it only does while it is
+            // available.
             let since = self.store.accepted_at(since);
             if now > since + self.options.drain_limit {
-                let text = format!("{backend}, leaving since {since:?}, got work of node {node}");
+                let text =
+                    format!("{backend}, leaving since {since:?}, received new work of node {node}");
                 self.checker.record_violation(now, Invariant::Leaving, text);
             }
         }
@@ -227,7 +230,7 @@
         self.checker.record_rollback(&rolled_back);
     }
 
-    /// What a member answers to a question; none when it is not reached.
+    /// A member's response to a query; `None` if it cannot be reached.
     fn answer_query(
         &mut self,
         node: usize,
@@ -247,7 +250,7 @@
         }
         let status = database.status();
         if matches!(query, MemberQuery::StepDown(_)) && self.group.listed.contains_key(backend) {
-            // A change of role is told right away.
+            // A database announces a change of its role immediately.
             self.group.announce(backend);
             self.notify_all_nodes();
         }
@@ -287,7 +290,7 @@
         );
     }
 
-    /// A node looks at a back end that another finds silent, and tells it if it is.
+    /// A node checks a back end that another node reports as unresponsive, and tells that node if it agrees.
     pub(crate) fn verify_backend(
         &mut self,
         node: usize,
@@ -298,8 +301,8 @@
         let answers = self
             .answer_query(node, backend, MemberQuery::Status)
             .is_some();
-        let place = usize::try_from(asker.0).unwrap_or(0);
-        if answers || !self.is_running(node, incarnation) || place >= self.nodes.len() {
+        let node_index = usize::try_from(asker.0).unwrap_or(0);
+        if answers || !self.is_running(node, incarnation) || node_index >= self.nodes.len() {
             return;
         }
         let found = FailoverEvent::FoundSilent(backend.clone());
@@ -309,14 +312,14 @@
         );
         let own = NodeId(u64::try_from(node).unwrap_or(0));
         let told = FailoverEvent::Verified(own, backend.clone());
-        let told_incarnation = self.nodes[place].incarnation;
+        let told_incarnation = self.nodes[node_index].incarnation;
         self.queue.schedule(
             MEMBER_TIMEOUT,
-            SimulationEvent::Failover(place, told_incarnation, Box::new(told)),
+            SimulationEvent::Failover(node_index, told_incarnation, Box::new(told)),
         );
     }
 
-    /// A member is asked to step down or to hold, by the node itself or by a peer.
+    /// A member is asked to step down or to hold, by the node itself or through a peer.
     pub(crate) fn call_member(
         &mut self,
         node: usize,
@@ -366,7 +369,7 @@
         );
     }
 
-    /// A node is asked what it knows of the lead.
+    /// A node is asked what it knows of a service's leadership.
     pub(crate) fn query_peer_leadership(
         &mut self,
         node: usize,
@@ -399,7 +402,7 @@
         }
     }
 
-    /// A peer says what it knows of the leader's position, and how old that is by its own clock.
+    /// A peer returns the leader position that it knows and the age of that position by its own clock.
     pub(crate) fn query_peer_position(
         &mut self,
         node: usize,
--- a/crates/stairward-simulation/src/world_nodes.rs
+++ b/crates/stairward-simulation/src/world_nodes.rs
@@ -1,4 +1,4 @@
-//! What nodes decide, carried out; broken variants are damaged here, on the way out or in.
+//! Carries out the effects of nodes. Broken variants alter effects and events here.
 
 use std::time::Duration;
 
@@ -40,7 +40,7 @@
         }
     }
 
-    /// A broken node does not know that back ends leave.
+    /// The ignored-leaving variant does not see that back ends are leaving.
     pub(crate) fn corrupt_event(&self, mut event: Event) -> Event {
         if self.options.broken == Some(BrokenVariant::IgnoredLeaving)
             && let Event::BackendsListed { list, .. } = &mut event
@@ -52,7 +52,7 @@
         event
     }
 
-    /// A broken node does not see that a primary has lost its log.
+    /// The hidden-lost-log variant does not see that a primary has lost its log.
     fn hide_lost_log(&self, index: usize, mut event: Event) -> Event {
         if self.options.broken == Some(BrokenVariant::HiddenLostLog)
             && let Event::ConnectionOpened {
@@ -84,7 +84,7 @@
         self.checker.count(Invariant::Configuration);
         if content < node.newest_configuration {
             let text = format!(
-                "node {index} went back from {} to {content}",
+                "node {index} replaced configuration {} by the older {content}",
                 node.newest_configuration
             );
             self.checker
@@ -224,7 +224,7 @@
         }
     }
 
-    /// A coordinator answers a node that asked it, if it runs.
+    /// A running coordinator responds to a node's request for grants.
     pub(crate) fn request_limit_grant(
         &mut self,
         node: usize,
@@ -308,7 +308,7 @@
                 | BackendCommand::Begin { floor, .. },
             ) => *floor = None,
             (Some(BrokenVariant::NoLeaderCheck), BackendCommand::Begin { read_only, .. }) => {
-                // A transaction that any copy accepts proves nothing.
+                // Any replica accepts a read-only transaction, so that it proves no leadership.
                 *read_only = true;
             }
             (Some(BrokenVariant::NoSessionReset), BackendCommand::Reset) => {
--- a/crates/stairward-simulation/src/world_store.rs
+++ b/crates/stairward-simulation/src/world_store.rs
@@ -1,4 +1,4 @@
-//! The store and the promotion call, and the failover duty's effects on them.
+//! The metadata store, promotions, and the effects of the failover controllers.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -21,11 +21,11 @@
 };
 use stairward_membership::feed::StoreObject as _;
 
-/// More revisions than a copy of the store gives out in a run.
+/// More revisions than one copy of the store creates in a run.
 const REVISIONS_PER_COPY: u64 = 1_000_000;
-/// For so long after a node's write of a service's record no other node writes it.
+/// For this long after a node has written a service's record, no other node may write it.
 const HOLDER_LEASE: Duration = Duration::from_millis(3_000);
-/// Zones that nodes are spread over.
+/// Number of zones that nodes are spread over.
 const ZONES: usize = 3;
 
 impl World {
@@ -33,7 +33,7 @@
         !self.store.is_down && !self.nodes[node].is_cut_from_store
     }
 
-    /// Changes in the store are shown to every node that watches.
+    /// Notifies every node of a change in the store.
     pub(crate) fn notify_all_nodes(&mut self) {
         for index in 0..self.nodes.len() {
             let incarnation = self.nodes[index].incarnation;
@@ -109,7 +109,8 @@
         self.handle_failover_event(node, incarnation, FailoverEvent::Records { era, records });
     }
 
-    /// The databases' entries as a node sees them, and after which moment what is new in them came about.
+    /// The database entries as a node sees them, and the time after which new content in them must have been
+    /// written.
     fn visible_entries(&mut self, node: usize) -> (Vec<BackendDescription>, Option<Time>) {
         let (now, era) = (self.now(), self.store.era);
         let keeps = self.options.broken != Some(BrokenVariant::UnprotectedRestore);
@@ -125,7 +126,7 @@
         }
         let mut seen = node.entries.apply_listing(now, era, listed.collect());
         for (name, entry) in &mut seen {
-            // An entry that reads as before was not written again.
+            // An entry with unchanged content was not written again.
             if let Some(before) = node.delivered_entries.get(name)
                 && before.revision().era() < entry.revision().era()
                 && before.has_same_content(entry)
@@ -135,14 +136,14 @@
         }
         node.delivered_entries.clone_from(&seen);
         let since = node.last_current_at;
-        // What is written again after a loss may have been said before it.
+        // An entry that was rewritten after a restore may have been announced before it.
         if node.entries.is_settled() {
             node.last_current_at = Some(now);
         }
         (seen.into_values().map(|entry| entry.0).collect(), since)
     }
 
-    /// The first node of a zone asks members about the lead for the others of its zone.
+    /// The first node of each zone queries members about leadership for the other nodes of the zone.
     fn leadership_source_for(&self, node: usize) -> Option<NodeId> {
         let source = node % ZONES;
         let is_other = source != node;
@@ -245,10 +246,10 @@
             FailoverEffect::AnnounceAttemptEnded(service, users) => {
                 let own = NodeId(u64::try_from(index).unwrap_or(0));
                 for user in users.into_iter().chain([own]) {
-                    let place = usize::try_from(user.0).unwrap_or(0);
-                    let told = self.nodes[place].incarnation;
+                    let node_index = usize::try_from(user.0).unwrap_or(0);
+                    let told = self.nodes[node_index].incarnation;
                     let event = Event::PromotionEnded(service.clone());
-                    let settle = SimulationEvent::Engine(place, told, Box::new(event));
+                    let settle = SimulationEvent::Engine(node_index, told, Box::new(event));
                     self.queue.schedule(FAR_DELAY * 3, settle);
                 }
             }
@@ -277,7 +278,7 @@
         }
     }
 
-    /// Another node is told that a term may begin, and answers.
+    /// A node is told that a new term may begin, and responds.
     pub(crate) fn revoke_leadership(
         &mut self,
         node: usize,
@@ -285,24 +286,24 @@
         user: NodeId,
         term: Term,
     ) {
-        let place = usize::try_from(user.0).unwrap_or(0);
-        let told = &self.nodes[place];
+        let node_index = usize::try_from(user.0).unwrap_or(0);
+        let told = &self.nodes[node_index];
         if !told.is_running || self.now() < told.paused_until {
             return;
         }
         let told_incarnation = told.incarnation;
         let service = crate::group::service();
         match self.options.broken {
-            // Nobody is told, so that the wait alone must keep the old leader from being believed.
+            // Nodes are not told, so that only the wait keeps the old leader from being used.
             Some(BrokenVariant::NoLeaseWait | BrokenVariant::LongLease) => return,
-            // The node answers but goes on as before.
+            // The node responds, but does not apply the revocation.
             Some(BrokenVariant::IgnoredRevocation) => {}
             _ => {
                 let event = Event::LeadershipRevoked(service.clone(), term);
-                self.handle_engine_event(place, told_incarnation, event);
+                self.handle_engine_event(node_index, told_incarnation, event);
             }
         }
-        let newest = self.nodes[place].engine.newest_term(&service);
+        let newest = self.nodes[node_index].engine.newest_term(&service);
         let revoked = FailoverEvent::Revoked {
             service,
             term,
@@ -332,7 +333,7 @@
         }
     }
 
-    /// The era of the store as nodes are told it; always the first one for some that are broken.
+    /// The store's era as nodes see it; some broken variants always see the first one.
     fn visible_era(&self) -> u64 {
         match self.options.broken {
             Some(BrokenVariant::IgnoredEra | BrokenVariant::HiddenRecordLoss) => 0,
@@ -340,7 +341,7 @@
         }
     }
 
-    /// The revisions by which those of a later copy are higher for a node that is told of no copies.
+    /// Offset added to the revisions of a restored copy for nodes that do not see the era.
     fn copy_revision_offset(&self) -> u64 {
         match self.options.broken {
             Some(BrokenVariant::HiddenRecordLoss) => self.store.era * REVISIONS_PER_COPY,
@@ -353,7 +354,7 @@
         RecordVersion(StoreRevision::new(self.visible_era(), revision))
     }
 
-    /// No two nodes write a service's record within a lease, whatever the store has lost meanwhile.
+    /// Checks that no two nodes write a service's record within one lease, even if the store has lost writes.
     fn check_record_writer(&mut self, writer: &str) {
         let now = self.now();
         self.checker.count(Invariant::SingleRecordWriter);
@@ -362,7 +363,8 @@
             && holder != writer
             && now < at + HOLDER_LEASE
         {
-            let text = format!("{holder} wrote the record at {at:?}, then {writer}");
+            let text =
+                format!("{holder} wrote the record at {at:?}, then {writer} within the lease");
             self.checker
                 .record_violation(now, Invariant::SingleRecordWriter, text);
         }
@@ -392,7 +394,8 @@
         let written = self.store.write_record(expected, record.clone());
         self.notify_all_nodes();
         if version.0.era() != self.visible_era() {
-            // Another copy of the store answers: what came of it tells nothing.
+            // The node expected another copy of the store, so that the result of the write is meaningless to
+            // it.
             let failed = FailoverEvent::RecordFailed(service);
             let failed = SimulationEvent::Failover(node, incarnation, Box::new(failed));
             return self.queue.schedule(STORE_DELAY, failed);
@@ -444,7 +447,7 @@
             token
         };
         let decision = format!(
-            "{} of life {incarnation} promotes {backend}",
+            "{} of incarnation {incarnation} promotes {backend}",
             node_name(index)
         );
         let now = self.now();
--- a/crates/stairward-simulation/tests/rebirth.rs
+++ b/crates/stairward-simulation/tests/rebirth.rs
@@ -1,5 +1,5 @@
-//! Databases that start again under their id and know nothing of before: nobody reads at one, as primary or as replica,
-//! what it has lost, and it leads no more than until another is promoted.
+//! Databases that restart under the same id without their log: no read at such a database, as primary or
+//! replica, may miss what it has lost, and it must not stay primary after another was promoted.
 
 use std::time::Duration;
 
@@ -8,14 +8,14 @@
 use stairward_simulation::{BrokenVariant, FaultKind, Options, simulate};
 
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=40;
-/// A seed on which a primary that knew nothing never followed its successor in the simulation, so that the other two could
-/// forget as well: then nobody held anything.
-const ALL_FORGOT: u64 = 62;
+/// With this seed, a primary without its log never followed its successor in the simulation, so that the
+/// other two databases could lose their logs too and no copy of the data was left.
+const ALL_LOGS_LOST_SEED: u64 = 62;
 
-fn reborn(seed: u64, faults: &[FaultKind]) -> Options {
-    let reborn = [FaultKind::PrimaryLostLog, FaultKind::ReplicaLostLog];
+fn lost_log(seed: u64, faults: &[FaultKind]) -> Options {
+    let lost_log = [FaultKind::PrimaryLostLog, FaultKind::ReplicaLostLog];
     Options {
-        faults: reborn.into_iter().chain(faults.iter().copied()).collect(),
+        faults: lost_log.into_iter().chain(faults.iter().copied()).collect(),
         fault_count: 6,
         duration: Duration::from_secs(15),
         sessions: 12,
@@ -27,8 +27,8 @@
 #[track_caller]
 fn assert_holds(faults: &[FaultKind]) {
     let (mut promotions, mut starts) = (0, 0);
-    for seed in SEEDS.chain([ALL_FORGOT]) {
-        let report = support::assert_holds(&reborn(seed, faults));
+    for seed in SEEDS.chain([ALL_LOGS_LOST_SEED]) {
+        let report = support::assert_holds(&lost_log(seed, faults));
         assert!(report.succeeded > report.failed, "seed {seed}");
         promotions += report.promotions;
         let primaries = report.decisions.iter();
@@ -42,23 +42,23 @@
 }
 
 #[test]
-fn everything_holds_where_databases_forget() {
+fn invariants_hold_when_databases_lose_their_logs() {
     assert_holds(&[]);
 }
 
 #[test]
-fn everything_holds_where_databases_forget_and_replicas_lag() {
+fn invariants_hold_when_databases_lose_their_logs_and_replicas_lag() {
     assert_holds(&[FaultKind::ReplicaLag, FaultKind::ResponseLost]);
 }
 
 #[test]
-fn nodes_that_take_a_primary_without_its_log_for_the_leader_are_caught() {
-    let caught = SEEDS.into_iter().any(|seed| {
+fn nodes_that_trust_a_primary_without_its_log_are_detected() {
+    let detected = SEEDS.into_iter().any(|seed| {
         let report = simulate(&Options {
             broken: Some(BrokenVariant::HiddenLostLog),
-            ..reborn(seed, &[])
+            ..lost_log(seed, &[])
         });
         !report.violations.is_empty()
     });
-    assert!(caught);
+    assert!(detected);
 }
--- a/crates/stairward-simulation/tests/restores.rs
+++ b/crates/stairward-simulation/tests/restores.rs
@@ -1,4 +1,5 @@
-//! The store comes back from older copies, mixed with other faults: what it lost counts for those who knew it.
+//! Restores of the metadata store from older copies, combined with other faults: what a restore loses stays
+//! in force at the nodes that knew it.
 
 mod support;
 
@@ -30,7 +31,7 @@
 }
 
 #[test]
-fn a_back_end_that_leaves_gets_no_late_work_though_the_store_has_lost_its_word() {
+fn a_leaving_back_end_gets_no_late_work_after_the_store_lost_its_announcement() {
     assert_checked(Invariant::Leaving, |seed| Options {
         drain_limit: Duration::from_secs(10),
         ..with_restores(seed, &[FaultKind::GroupLeaves, FaultKind::NodeKill])
@@ -38,14 +39,14 @@
 }
 
 #[test]
-fn an_evacuated_zone_gets_no_late_work_though_the_store_has_lost_the_evacuation() {
+fn an_evacuated_zone_gets_no_late_work_after_the_store_lost_the_evacuation() {
     assert_checked(Invariant::ZoneEvacuation, |seed| {
         with_restores(seed, &[FaultKind::Evacuation, FaultKind::NodePause])
     });
 }
 
 #[test]
-fn a_withdrawn_key_stays_withdrawn_though_the_store_lists_it_again() {
+fn a_withdrawn_key_stays_withdrawn_after_the_store_lists_it_again() {
     assert_checked(Invariant::KeyRevocation, |seed| Options {
         tenants: 7,
         connections: 20,
@@ -54,7 +55,7 @@
 }
 
 #[test]
-fn one_node_at_a_time_replaces_a_primary_though_its_record_is_lost() {
+fn one_node_at_a_time_replaces_a_primary_after_its_record_is_lost() {
     let faults = [
         FaultKind::PrimaryCrash,
         FaultKind::PrimaryLeaves,
@@ -73,7 +74,7 @@
 }
 
 #[test]
-fn synchronous_commits_are_kept_though_records_are_lost() {
+fn synchronous_commits_are_kept_after_records_are_lost() {
     let faults = [FaultKind::PrimaryCrash, FaultKind::PrimaryIsolated];
     assert_checked(Invariant::Kept, |seed| Options {
         synchronous_replicas: 1,
--- a/crates/stairward-simulation/tests/simulation.rs
+++ b/crates/stairward-simulation/tests/simulation.rs
@@ -1,5 +1,5 @@
-//! What must hold, on many seeds with all kinds of faults; that each check can fail; and that one seed is
-//! one run.
+//! Checks that the invariants hold on many seeds with all kinds of faults, that each check can fail, and that
+//! a seed determines a run.
 
 mod support;
 
@@ -9,18 +9,18 @@
 use support::assert_holds;
 
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=60;
-/// Seeds beyond these in which variants show that few runs catch: two in a hundred catch `NoWait`.
+/// Additional seeds for broken variants that few runs detect: two in a hundred runs detect `NoLeaseWait`.
 const RARE_SEEDS: [u64; 2] = [164, 219];
 
 #[test]
-fn everything_holds_under_all_kinds_of_faults() {
+fn invariants_hold_under_all_kinds_of_faults() {
     let mut promotions = 0;
     for seed in SEEDS {
         let report = assert_holds(&Options::new(seed));
         promotions += report.promotions;
         assert!(
             report.succeeded > report.failed,
-            "seed {seed}: {} of {} succeeded, strikes {:#?}",
+            "seed {seed}: {} of {} succeeded, faults {:#?}",
             report.succeeded,
             report.succeeded + report.failed,
             report.faults
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn everything_holds_where_the_store_comes_back_from_older_copies() {
+fn invariants_hold_when_the_store_is_restored_from_older_copies() {
     let mut promotions = 0;
     for seed in SEEDS {
         let report = assert_holds(&Options {
@@ -69,11 +69,11 @@
     });
 }
 
-/// Connections for which two of four nodes are holders.
+/// A connection limit with which two of four nodes are holders.
 const TWO_HOLDERS: u32 = 8;
 
 #[test]
-fn everything_holds_where_half_of_the_nodes_forward() {
+fn invariants_hold_when_half_of_the_nodes_forward() {
     for seed in SEEDS {
         let report = assert_holds(&Options {
             connections: TWO_HOLDERS,
@@ -83,7 +83,7 @@
     }
 }
 
-/// A run whose callers belong to more tenants than a node holds connections to a database.
+/// A run with more tenants than a node holds connections to a database.
 fn with_tenants(options: Options) -> Options {
     Options {
         tenants: 7,
@@ -92,7 +92,7 @@
     }
 }
 
-/// A run whose tenants want more than their limits allow.
+/// A run whose tenants send more operations than their limits allow.
 fn with_limits(options: Options) -> Options {
     Options {
         tenant_rate: Some(6),
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn everything_holds_where_connections_belong_to_tenants() {
+fn invariants_hold_with_connections_per_tenant() {
     for seed in SEEDS {
         let report = assert_holds(&with_tenants(Options::new(seed)));
         assert!(report.succeeded > report.failed, "seed {seed}");
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn everything_holds_where_tenants_of_forwarding_nodes_are_limited() {
+fn invariants_hold_with_rate_limits_on_forwarding_nodes() {
     for seed in SEEDS {
         let report = assert_holds(&Options {
             connections: TWO_HOLDERS,
@@ -120,7 +120,7 @@
     }
 }
 
-/// A run before databases whose old primaries go on after another was promoted.
+/// A run in which old primaries keep running after another was promoted.
 fn with_old_primaries(seed: u64) -> Options {
     Options {
         old_primaries_keep_running: true,
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn everything_holds_where_old_primaries_go_on() {
+fn invariants_hold_when_old_primaries_keep_running() {
     let mut promotions = 0;
     for seed in SEEDS {
         let report = assert_holds(&with_old_primaries(seed));
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn everything_holds_where_old_primaries_go_on_and_half_of_the_nodes_forward() {
+fn invariants_hold_when_old_primaries_keep_running_and_half_of_the_nodes_forward() {
     for seed in SEEDS {
         assert_holds(&Options {
             connections: TWO_HOLDERS,
@@ -149,9 +149,9 @@
     }
 }
 
-/// Cuts of one side, frozen nodes, and a store that is away, close upon each other.
+/// Partial partitions, paused nodes and store outages in quick succession.
 #[test]
-fn everything_holds_where_old_primaries_are_cut_off_at_bad_moments() {
+fn invariants_hold_when_old_primaries_are_partitioned_in_quick_succession() {
     for seed in SEEDS {
         assert_holds(&Options {
             faults: vec![
@@ -172,8 +172,8 @@
     }
 }
 
-/// A run in which faults of all kinds strike close upon each other.
-fn with_close_faults(seed: u64) -> Options {
+/// A run with faults of all kinds in quick succession.
+fn with_quick_faults(seed: u64) -> Options {
     Options {
         fault_count: 14,
         max_pause_ms: 1_500,
@@ -181,25 +181,27 @@
     }
 }
 
-/// Each failed once; the commit that made leadership whole says why.
+/// Each of these seeds once violated an invariant; the commit that completed the checks of leadership explains why.
 #[test]
-fn everything_holds_on_seeds_that_failed_once() {
+fn invariants_hold_on_seeds_with_former_violations() {
     for seed in [
         1, 4, 7, 11, 14, 34, 38, 40, 50, 54, 55, 58, 90, 126, 185, 233,
     ] {
-        assert_holds(&with_close_faults(seed));
+        assert_holds(&with_quick_faults(seed));
     }
     assert_holds(&with_old_primaries(34));
 }
 
-/// Once the leader of a term was dark, the other members had never received of it, and no node that knew of it was
-/// in reach. The seed no longer leads there by itself; the duty's tests on noted terms are what prove the mend.
+/// The primary of a term was unresponsive, the other members had not received anything of that term, and no
+/// node that knew of it was reachable. The seed no longer reaches this state; the failover controller's tests
+/// on recorded terms cover it.
 #[test]
-fn a_term_that_only_nodes_out_of_reach_know_is_not_taken_again() {
-    assert_holds(&with_close_faults(2310));
+fn a_term_known_only_to_unreachable_nodes_is_not_reused() {
+    assert_holds(&with_quick_faults(2310));
 }
 
-/// The old log is ended and received to its end before another leads.
+/// Guards against lost commits in a planned replacement: the old log is closed and received to its end before
+/// another database is promoted.
 #[test]
 fn a_planned_replacement_loses_no_acknowledged_commit() {
     let (mut promotions, mut lost) = (0, 0);
@@ -216,7 +218,7 @@
 }
 
 #[test]
-fn everything_holds_under_each_kind_of_fault() {
+fn invariants_hold_under_each_kind_of_fault() {
     for kind in FaultKind::ALL {
         for seed in 1..=4 {
             assert_holds(&Options {
@@ -228,7 +230,7 @@
 }
 
 #[test]
-fn without_faults_everything_is_served_and_checked() {
+fn without_faults_all_statements_succeed_and_are_checked() {
     let report = assert_holds(&Options {
         faults: Vec::new(),
         ..Options::new(1)
@@ -247,7 +249,7 @@
 }
 
 #[test]
-fn everything_holds_where_zones_are_evacuated() {
+fn invariants_hold_when_zones_are_evacuated() {
     let mut checked = 0;
     for seed in SEEDS.take(6) {
         let report = simulate(&Options {
@@ -270,7 +272,7 @@
     assert!(checked > 20, "{checked}");
 }
 
-/// A run in which databases that start are cold for a while.
+/// A run in which databases that have started are cold for a while.
 fn with_cold_databases(options: Options) -> Options {
     Options {
         cold: Some(ColdStart {
@@ -281,7 +283,8 @@
     }
 }
 
-/// Runs seeds with cold databases under some kinds of faults; returns how many requests reached cold ones.
+/// Runs seeds with cold databases under some kinds of faults. Returns how many requests reached cold
+/// databases.
 #[track_caller]
 fn count_requests_to_cold(faults: &[FaultKind], seeds: impl Iterator<Item = u64>) -> u64 {
     let mut reached = 0;
@@ -298,9 +301,9 @@
     reached
 }
 
-/// Databases that left and start anew have a new entry, so that nodes hear that they are cold.
+/// Databases that left and restart have a new entry, so that nodes learn that they are cold.
 #[test]
-fn everything_holds_where_databases_that_were_replaced_are_cold() {
+fn invariants_hold_when_replaced_databases_are_cold() {
     let faults = [
         FaultKind::PrimaryLeaves,
         FaultKind::PrimaryLeaves,
@@ -316,28 +319,28 @@
 }
 
 #[test]
-fn everything_holds_where_databases_that_crash_are_cold() {
+fn invariants_hold_when_crashed_databases_are_cold() {
     count_requests_to_cold(&[FaultKind::PrimaryCrash], SEEDS.take(10));
 }
 
 #[test]
-fn one_seed_is_one_run() {
+fn a_seed_determines_the_run() {
     let runs = [(); 2].map(|()| simulate(&Options::new(7)).fingerprint);
     assert_eq!(runs[0], runs[1]);
     assert_ne!(runs[0], simulate(&Options::new(8)).fingerprint);
 }
 
-/// Faults under which a broken variant shows; all kinds where none are named.
+/// Faults that expose a broken variant; all kinds if none are listed.
 fn faults_for(variant: BrokenVariant) -> Vec<FaultKind> {
     match variant {
-        // A node must miss a promotion while the old primary goes on, alone.
+        // A node must miss a promotion while only it can reach the old primary, which keeps running.
         BrokenVariant::NoLeaderCheck => vec![
             FaultKind::PrimaryLeaves,
             FaultKind::PrimaryIsolated,
             FaultKind::StorePartition,
         ],
         BrokenVariant::IgnoredLeaving => vec![FaultKind::PrimaryLeaves],
-        // The chosen replica must miss what another receives between the question and the promotion.
+        // The chosen replica must miss what another receives between the query and the promotion.
         BrokenVariant::NoHold => vec![
             FaultKind::PrimaryLeaves,
             FaultKind::ReplicaIsolated,
@@ -345,7 +348,7 @@
         ],
         BrokenVariant::ReusedToken => vec![FaultKind::PrimaryCrash],
         BrokenVariant::NoStepDown => vec![FaultKind::PrimaryLeaves, FaultKind::StorePartition],
-        // An old primary must go on for some nodes that nobody can ask to end it.
+        // An old primary must keep running for some nodes while nobody can ask it to step down.
         BrokenVariant::IgnoredRevocation
         | BrokenVariant::NoLeaseWait
         | BrokenVariant::LongLease
@@ -360,7 +363,7 @@
         BrokenVariant::ForgottenEvacuation => vec![FaultKind::NodeKill, FaultKind::Evacuation],
         BrokenVariant::EveryNodeFirstRanked => vec![FaultKind::PrimaryLeaves],
         BrokenVariant::HiddenLostLog => vec![FaultKind::PrimaryLostLog],
-        // A node that starts after the store's return takes its lower revisions.
+        // A node that starts after a restore accepts the restored store's lower revisions.
         BrokenVariant::IgnoredEra => vec![
             FaultKind::PrimaryCrash,
             FaultKind::NodeKill,
@@ -378,8 +381,8 @@
     }
 }
 
-/// What a broken variant must be caught by.
-fn caught_by(variant: BrokenVariant) -> Invariant {
+/// The invariant that must detect a broken variant.
+fn detecting_invariant(variant: BrokenVariant) -> Invariant {
     match variant {
         BrokenVariant::NoReadFloor
         | BrokenVariant::NoLeaderCheck
@@ -407,14 +410,14 @@
     }
 }
 
-/// A run in which a broken variant shows.
+/// A run that exposes a broken variant.
 fn broken(variant: BrokenVariant, seed: u64) -> Options {
     let options = Options {
         broken: Some(variant),
         faults: faults_for(variant),
         fault_count: 12,
         synchronous_replicas: u32::from(variant == BrokenVariant::NoHold),
-        old_primaries_keep_running: caught_by(variant) == Invariant::OneLeader,
+        old_primaries_keep_running: detecting_invariant(variant) == Invariant::OneLeader,
         ..Options::new(seed)
     };
     let options = match variant {
@@ -450,23 +453,23 @@
         return options;
     }
     Options {
-        // The first write on a node tells it who leads.
+        // The first write on a node would tell it who leads.
         writes_per_twenty: 1,
         ..options
     }
 }
 
 #[test]
-fn each_broken_variant_is_caught() {
+fn each_broken_variant_is_detected() {
     for variant in BrokenVariant::ALL {
-        let wanted = caught_by(variant);
-        let is_caught = SEEDS.chain(RARE_SEEDS).any(|seed| {
+        let invariant = detecting_invariant(variant);
+        let is_detected = SEEDS.chain(RARE_SEEDS).any(|seed| {
             let report = simulate(&broken(variant, seed));
             report
                 .violations
                 .iter()
-                .any(|violation| violation.invariant == wanted)
+                .any(|violation| violation.invariant == invariant)
         });
-        assert!(is_caught, "{variant:?} is not caught");
+        assert!(is_detected, "{variant:?} is not detected");
     }
 }
