--- a/crates/stairward-simulation/src/callers.rs
+++ b/crates/stairward-simulation/src/callers.rs
@@ -171,19 +171,19 @@
         random: &mut ChaCha8Rng,
         now: Time,
         writes_per_twenty: u32,
-        numbers: &mut u64,
+        last_statement_number: &mut u64,
         checker: &mut Checker,
     ) -> Step {
         if random.random_range(0..60) == 0 {
             return Step::CloseSession;
         }
-        *numbers += 1;
+        *last_statement_number += 1;
         if self.remaining.is_empty() {
-            let operation = *numbers;
+            let operation = *last_statement_number;
             self.plan_operation(random, now, operation, writes_per_twenty);
         }
         let kind = self.remaining.pop().unwrap_or(StatementKind::Read);
-        let id = format!("a{numbers}");
+        let id = format!("a{last_statement_number}");
         let text = self.text(&kind, &id);
         if let StatementKind::Begin { .. } = kind {
             self.in_transaction = true;
--- a/crates/stairward-simulation/src/checker.rs
+++ b/crates/stairward-simulation/src/checker.rs
@@ -229,7 +229,7 @@
         read_at: usize,
     ) {
         self.count(Invariant::FreshRead);
-        let must_see = |write: &&Acknowledged| {
+        let is_required = |write: &&Acknowledged| {
             let is_own = sent.kind == ReadKind::Own && write.session == sent.session;
             let margin = if sent.kind == ReadKind::Leader || is_own {
                 Duration::ZERO
@@ -238,14 +238,14 @@
             };
             write.at + margin < sent.start
         };
-        let sees = |write: &&Acknowledged| {
+        let is_included = |write: &&Acknowledged| {
             let number = usize::try_from(write.entry.at.position.0).unwrap_or(usize::MAX);
             number <= read_at && database.log.get(number - 1) == Some(&write.entry)
         };
         let missed = self
             .acknowledged
             .iter()
-            .find(|write| must_see(write) && !sees(write));
+            .find(|write| is_required(write) && !is_included(write));
         if let Some(missed) = missed {
             let text = format!(
                 "{} ({:?}, started at {:?}) read {} up to {read_at} and missed {:?}, acknowledged at {:?}",
--- a/crates/stairward-simulation/src/cold.rs
+++ b/crates/stairward-simulation/src/cold.rs
@@ -44,7 +44,7 @@
 impl World {
     /// The first running node, which sends to cold databases. The broken variant makes each node believe that
     /// it is the one.
-    pub(crate) fn first_holder_for(&self, node: usize) -> Option<NodeId> {
+    pub(crate) fn first_ranked_for(&self, node: usize) -> Option<NodeId> {
         self.options.cold.as_ref()?;
         let running = self.nodes.iter().position(|other| other.is_running);
         let first = match self.options.broken {
--- a/crates/stairward-simulation/src/evacuations.rs
+++ b/crates/stairward-simulation/src/evacuations.rs
@@ -47,10 +47,10 @@
         incarnation: u64,
         since: Option<Time>,
     ) {
-        let has_forgotten = self.options.broken == Some(BrokenVariant::ForgottenEvacuation)
+        let has_lost_evacuations = self.options.broken == Some(BrokenVariant::ForgottenEvacuation)
             && self.nodes[node].connected_since > Time::ZERO;
         let (now, era) = (self.now(), self.store.era);
-        let listed: BTreeMap<String, Evacuation> = if has_forgotten {
+        let listed: BTreeMap<String, Evacuation> = if has_lost_evacuations {
             BTreeMap::new()
         } else {
             // Later evacuations have higher revisions.
--- a/crates/stairward-simulation/src/faults.rs
+++ b/crates/stairward-simulation/src/faults.rs
@@ -46,8 +46,8 @@
 impl World {
     /// Injects the next fault and schedules the one after it.
     pub fn inject_fault(&mut self) {
-        let is_early = self.now() < stairward_types::Time::ZERO + self.options.duration;
-        if self.remaining_faults == 0 || self.options.faults.is_empty() || !is_early {
+        let is_before_end = self.now() < stairward_types::Time::ZERO + self.options.duration;
+        if self.remaining_faults == 0 || self.options.faults.is_empty() || !is_before_end {
             return;
         }
         self.remaining_faults -= 1;
@@ -57,12 +57,12 @@
         let now = self.now();
         self.faults
             .push(format!("{now:?} {kind:?} for {duration:?}"));
-        self.apply(kind, duration);
+        self.start_fault(kind, duration);
         let pause = self.random_duration(MIN_PAUSE_MS, self.options.max_pause_ms);
         self.queue.schedule(pause, SimulationEvent::InjectFault);
     }
 
-    fn apply(&mut self, kind: FaultKind, duration: Duration) {
+    fn start_fault(&mut self, kind: FaultKind, duration: Duration) {
         match kind {
             FaultKind::PrimaryCrash => self.crash_primary(duration),
             FaultKind::PrimaryUnresponsive => self.silence_primary(duration),
@@ -92,7 +92,7 @@
                 self.end_after(duration, FaultEnd::StoreResponsesRecover);
             }
             FaultKind::DelayedPromotion => {
-                self.promotions_are_late = true;
+                self.delays_promotions = true;
                 self.end_after(duration * 2, FaultEnd::PromotionsRecover);
             }
             FaultKind::ResponseLost => {
@@ -188,11 +188,11 @@
     }
 
     fn start_leaving_all(&mut self) {
-        let staying = self.group.databases.values().filter(|database| {
+        let running = self.group.databases.values().filter(|database| {
             database.is_alive && !database.is_silent && database.leaving_since.is_none()
         });
-        let staying: Vec<_> = staying.map(|database| database.id.clone()).collect();
-        for id in staying {
+        let running: Vec<_> = running.map(|database| database.id.clone()).collect();
+        for id in running {
             self.start_leaving(id);
         }
     }
@@ -265,7 +265,7 @@
     fn partition_from_store(&mut self, duration: Duration) {
         let node = self.random_node();
         let until = self.now() + duration;
-        self.nodes[node].is_cut_from_store = true;
+        self.nodes[node].is_partitioned_from_store = true;
         self.nodes[node].connected_since = self.nodes[node].connected_since.max(until);
         self.end_after(duration, FaultEnd::StorePartitionHeals(node));
     }
@@ -342,13 +342,15 @@
                     self.partitions.remove(&pair);
                 }
             }
-            FaultEnd::StorePartitionHeals(node) => self.nodes[node].is_cut_from_store = false,
+            FaultEnd::StorePartitionHeals(node) => {
+                self.nodes[node].is_partitioned_from_store = false
+            }
             FaultEnd::StoreRecovers => {
                 let now = self.now();
                 self.store.recover(now);
             }
             FaultEnd::DatabaseResponsesRecover => self.response_loss_percent = 0,
-            FaultEnd::PromotionsRecover => self.promotions_are_late = false,
+            FaultEnd::PromotionsRecover => self.delays_promotions = false,
             FaultEnd::StoreResponsesRecover => self.store.loses_responses = false,
             FaultEnd::EvacuationEnds(zone) => self.end_evacuation(&zone),
             FaultEnd::StoreStops(copy) => self.stop_for_restore(copy),
--- a/crates/stairward-simulation/src/forwarding.rs
+++ b/crates/stairward-simulation/src/forwarding.rs
@@ -144,8 +144,8 @@
         if self.nodes[holder_index].is_running && self.random.random_range(0..PING_LOSS_ONE_IN) > 0
         {
             let event = Event::HolderAlive(holder);
-            let sign = SimulationEvent::Engine(node, incarnation, Box::new(event));
-            self.queue.schedule(FAR_DELAY * 2, sign);
+            let pong = SimulationEvent::Engine(node, incarnation, Box::new(event));
+            self.queue.schedule(FAR_DELAY * 2, pong);
         }
     }
 
--- a/crates/stairward-simulation/src/group.rs
+++ b/crates/stairward-simulation/src/group.rs
@@ -97,11 +97,11 @@
         let revision = self.revision;
         self.announce(id);
         if let (Some(listed), Some(announced)) = (listed, self.listed.get_mut(id)) {
-            let as_before = BackendDescription {
+            let with_old_revision = BackendDescription {
                 revision: listed.revision,
                 ..announced.clone()
             };
-            if as_before == listed {
+            if with_old_revision == listed {
                 *announced = listed;
                 self.revision = revision;
             }
@@ -151,7 +151,7 @@
         leader.role = BackendRole::Primary;
         leader.term = term;
         leader.applied = leader.log.len();
-        let kept = leader.log.clone();
+        let leader_log = leader.log.clone();
         self.source = id.clone();
         let mut rolled_back = Vec::new();
         for (other_id, other) in &mut self.databases {
@@ -162,14 +162,14 @@
             let is_old_primary = other.role == BackendRole::Primary;
             if is_old_primary && self.old_primaries_keep_running && other.is_alive {
                 other.connected_to_successor_since = None;
-                rolled_back.extend(divergent_entries(&other.log, &kept).iter().cloned());
+                rolled_back.extend(divergent_entries(&other.log, &leader_log).iter().cloned());
                 continue;
             }
             other.role = BackendRole::Replica;
             if other.is_alive && !self.old_primaries_keep_running {
                 other.term = term;
             }
-            let same = other.log.len() - divergent_entries(&other.log, &kept).len();
+            let same = other.log.len() - divergent_entries(&other.log, &leader_log).len();
             rolled_back.extend(other.log.split_off(same));
             other.applied = other.applied.min(other.log.len());
         }
@@ -182,20 +182,21 @@
         let Some(leader) = self.databases.get(&self.source) else {
             return Vec::new();
         };
-        let (term, kept, leads) = (leader.term, leader.log.clone(), leader.can_ship_log());
+        let (term, leader_log, can_ship_log) =
+            (leader.term, leader.log.clone(), leader.can_ship_log());
         let mut rolled_back = Vec::new();
         for database in self.databases.values_mut() {
             if database.role != BackendRole::Primary || database.term >= term {
                 continue;
             }
-            if !leads || !database.is_reachable() {
+            if !can_ship_log || !database.is_reachable() {
                 database.connected_to_successor_since = None;
                 continue;
             }
             let since = *database.connected_to_successor_since.get_or_insert(now);
             if now >= since + OLD_PRIMARY_RUN_TIME {
                 database.role = BackendRole::Replica;
-                let same = database.log.len() - divergent_entries(&database.log, &kept).len();
+                let same = database.log.len() - divergent_entries(&database.log, &leader_log).len();
                 rolled_back.extend(database.log.split_off(same));
                 database.applied = database.applied.min(database.log.len());
             }
@@ -207,10 +208,10 @@
     #[must_use]
     pub fn is_replicated(&self, entry: &LogEntry, replicas: u32) -> bool {
         let number = usize::try_from(entry.at.position.0).unwrap_or(usize::MAX);
-        let has_it = |database: &&Database| {
+        let has_entry = |database: &&Database| {
             database.role == BackendRole::Replica && database.log.get(number - 1) == Some(entry)
         };
-        let holding = self.databases.values().filter(has_it).count();
+        let holding = self.databases.values().filter(has_entry).count();
         holding >= usize::try_from(replicas).unwrap_or(usize::MAX)
     }
 
@@ -221,12 +222,15 @@
         let Some(leader) = self.databases.remove(&source) else {
             return;
         };
-        let leads = leader.can_ship_log();
+        let can_ship_log = leader.can_ship_log();
         for (id, database) in &mut self.databases {
             if !database.is_alive || database.role == BackendRole::Primary {
                 continue;
             }
-            if leads && !database.is_isolated && !database.is_silent && database.held <= leader.term
+            if can_ship_log
+                && !database.is_isolated
+                && !database.is_silent
+                && database.held <= leader.term
             {
                 database.term = leader.term;
                 if database.log.len() != leader.log.len()
@@ -254,10 +258,10 @@
 }
 
 /// The entries of a log after its common prefix with another.
-fn divergent_entries<'a>(log: &'a [LogEntry], kept: &[LogEntry]) -> &'a [LogEntry] {
+fn divergent_entries<'a>(log: &'a [LogEntry], leader_log: &[LogEntry]) -> &'a [LogEntry] {
     let same = log
         .iter()
-        .zip(kept)
+        .zip(leader_log)
         .take_while(|(theirs, ours)| theirs == ours)
         .count();
     &log[same..]
--- a/crates/stairward-simulation/src/nodes.rs
+++ b/crates/stairward-simulation/src/nodes.rs
@@ -19,7 +19,7 @@
 use crate::cold::{ColdStart, EXCESS, SLACK};
 use crate::group::service;
 use crate::options::{BrokenVariant, Options};
-use crate::store_view::{Entry, Evacuation, StoreView};
+use crate::store_view::{BackendEntry, Evacuation, StoreView};
 
 /// Maximum staleness of a bounded read.
 pub(crate) const STALENESS: Duration = Duration::from_millis(1_000);
@@ -41,15 +41,15 @@
     pub is_running: bool,
     pub paused_until: Time,
     pub connections: BTreeMap<ConnectionId, BackendId>,
-    pub is_cut_from_store: bool,
+    pub is_partitioned_from_store: bool,
     /// Since when it has had no fault on the way to the store.
     pub connected_since: Time,
     /// When the store state delivered to it was last known to be current.
     pub last_current_at: Option<Time>,
     /// The database entries as the node sees them.
-    pub entries: StoreView<Entry>,
+    pub entries: StoreView<BackendEntry>,
     /// The entries that were last delivered to its engine.
-    pub delivered_entries: BTreeMap<String, Entry>,
+    pub delivered_entries: BTreeMap<String, BackendEntry>,
     /// The evacuations as the node sees them.
     pub evacuations: StoreView<Evacuation>,
     pub last_known_primaries: LastKnownPrimaries,
@@ -72,16 +72,18 @@
 impl Leases {
     /// The leases for the nodes of a run.
     pub fn of(options: &Options) -> Self {
-        let usual = options
+        let lease_time = options
             .old_primaries_keep_running
             .then_some(LEADERSHIP_LEASE);
         let mut leases = Self {
-            engine: usual,
-            failover: usual,
+            engine: lease_time,
+            failover: lease_time,
         };
         match options.broken {
-            Some(BrokenVariant::NoLeaseWait) => leases.failover = usual.map(|lease| lease / 100),
-            Some(BrokenVariant::LongLease) => leases.engine = usual.map(|lease| lease * 5),
+            Some(BrokenVariant::NoLeaseWait) => {
+                leases.failover = lease_time.map(|lease| lease / 100)
+            }
+            Some(BrokenVariant::LongLease) => leases.engine = lease_time.map(|lease| lease * 5),
             Some(BrokenVariant::NoConfirmation) => leases.engine = None,
             _ => {}
         }
@@ -134,7 +136,7 @@
             is_running: true,
             paused_until: Time::ZERO,
             connections: BTreeMap::new(),
-            is_cut_from_store: false,
+            is_partitioned_from_store: false,
             connected_since: now,
             last_current_at: None,
             entries: StoreView::default(),
@@ -231,8 +233,8 @@
 /// The revision that a configuration's content identifies.
 pub(crate) fn configuration_number(table: &RoutingTable) -> u64 {
     let names: BTreeSet<_> = table.routes.keys().collect();
-    let shown = names
+    let number = names
         .iter()
         .find_map(|name| name.as_str().strip_prefix("revision-"));
-    shown.and_then(|number| number.parse().ok()).unwrap_or(0)
+    number.and_then(|number| number.parse().ok()).unwrap_or(0)
 }
--- a/crates/stairward-simulation/src/restores.rs
+++ b/crates/stairward-simulation/src/restores.rs
@@ -65,8 +65,8 @@
         for id in ids {
             let pause = self.random_duration(REWRITE_DELAY_MS.0, REWRITE_DELAY_MS.1);
             self.end_after(pause, FaultEnd::DatabaseRewrites(id.clone()));
-            let lapses = FaultEnd::DatabaseUnlisted(id, u64::MAX);
-            self.end_after(LISTING_TIMEOUT, lapses);
+            let expiry = FaultEnd::DatabaseUnlisted(id, u64::MAX);
+            self.end_after(LISTING_TIMEOUT, expiry);
         }
     }
 
--- a/crates/stairward-simulation/src/store_view.rs
+++ b/crates/stairward-simulation/src/store_view.rs
@@ -14,20 +14,20 @@
 
 /// A database's entry.
 #[derive(Debug, Clone)]
-pub(crate) struct Entry(pub BackendDescription);
+pub(crate) struct BackendEntry(pub BackendDescription);
 
-impl StoreObject for Entry {
+impl StoreObject for BackendEntry {
     fn revision(&self) -> StoreRevision {
         self.0.revision
     }
 
     fn has_same_content(&self, other: &Self) -> bool {
-        let as_this = BackendDescription {
+        let with_own_revision = BackendDescription {
             revision: self.0.revision,
             cold_left: self.0.cold_left,
             ..other.0.clone()
         };
-        as_this == self.0
+        with_own_revision == self.0
     }
 }
 
--- a/crates/stairward-simulation/src/tenants.rs
+++ b/crates/stairward-simulation/src/tenants.rs
@@ -102,7 +102,7 @@
     }
 
     /// Checks a statement that a database ran on a connection opened for a tenant.
-    pub(crate) fn check_tenant(&mut self, statement: &str, opened_for: Option<&TenantName>) {
+    pub(crate) fn check_tenant(&mut self, statement: &str, connection_tenant: Option<&TenantName>) {
         if self.options.tenants == 0 {
             return;
         }
@@ -114,9 +114,9 @@
         };
         let now = self.now();
         self.checker.count(Invariant::TenantIsolation);
-        if opened_for != Some(&tenant_name(owner.tenant)) {
+        if connection_tenant != Some(&tenant_name(owner.tenant)) {
             let text = format!(
-                "{statement} of tenant {} ran on a connection of {opened_for:?}",
+                "{statement} of tenant {} ran on a connection of {connection_tenant:?}",
                 owner.tenant
             );
             self.checker
@@ -160,12 +160,12 @@
         let bound = rate * seconds * MAX_CLOCK_RATE + rate;
         for (tenant, times) in std::mem::take(&mut self.tenants.operations) {
             self.checker.count(Invariant::TenantRateLimit);
-            let most = most_in_window(&times);
+            let max_count = most_in_window(&times);
             #[allow(clippy::cast_precision_loss, reason = "a count of a short run")]
-            let is_over = most as f64 > bound;
+            let is_over = max_count as f64 > bound;
             if is_over {
                 let text = format!(
-                    "{most} operations of tenant {tenant} in one window, at most {bound} allowed"
+                    "{max_count} operations of tenant {tenant} in one window, at most {bound} allowed"
                 );
                 let now = self.now();
                 self.checker
--- a/crates/stairward-simulation/src/world.rs
+++ b/crates/stairward-simulation/src/world.rs
@@ -44,7 +44,7 @@
 /// A node counts as connected when it has had no fault for this long.
 pub(crate) const MIN_CONNECTED_TIME: Duration = Duration::from_secs(5);
 /// The wrong-connection variant sends one in this many statements to another connection.
-pub(crate) const MULTIPLEX_ONE_IN: u32 = 12;
+pub(crate) const WRONG_CONNECTION_ONE_IN: u32 = 12;
 
 /// A query of the failover controller to a database.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -146,14 +146,14 @@
     /// Connections on which no more responses arrive.
     pub stalled: BTreeSet<ConnectionKey>,
     pub response_loss_percent: u32,
-    pub promotions_are_late: bool,
+    pub delays_promotions: bool,
     pub faults: Vec<String>,
     pub decisions: Vec<String>,
     /// Who last wrote the service's record, and when. A restore of the store does not reset it.
     pub(crate) last_record_writer: Option<(Time, String)>,
     pub remaining_faults: u32,
     pub last_incarnation: u64,
-    pub(crate) numbers: u64,
+    pub(crate) last_statement_number: u64,
     pub(crate) sessions: u64,
     pub(crate) succeeded: u64,
     pub(crate) failed: u64,
@@ -199,13 +199,13 @@
             partitions: BTreeSet::new(),
             stalled: BTreeSet::new(),
             response_loss_percent: 0,
-            promotions_are_late: false,
+            delays_promotions: false,
             last_record_writer: None,
             faults: Vec::new(),
             decisions: Vec::new(),
             remaining_faults: options.fault_count,
             last_incarnation: 0,
-            numbers: 0,
+            last_statement_number: 0,
             sessions: 0,
             succeeded: 0,
             failed: 0,
@@ -243,8 +243,8 @@
         self.queue.schedule(end, SimulationEvent::End);
     }
 
-    pub fn random_duration(&mut self, least: u64, most: u64) -> Duration {
-        Duration::from_millis(self.random.random_range(least..most))
+    pub fn random_duration(&mut self, min_ms: u64, max_count: u64) -> Duration {
+        Duration::from_millis(self.random.random_range(min_ms..max_count))
     }
 
     pub fn now(&self) -> Time {
@@ -339,7 +339,7 @@
             SimulationEvent::Promote(node, incarnation, backend, token, is_answered) => {
                 self.run_promotion(node, incarnation, &backend, token, is_answered);
             }
-            SimulationEvent::PromotionCompletes(backend) => self.leads(&backend),
+            SimulationEvent::PromotionCompletes(backend) => self.complete_promotion(&backend),
             SimulationEvent::Replicate => self.replicate(),
             SimulationEvent::CallerTurn(caller) => self.caller_turn(caller),
             SimulationEvent::CallerResponse(caller, session, response) => {
--- a/crates/stairward-simulation/src/world_callers.rs
+++ b/crates/stairward-simulation/src/world_callers.rs
@@ -45,7 +45,7 @@
             &mut self.random,
             now,
             self.options.writes_per_twenty,
-            &mut self.numbers,
+            &mut self.last_statement_number,
             &mut self.checker,
         );
         let session = SessionId(caller.session);
@@ -56,8 +56,8 @@
                 let event = SimulationEvent::Engine(node, incarnation, Box::new(event));
                 self.queue.schedule(CALLER_DELAY, event);
                 let (session, number) = self.pending_request(index);
-                let patience = SimulationEvent::CallerTimeout(index, session, number);
-                self.queue.schedule(CALLER_TIMEOUT, patience);
+                let timeout = SimulationEvent::CallerTimeout(index, session, number);
+                self.queue.schedule(CALLER_TIMEOUT, timeout);
             }
         }
     }
@@ -152,8 +152,8 @@
             self.failed += 1;
         }
         let now = self.now();
-        let goes_on = self.callers[index].receive_response(now, response, &mut self.checker);
-        if !goes_on {
+        let continues = self.callers[index].receive_response(now, response, &mut self.checker);
+        if !continues {
             return self.close_session(index);
         }
         let pause = self.random_duration(1, 40);
@@ -185,10 +185,10 @@
     pub(crate) fn start_node(&mut self, index: usize) {
         self.last_incarnation += 1;
         let now = self.now();
-        let cut = self.nodes[index].is_cut_from_store;
+        let is_partitioned = self.nodes[index].is_partitioned_from_store;
         let connected_since = self.nodes[index].connected_since.max(now);
         self.nodes[index] = Node::start(index, self.last_incarnation, now, &self.options);
-        self.nodes[index].is_cut_from_store = cut;
+        self.nodes[index].is_partitioned_from_store = is_partitioned;
         self.nodes[index].connected_since = connected_since;
         self.queue.schedule(
             STORE_DELAY,
--- a/crates/stairward-simulation/src/world_databases.rs
+++ b/crates/stairward-simulation/src/world_databases.rs
@@ -21,9 +21,9 @@
 const RETRY_PAUSE: Duration = Duration::from_millis(15);
 const MEAN_RECEIVED_CHECKS: u32 = 20;
 
-/// The result of a call to a member; `led` says whether it was primary before the call.
-fn call_result(led: bool, status: MemberStatus) -> MemberCallResult {
-    if led && status.role == BackendRole::Replica {
+/// The result of a call to a member; `was_primary` says whether it was the primary before the call.
+fn call_result(was_primary: bool, status: MemberStatus) -> MemberCallResult {
+    if was_primary && status.role == BackendRole::Replica {
         MemberCallResult::GaveWay(status)
     } else {
         MemberCallResult::Answered(status)
@@ -125,8 +125,8 @@
         if let Some(executed) = &outcome.executed {
             self.checker.record_executed(now, database, executed);
             let state = database.connections.get(&connection_key);
-            let opened_for = state.and_then(|state| state.tenant.clone());
-            self.check_tenant(&executed.id, opened_for.as_ref());
+            let connection_tenant = state.and_then(|state| state.tenant.clone());
+            self.check_tenant(&executed.id, connection_tenant.as_ref());
         }
         let is_lost = outcome.executed.is_some()
             && self.random.random_range(0..100) < self.response_loss_percent;
@@ -180,8 +180,8 @@
             self.stalled.insert(connection_key);
             return;
         }
-        let waits = SimulationEvent::AwaitReplicas(connection_key, entry, delay, Box::new(reply));
-        self.queue.schedule(REPLICATION_TICK, waits);
+        let retry = SimulationEvent::AwaitReplicas(connection_key, entry, delay, Box::new(reply));
+        self.queue.schedule(REPLICATION_TICK, retry);
     }
 
     /// Checks that no single statement and no first statement of a transaction reaches a back end that has
@@ -331,17 +331,18 @@
         if !self.is_running(node, incarnation) {
             return;
         }
-        let asking = match via {
+        let calling_node = match via {
             Via::Direct => node,
             Via::Peer(peer) => usize::try_from(peer.0).unwrap_or(0),
         };
         let now = self.now();
-        let can_ask = self.nodes[asking].is_running && now >= self.nodes[asking].paused_until;
-        let is_skipped = self.options.broken == Some(BrokenVariant::NoStepDown)
+        let can_call =
+            self.nodes[calling_node].is_running && now >= self.nodes[calling_node].paused_until;
+        let is_assumed = self.options.broken == Some(BrokenVariant::NoStepDown)
             && matches!(query, MemberQuery::StepDown(_));
         let is_alive = self.group.databases[backend].is_alive;
-        let reaches = can_ask && self.reaches(asking, backend);
-        let reach = if is_skipped {
+        let reaches = can_call && self.reaches(calling_node, backend);
+        let result = if is_assumed {
             let mut status = self.group.databases[backend].status();
             status.role = BackendRole::Replica;
             MemberCallResult::GaveWay(status)
@@ -350,19 +351,21 @@
         } else if !is_alive {
             MemberCallResult::Refused
         } else {
-            let led = self.group.databases[backend].role == BackendRole::Primary;
-            let status = self.answer_query(asking, backend, query);
+            let was_primary = self.group.databases[backend].role == BackendRole::Primary;
+            let status = self.answer_query(calling_node, backend, query);
             let is_lost = self.random.random_range(0..100) < self.response_loss_percent;
             status
                 .filter(|_| !is_lost)
-                .map_or(MemberCallResult::Silent, |status| call_result(led, status))
+                .map_or(MemberCallResult::Silent, |status| {
+                    call_result(was_primary, status)
+                })
         };
-        let delay = if reach == MemberCallResult::Silent {
+        let delay = if result == MemberCallResult::Silent {
             MEMBER_TIMEOUT
         } else {
             FAR_DELAY
         };
-        let event = FailoverEvent::MemberCallEnded(backend.clone(), via.clone(), reach);
+        let event = FailoverEvent::MemberCallEnded(backend.clone(), via.clone(), result);
         self.queue.schedule(
             delay,
             SimulationEvent::Failover(node, incarnation, Box::new(event)),
@@ -428,23 +431,23 @@
         }
     }
 
-    pub(crate) fn leads(&mut self, backend: &BackendId) {
+    pub(crate) fn complete_promotion(&mut self, backend: &BackendId) {
         let is_alive = self
             .group
             .databases
             .get(backend)
             .is_some_and(|database| database.is_alive);
-        let leads_already = self.group.primary() == Some(backend);
-        if !is_alive || leads_already {
+        let is_already_primary = self.group.primary() == Some(backend);
+        if !is_alive || is_already_primary {
             return;
         }
         self.promotions += 1;
         let rolled_back = self.group.promote(backend);
         let term = self.group.databases[backend].term;
-        let began = self.now();
-        self.checker.record_term_start(began, term);
+        let started_at = self.now();
+        self.checker.record_term_start(started_at, term);
         self.decisions
-            .push(format!("{began:?} {backend} is primary of {term:?}"));
+            .push(format!("{started_at:?} {backend} is primary of {term:?}"));
         if self.options.synchronous_replicas > 0 {
             let now = self.now();
             self.checker.check_kept(now, &rolled_back);
--- a/crates/stairward-simulation/src/world_nodes.rs
+++ b/crates/stairward-simulation/src/world_nodes.rs
@@ -15,7 +15,9 @@
 use crate::nodes::configuration_number;
 use crate::options::BrokenVariant;
 use crate::tenants::tenant_name;
-use crate::world::{CALLER_DELAY, FAR_DELAY, MULTIPLEX_ONE_IN, NEAR_DELAY, SimulationEvent, World};
+use crate::world::{
+    CALLER_DELAY, FAR_DELAY, NEAR_DELAY, SimulationEvent, WRONG_CONNECTION_ONE_IN, World,
+};
 
 impl World {
     pub(crate) fn handle_engine_event(&mut self, index: usize, incarnation: u64, event: Event) {
@@ -165,9 +167,9 @@
                 };
                 if let Some(caller) = self.caller_of(session) {
                     let response = self.corrupt_response(response);
-                    let hears =
+                    let delivery =
                         SimulationEvent::CallerResponse(caller, session.0, Box::new(response));
-                    self.queue.schedule(CALLER_DELAY, hears);
+                    self.queue.schedule(CALLER_DELAY, delivery);
                 }
             }
             Effect::Open { connection, target } => {
@@ -315,7 +317,7 @@
                 command = BackendCommand::Rollback;
             }
             (Some(BrokenVariant::WrongConnection), BackendCommand::Run { .. })
-                if self.random.random_range(0..MULTIPLEX_ONE_IN) == 0 =>
+                if self.random.random_range(0..WRONG_CONNECTION_ONE_IN) == 0 =>
             {
                 let others = self.nodes[index].connections.iter();
                 let other = others
--- a/crates/stairward-simulation/src/world_store.rs
+++ b/crates/stairward-simulation/src/world_store.rs
@@ -14,7 +14,7 @@
 use crate::checker::Invariant;
 use crate::nodes::{node_name, routing_table};
 use crate::options::BrokenVariant;
-use crate::store_view::{Entry, StoreView};
+use crate::store_view::{BackendEntry, StoreView};
 use crate::tenants::directory;
 use crate::world::{
     FAR_DELAY, MemberQuery, PROMOTION_TIME, STORE_DELAY, STORE_POLL, SimulationEvent, World,
@@ -24,13 +24,13 @@
 /// More revisions than one copy of the store creates in a run.
 const REVISIONS_PER_COPY: u64 = 1_000_000;
 /// For this long after a node has written a service's record, no other node may write it.
-const HOLDER_LEASE: Duration = Duration::from_millis(3_000);
+const RECORD_LEASE: Duration = Duration::from_millis(3_000);
 /// Number of zones that nodes are spread over.
 const ZONES: usize = 3;
 
 impl World {
     pub(crate) fn store_reaches(&self, node: usize) -> bool {
-        !self.store.is_down && !self.nodes[node].is_cut_from_store
+        !self.store.is_down && !self.nodes[node].is_partitioned_from_store
     }
 
     /// Notifies every node of a change in the store.
@@ -84,7 +84,7 @@
         let nodes = u32::try_from(self.nodes.len()).unwrap_or(1);
         self.handle_engine_event(node, incarnation, Event::NodeCountChanged(nodes));
         let holders = ServiceHolders {
-            first_ranked: self.first_holder_for(node),
+            first_ranked: self.first_ranked_for(node),
             leadership_source: self.leadership_source_for(node),
             forward_targets: self.forward_targets_for(node),
             ..ServiceHolders::default()
@@ -113,15 +113,15 @@
     /// written.
     fn visible_entries(&mut self, node: usize) -> (Vec<BackendDescription>, Option<Time>) {
         let (now, era) = (self.now(), self.store.era);
-        let keeps = self.options.broken != Some(BrokenVariant::UnprotectedRestore);
-        let in_era = |entry: &BackendDescription| BackendDescription {
+        let is_protected = self.options.broken != Some(BrokenVariant::UnprotectedRestore);
+        let with_era = |entry: &BackendDescription| BackendDescription {
             revision: StoreRevision::new(era, entry.revision.revision()),
             ..entry.clone()
         };
         let listed = self.group.listed.iter();
-        let listed = listed.map(|(id, entry)| (id.to_string(), Entry(in_era(entry))));
+        let listed = listed.map(|(id, entry)| (id.to_string(), BackendEntry(with_era(entry))));
         let node = &mut self.nodes[node];
-        if !keeps {
+        if !is_protected {
             node.entries = StoreView::default();
         }
         let mut seen = node.entries.apply_listing(now, era, listed.collect());
@@ -249,8 +249,8 @@
                     let node_index = usize::try_from(user.0).unwrap_or(0);
                     let told = self.nodes[node_index].incarnation;
                     let event = Event::PromotionEnded(service.clone());
-                    let settle = SimulationEvent::Engine(node_index, told, Box::new(event));
-                    self.queue.schedule(FAR_DELAY * 3, settle);
+                    let ended = SimulationEvent::Engine(node_index, told, Box::new(event));
+                    self.queue.schedule(FAR_DELAY * 3, ended);
                 }
             }
             FailoverEffect::HoldVia(backend, term, ways) => {
@@ -327,9 +327,8 @@
                 Via::Direct => self.delay(index, backend) * 3,
                 Via::Peer(_) => FAR_DELAY * 4,
             };
-            let reach =
-                SimulationEvent::CallMember(index, incarnation, backend.clone(), query, via);
-            self.queue.schedule(delay, reach);
+            let call = SimulationEvent::CallMember(index, incarnation, backend.clone(), query, via);
+            self.queue.schedule(delay, call);
         }
     }
 
@@ -361,7 +360,7 @@
         let last = self.last_record_writer.replace((now, writer.to_owned()));
         if let Some((at, holder)) = last
             && holder != writer
-            && now < at + HOLDER_LEASE
+            && now < at + RECORD_LEASE
         {
             let text =
                 format!("{holder} wrote the record at {at:?}, then {writer} within the lease");
@@ -452,19 +451,21 @@
         );
         let now = self.now();
         self.checker.record_promotion(now, token.0, decision);
-        let is_late = self.promotions_are_late && self.random.random_range(0..2) == 0;
-        let delay = if is_late {
+        let is_delayed = self.delays_promotions && self.random.random_range(0..2) == 0;
+        let delay = if is_delayed {
             self.random_duration(2_000, 9_000)
         } else {
             STORE_DELAY
         };
-        let promote = SimulationEvent::Promote(index, incarnation, backend, token, !is_late);
+        let promote = SimulationEvent::Promote(index, incarnation, backend, token, !is_delayed);
         self.queue.schedule(delay, promote);
-        if is_late {
-            let unknown =
+        if is_delayed {
+            let unknown_outcome =
                 FailoverEvent::Promotion(crate::group::service(), token, PromotionOutcome::Unknown);
-            let unknown = SimulationEvent::Failover(index, incarnation, Box::new(unknown));
-            self.queue.schedule(Duration::from_millis(2_200), unknown);
+            let unknown_outcome =
+                SimulationEvent::Failover(index, incarnation, Box::new(unknown_outcome));
+            self.queue
+                .schedule(Duration::from_millis(2_200), unknown_outcome);
         }
     }
 
