--- a/crates/stairward-simulation/src/forwarding.rs
+++ b/crates/stairward-simulation/src/forwarding.rs
@@ -29,7 +29,7 @@
 pub(crate) struct ForwardedSessions {
     by_origin: BTreeMap<(NodeIncarnation, Origin), SessionId>,
     by_session: BTreeMap<SessionId, (Origin, NodeIncarnation, u64)>,
-    last: u64,
+    last_id: u64,
 }
 
 impl World {
@@ -62,7 +62,7 @@
         if !self.nodes[holder_index].is_running {
             return self.queue.schedule(
                 FAR_DELAY,
-                SimulationEvent::LinkLost(node, incarnation, holder),
+                SimulationEvent::PeerDisconnected(node, incarnation, holder),
             );
         }
         let origin = Origin {
@@ -72,8 +72,8 @@
         let key = ((holder_index, holder_incarnation), origin);
         let known = self.forwarded_sessions.by_origin.get(&key).copied();
         let session_id = known.unwrap_or_else(|| {
-            self.forwarded_sessions.last += 1;
-            SessionId(FIRST_FORWARDED_SESSION + self.forwarded_sessions.last)
+            self.forwarded_sessions.last_id += 1;
+            SessionId(FIRST_FORWARDED_SESSION + self.forwarded_sessions.last_id)
         });
         self.forwarded_sessions.by_origin.insert(key, session_id);
         self.forwarded_sessions.by_session.insert(
@@ -176,7 +176,7 @@
 
     /// A node detects that its connection to a holder has ended, and the sessions that it forwarded there are
     /// closed. That includes sessions that a restarted holder has accepted since.
-    pub(crate) fn link_lost(&mut self, node: usize, incarnation: u64, holder: NodeId) {
+    pub(crate) fn peer_disconnected(&mut self, node: usize, incarnation: u64, holder: NodeId) {
         let holder_index = usize::try_from(holder.0).unwrap_or(0);
         self.close_forwarded_sessions(|(held_by, origin)| {
             held_by.0 == holder_index && origin.node == (node, incarnation)
@@ -194,7 +194,7 @@
         let gone = NodeId(u64::try_from(node).unwrap_or(0));
         for other in 0..self.nodes.len() {
             let other_incarnation = self.nodes[other].incarnation;
-            let lost = SimulationEvent::LinkLost(other, other_incarnation, gone);
+            let lost = SimulationEvent::PeerDisconnected(other, other_incarnation, gone);
             self.queue.schedule(FAR_DELAY, lost);
         }
     }
--- a/crates/stairward-simulation/src/world.rs
+++ b/crates/stairward-simulation/src/world.rs
@@ -50,16 +50,22 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum MemberQuery {
     Status,
+    /// Ask repeatedly until the member has received everything up to a position.
     Received(Freshness),
+    /// Put the member on hold for terms below this one.
     Hold(Term),
+    /// Step down in favor of this term.
     StepDown(Term),
+    /// End a hold.
     Resume,
 }
 
 /// An event of the simulation. The first number is usually the node, the second its incarnation.
 #[derive(Debug)]
 pub(crate) enum SimulationEvent {
+    /// An event for a node's engine.
     Engine(usize, u64, Box<Event>),
+    /// An event for a node's failover controller.
     Failover(usize, u64, Box<FailoverEvent>),
     EngineTimer(usize, u64),
     FailoverTimer(usize, u64),
@@ -69,24 +75,29 @@
     RunCommand(usize, ConnectionKey, BackendId, BackendCommand),
     CloseConnection(ConnectionKey, BackendId),
     WriteRecord(usize, u64, RecordVersion, FailoverRecord),
+    /// Checks again whether enough replicas have received a commit whose response is outstanding.
     AwaitReplicas(
         ConnectionKey,
         crate::database::LogEntry,
         Duration,
         Box<SimulationEvent>,
     ),
+    /// A node asks a peer for the leader position that it knows.
     QueryPeerPosition(usize, u64, usize, Time),
     /// A node detects that its connection to another node has ended.
-    LinkLost(usize, u64, NodeId),
+    PeerDisconnected(usize, u64, NodeId),
     QueryMember(usize, u64, BackendId, MemberQuery),
     /// A node checks a back end that another node reports as unresponsive.
     VerifyBackend(usize, u64, BackendId, NodeId),
     /// A node asks a member to step down or to hold, directly or through a peer.
     CallMember(usize, u64, BackendId, MemberQuery, Via),
+    /// A node asks a peer what it knows of the service's leadership.
     QueryPeerLeadership(usize, u64, usize, Time),
     /// A node asks a coordinator to grant operations of tenants with a rate limit.
     RequestLimitGrant(usize, u64, usize, Box<GrantRequest>),
+    /// A promoting node tells another one that a new term may begin.
     RevokeLeadership(usize, u64, NodeId, Term),
+    /// A node requests a promotion; the flag says whether it receives the response.
     Promote(
         usize,
         u64,
@@ -94,15 +105,18 @@
         stairward_failover::FencingToken,
         bool,
     ),
+    /// An accepted promotion takes effect.
     PromotionCompletes(BackendId),
     Replicate,
     CallerTurn(usize),
     CallerResponse(usize, u64, Box<Response>),
     CallerDisconnected(usize, u64),
+    /// A caller closes its session if this request is still outstanding.
     CallerTimeout(usize, u64, u64),
     StartNode(usize),
     InjectFault,
     FaultEnds(crate::faults::FaultEnd),
+    /// Checks that connected nodes have a configuration in force that was written at this time.
     CheckConfiguration(u64, Time),
     End,
 }
@@ -146,19 +160,24 @@
     /// Connections on which no more responses arrive.
     pub stalled: BTreeSet<ConnectionKey>,
     pub response_loss_percent: u32,
+    /// Whether promotions may be delayed and their responses lost.
     pub delays_promotions: bool,
     pub faults: Vec<String>,
     pub decisions: Vec<String>,
     /// Who last wrote the service's record, and when. A restore of the store does not reset it.
     pub(crate) last_record_writer: Option<(Time, String)>,
+    /// Number of faults that are still to be injected.
     pub remaining_faults: u32,
+    /// The last incarnation given to a node.
     pub last_incarnation: u64,
     pub(crate) last_statement_number: u64,
+    /// Number of the last session.
     pub(crate) sessions: u64,
     pub(crate) succeeded: u64,
     pub(crate) failed: u64,
     pub(crate) promotions: u64,
     pub(crate) fingerprint: u64,
+    /// Whether the run has reached its end.
     pub(crate) is_over: bool,
 }
 
@@ -315,8 +334,8 @@
             SimulationEvent::QueryPeerPosition(node, incarnation, peer, asked_at) => {
                 self.query_peer_position(node, incarnation, peer, asked_at);
             }
-            SimulationEvent::LinkLost(node, incarnation, holder) => {
-                self.link_lost(node, incarnation, holder)
+            SimulationEvent::PeerDisconnected(node, incarnation, holder) => {
+                self.peer_disconnected(node, incarnation, holder)
             }
             SimulationEvent::VerifyBackend(node, incarnation, backend, asker) => {
                 self.verify_backend(node, incarnation, &backend, asker);
--- a/crates/stairward-simulation/src/world_databases.rs
+++ b/crates/stairward-simulation/src/world_databases.rs
@@ -31,7 +31,7 @@
 }
 
 impl World {
-    pub(crate) fn reaches(&self, node: usize, backend: &BackendId) -> bool {
+    pub(crate) fn can_reach(&self, node: usize, backend: &BackendId) -> bool {
         let is_cut = self.partitions.contains(&(node, backend.clone()));
         let is_silent = self
             .group
@@ -57,7 +57,7 @@
             incarnation,
             connection,
         };
-        if !self.reaches(node, backend) {
+        if !self.can_reach(node, backend) {
             let failed = Event::OpenFailed {
                 connection,
                 failure: OpenFailure::TimedOut,
@@ -102,7 +102,7 @@
         backend: &BackendId,
         command: &BackendCommand,
     ) {
-        if !self.reaches(node, backend) {
+        if !self.can_reach(node, backend) {
             self.stalled.insert(connection_key);
         }
         if self.stalled.contains(&connection_key) {
@@ -237,9 +237,9 @@
         backend: &BackendId,
         query: MemberQuery,
     ) -> Option<MemberStatus> {
-        let reaches = self.reaches(node, backend);
+        let can_reach = self.can_reach(node, backend);
         let database = self.group.databases.get_mut(backend)?;
-        if !reaches || !database.is_alive {
+        if !can_reach || !database.is_alive {
             return None;
         }
         match query {
@@ -341,12 +341,12 @@
         let is_assumed = self.options.broken == Some(BrokenVariant::NoStepDown)
             && matches!(query, MemberQuery::StepDown(_));
         let is_alive = self.group.databases[backend].is_alive;
-        let reaches = can_call && self.reaches(calling_node, backend);
+        let can_reach = can_call && self.can_reach(calling_node, backend);
         let result = if is_assumed {
             let mut status = self.group.databases[backend].status();
             status.role = BackendRole::Replica;
             MemberCallResult::GaveWay(status)
-        } else if !reaches {
+        } else if !can_reach {
             MemberCallResult::Silent
         } else if !is_alive {
             MemberCallResult::Refused
--- a/crates/stairward-simulation/src/world_store.rs
+++ b/crates/stairward-simulation/src/world_store.rs
@@ -29,7 +29,7 @@
 const ZONES: usize = 3;
 
 impl World {
-    pub(crate) fn store_reaches(&self, node: usize) -> bool {
+    pub(crate) fn can_reach_store(&self, node: usize) -> bool {
         !self.store.is_down && !self.nodes[node].is_partitioned_from_store
     }
 
@@ -54,7 +54,7 @@
     }
 
     pub(crate) fn deliver_store_state(&mut self, node: usize, incarnation: u64) {
-        if !self.is_running(node, incarnation) || !self.store_reaches(node) {
+        if !self.is_running(node, incarnation) || !self.can_reach_store(node) {
             return;
         }
         let revision = self.store.configuration;
@@ -377,7 +377,7 @@
         record: FailoverRecord,
     ) {
         let service = crate::group::service();
-        if !self.store_reaches(node) {
+        if !self.can_reach_store(node) {
             let failed = SimulationEvent::Failover(
                 node,
                 incarnation,
--- a/crates/stairward-simulation/tests/simulation.rs
+++ b/crates/stairward-simulation/tests/simulation.rs
@@ -173,7 +173,7 @@
 }
 
 /// A run with faults of all kinds in quick succession.
-fn with_quick_faults(seed: u64) -> Options {
+fn with_frequent_faults(seed: u64) -> Options {
     Options {
         fault_count: 14,
         max_pause_ms: 1_500,
@@ -187,7 +187,7 @@
     for seed in [
         1, 4, 7, 11, 14, 34, 38, 40, 50, 54, 55, 58, 90, 126, 185, 233,
     ] {
-        assert_holds(&with_quick_faults(seed));
+        assert_holds(&with_frequent_faults(seed));
     }
     assert_holds(&with_old_primaries(34));
 }
@@ -197,7 +197,7 @@
 /// on recorded terms cover it.
 #[test]
 fn a_term_known_only_to_unreachable_nodes_is_not_reused() {
-    assert_holds(&with_quick_faults(2310));
+    assert_holds(&with_frequent_faults(2310));
 }
 
 /// Guards against lost commits in a planned replacement: the old log is closed and received to its end before
