--- a/crates/stairward-simulation/examples/run_seed.rs
+++ b/crates/stairward-simulation/examples/run_seed.rs
@@ -8,12 +8,12 @@
 
 fn main() {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
-    let number = |place: usize| {
-        let text = arguments.get(place);
+    let number = |index: usize| {
+        let text = arguments.get(index);
         text.and_then(|text| text.parse().ok()).unwrap_or(1)
     };
-    let is_asked = |option: &str| arguments.iter().any(|argument| argument == option);
-    let (is_close, has_restores) = (is_asked("close"), is_asked("restores"));
+    let has_argument = |option: &str| arguments.iter().any(|argument| argument == option);
+    let (is_close, has_restores) = (has_argument("close"), has_argument("restores"));
     let (mut violations, mut promotions, mut lost) = (0, 0, 0);
     for seed in number(0)..=number(1) {
         let mut options = Options {
--- a/crates/stairward-simulation/src/nodes.rs
+++ b/crates/stairward-simulation/src/nodes.rs
@@ -99,9 +99,9 @@
     pub fn start(index: usize, incarnation: u64, now: Time, run: &Options) -> Self {
         let leases = Leases::of(run);
         let zone = |number: usize| ZoneName::new(format!("zone-{number}")).expect("valid name");
-        let own = index % 3 + 1;
+        let own_zone = index % 3 + 1;
         let distances = (1..=3).map(|number| {
-            let distance = if number == own {
+            let distance = if number == own_zone {
                 ZoneDistance::Same
             } else {
                 ZoneDistance::Remote
--- a/crates/stairward-simulation/src/world_databases.rs
+++ b/crates/stairward-simulation/src/world_databases.rs
@@ -298,11 +298,11 @@
         backend: &BackendId,
         asker: NodeId,
     ) {
-        let answers = self
+        let responds = self
             .answer_query(node, backend, MemberQuery::Status)
             .is_some();
-        let node_index = usize::try_from(asker.0).unwrap_or(0);
-        if answers || !self.is_running(node, incarnation) || node_index >= self.nodes.len() {
+        let asker_index = usize::try_from(asker.0).unwrap_or(0);
+        if responds || !self.is_running(node, incarnation) || asker_index >= self.nodes.len() {
             return;
         }
         let found = FailoverEvent::FoundSilent(backend.clone());
@@ -310,12 +310,12 @@
             MEMBER_TIMEOUT,
             SimulationEvent::Failover(node, incarnation, Box::new(found)),
         );
-        let own = NodeId(u64::try_from(node).unwrap_or(0));
-        let told = FailoverEvent::Verified(own, backend.clone());
-        let told_incarnation = self.nodes[node_index].incarnation;
+        let own_id = NodeId(u64::try_from(node).unwrap_or(0));
+        let verified = FailoverEvent::Verified(own_id, backend.clone());
+        let asker_incarnation = self.nodes[asker_index].incarnation;
         self.queue.schedule(
             MEMBER_TIMEOUT,
-            SimulationEvent::Failover(node_index, told_incarnation, Box::new(told)),
+            SimulationEvent::Failover(asker_index, asker_incarnation, Box::new(verified)),
         );
     }
 
--- a/crates/stairward-simulation/src/world_nodes.rs
+++ b/crates/stairward-simulation/src/world_nodes.rs
@@ -127,9 +127,9 @@
                 ..
             } => {
                 let now = self.now();
-                let seen =
+                let observation =
                     format!("{now:?} node-{index}: {leader} of {term:?} {change:?}, {awaited:?}");
-                self.decisions.push(seen);
+                self.decisions.push(observation);
                 let is_revoked = change == LeadershipChange::Revoked;
                 self.handle_failover_event(
                     index,
--- a/crates/stairward-simulation/src/world_store.rs
+++ b/crates/stairward-simulation/src/world_store.rs
@@ -187,12 +187,12 @@
                 self.queue.schedule(STORE_DELAY, write);
             }
             FailoverEffect::ReportSilent(silent) => {
-                let own = NodeId(u64::try_from(index).unwrap_or(0));
+                let own_id = NodeId(u64::try_from(index).unwrap_or(0));
                 for peer in (0..self.nodes.len()).filter(|peer| *peer != index) {
-                    let event = FailoverEvent::Suspicion(own, silent.clone());
+                    let event = FailoverEvent::Suspicion(own_id, silent.clone());
                     let incarnation = self.nodes[peer].incarnation;
-                    let told = SimulationEvent::Failover(peer, incarnation, Box::new(event));
-                    self.queue.schedule(FAR_DELAY * 3, told);
+                    let notified = SimulationEvent::Failover(peer, incarnation, Box::new(event));
+                    self.queue.schedule(FAR_DELAY * 3, notified);
                 }
             }
             FailoverEffect::Verify { backend, asker } => {
@@ -237,19 +237,19 @@
                 );
             }
             FailoverEffect::Revoke(_, term, users) => {
-                let own = NodeId(u64::try_from(index).unwrap_or(0));
-                for user in users.into_iter().chain([own]) {
+                let own_id = NodeId(u64::try_from(index).unwrap_or(0));
+                for user in users.into_iter().chain([own_id]) {
                     let revoke = SimulationEvent::RevokeLeadership(index, incarnation, user, term);
                     self.queue.schedule(FAR_DELAY * 3, revoke);
                 }
             }
             FailoverEffect::AnnounceAttemptEnded(service, users) => {
-                let own = NodeId(u64::try_from(index).unwrap_or(0));
-                for user in users.into_iter().chain([own]) {
+                let own_id = NodeId(u64::try_from(index).unwrap_or(0));
+                for user in users.into_iter().chain([own_id]) {
                     let node_index = usize::try_from(user.0).unwrap_or(0);
-                    let told = self.nodes[node_index].incarnation;
+                    let notified = self.nodes[node_index].incarnation;
                     let event = Event::PromotionEnded(service.clone());
-                    let ended = SimulationEvent::Engine(node_index, told, Box::new(event));
+                    let ended = SimulationEvent::Engine(node_index, notified, Box::new(event));
                     self.queue.schedule(FAR_DELAY * 3, ended);
                 }
             }
@@ -287,11 +287,11 @@
         term: Term,
     ) {
         let node_index = usize::try_from(user.0).unwrap_or(0);
-        let told = &self.nodes[node_index];
-        if !told.is_running || self.now() < told.paused_until {
+        let notified = &self.nodes[node_index];
+        if !notified.is_running || self.now() < notified.paused_until {
             return;
         }
-        let told_incarnation = told.incarnation;
+        let notified_incarnation = notified.incarnation;
         let service = crate::group::service();
         match self.options.broken {
             // Nodes are not told, so that only the wait keeps the old leader from being used.
@@ -300,7 +300,7 @@
             Some(BrokenVariant::IgnoredRevocation) => {}
             _ => {
                 let event = Event::LeadershipRevoked(service.clone(), term);
-                self.handle_engine_event(node_index, told_incarnation, event);
+                self.handle_engine_event(node_index, notified_incarnation, event);
             }
         }
         let newest = self.nodes[node_index].engine.newest_term(&service);
