--- a/crates/stairward-simulation/examples/run_seed.rs
+++ b/crates/stairward-simulation/examples/run_seed.rs
@@ -1,27 +1,29 @@
-//! Runs seeds of the simulation where old primaries go on, and prints what struck, what the duty decided and
-//! the first violations of each that has any. `cargo run --release --example run_seed -- FROM TO [close] [restores]`; with
-//! `close`, faults strike close upon each other; with `restores`, the store comes back from older copies too.
+//! Runs seeds in which old primaries keep running, and prints the injected faults, the failover decisions and
+//! the first violations of each seed that has any.
+//!
+//! Usage: `cargo run --release --example run_seed -- FROM TO [close] [restores]`. With `close`, faults follow
+//! each other quickly; with `restores`, the store is also restored from older copies.
 
 use stairward_simulation::{FaultKind, Options, simulate};
 
 fn main() {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
-    let number = |place: usize| {
-        let text = arguments.get(place);
+    let number = |index: usize| {
+        let text = arguments.get(index);
         text.and_then(|text| text.parse().ok()).unwrap_or(1)
     };
-    let is_asked = |option: &str| arguments.iter().any(|argument| argument == option);
-    let (is_close, has_restores) = (is_asked("close"), is_asked("restores"));
+    let has_argument = |option: &str| arguments.iter().any(|argument| argument == option);
+    let (is_close, has_restores) = (has_argument("close"), has_argument("restores"));
     let (mut violations, mut promotions, mut lost) = (0, 0, 0);
     for seed in number(0)..=number(1) {
         let mut options = Options {
-            old_primaries_go_on: true,
+            old_primaries_keep_running: true,
             ..Options::new(seed)
         };
         if is_close {
             options.faults = FaultKind::ALL.to_vec();
-            options.strikes = 14;
-            options.longest_pause = 1_500;
+            options.fault_count = 14;
+            options.max_pause_ms = 1_500;
         }
         if has_restores {
             options.faults = FaultKind::with_restores();
@@ -34,7 +36,7 @@
             let first: Vec<_> = report.violations.iter().take(2).collect();
             println!(
                 "seed {seed}: {:#?}\n{:#?}\n{first:#?}",
-                report.strikes, report.decisions
+                report.faults, report.decisions
             );
         }
     }
--- a/crates/stairward-simulation/src/callers.rs
+++ b/crates/stairward-simulation/src/callers.rs
@@ -1,4 +1,4 @@
-//! Callers: sessions that send operations one after the other and note what they are told.
+//! Callers: sessions that send operations one after the other and record the responses.
 
 use std::collections::BTreeMap;
 
@@ -7,67 +7,67 @@
 use stairward_engine::{PreparedStatement, Response, ResponseResult, Statement, StatementKind};
 use stairward_types::{AccessClass, OutcomeClass, Time};
 
-use crate::checker::{Asked, Checker, Invariant, ReadKind};
+use crate::checker::{Checker, Invariant, ReadKind, SentStatement};
 
-/// The databases that routes lead to, with what their reads must see.
+/// The databases that callers connect to, with the reads that their routes provide.
 pub const DATABASES: [(&str, ReadKind); 3] = [
     ("leader", ReadKind::Leader),
     ("bounded", ReadKind::Bounded),
     ("own", ReadKind::Own),
 ];
-/// The callers' only prepared name.
+/// The only prepared statement name that callers use.
 const PREPARED_NAME: &str = "p1";
 
-/// What a caller was told.
+/// The outcome that a caller was told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Told {
+enum ReportedOutcome {
     Success,
-    Promise,
+    NotRun,
     Unknown,
 }
 
-fn told(response: &Response) -> Told {
+fn reported(response: &Response) -> ReportedOutcome {
     match &response.result {
-        ResponseResult::Completed { .. } => Told::Success,
+        ResponseResult::Completed { .. } => ReportedOutcome::Success,
         ResponseResult::Refused { code, .. } if code.class() == OutcomeClass::NotRun => {
-            Told::Promise
+            ReportedOutcome::NotRun
         }
-        ResponseResult::Failed(error) if error.code.is_not_run() => Told::Promise,
-        ResponseResult::Refused { .. } | ResponseResult::Failed(_) => Told::Unknown,
+        ResponseResult::Failed(error) if error.code.is_not_run() => ReportedOutcome::NotRun,
+        ResponseResult::Refused { .. } | ResponseResult::Failed(_) => ReportedOutcome::Unknown,
     }
 }
 
-/// A session of a caller.
+/// A caller and its current session.
 #[derive(Debug)]
 pub struct Caller {
-    /// Its number, the same for all its sessions.
+    /// The caller's number, which all its sessions share.
     pub number: u64,
-    /// Its session's number, new with each connection.
+    /// The session's number, which is new with each connection.
     pub session: u64,
-    /// The node and the life of it that it is connected to.
+    /// The node that it is connected to, and that node's incarnation.
     pub node: Option<(usize, u64)>,
-    /// The database it asked for, by its place in [`DATABASES`].
+    /// Index of its database in [`DATABASES`].
     pub database: usize,
     values: BTreeMap<String, String>,
     prepared: Option<PreparedStatement>,
-    plan: Vec<StatementKind>,
+    remaining: Vec<StatementKind>,
     operation: u64,
     start: Time,
     in_transaction: bool,
     before: Vec<String>,
     writes: Vec<String>,
     in_flight: Option<(String, StatementKind)>,
-    /// Statements sent.
-    sent: u64,
+    /// Number of statements sent in this session.
+    sent_count: u64,
 }
 
-/// What a caller does next.
+/// A caller's next step.
 #[derive(Debug)]
 pub enum Step {
     /// Send a statement.
     Send(Statement),
     /// Close the session.
-    Leave,
+    CloseSession,
 }
 
 impl Caller {
@@ -80,19 +80,19 @@
             database: 0,
             values: BTreeMap::new(),
             prepared: None,
-            plan: Vec::new(),
+            remaining: Vec::new(),
             operation: 0,
             start: Time::ZERO,
             in_transaction: false,
             before: Vec::new(),
             writes: Vec::new(),
             in_flight: None,
-            sent: 0,
+            sent_count: 0,
         }
     }
 
-    /// Connects anew.
-    pub fn connected(&mut self, session: u64, node: (usize, u64), database: usize) {
+    /// Starts a new session on a node.
+    pub fn start_session(&mut self, session: u64, node: (usize, u64), database: usize) {
         *self = Self {
             session,
             node: Some(node),
@@ -101,12 +101,12 @@
         };
     }
 
-    /// The number of the operation under way.
-    pub fn asked_number(&self) -> u64 {
-        self.sent
+    /// Number of the last statement sent in this session.
+    pub fn request_number(&self) -> u64 {
+        self.sent_count
     }
 
-    /// Whether an answer is due.
+    /// Whether a response is outstanding.
     pub fn is_waiting(&self) -> bool {
         self.in_flight.is_some()
     }
@@ -116,14 +116,14 @@
         random: &mut ChaCha8Rng,
         now: Time,
         operation: u64,
-        writes_in_twenty: u32,
+        writes_per_twenty: u32,
     ) {
         self.operation = operation;
         self.start = now;
         self.in_transaction = false;
         self.before.clear();
         self.writes.clear();
-        self.plan = match random.random_range(0..20) {
+        self.remaining = match random.random_range(0..20) {
             0 => vec![StatementKind::SetValue {
                 name: format!("v{}", random.random_range(0..3)),
                 value: random.random_range(0..5).to_string(),
@@ -139,56 +139,56 @@
                 name: PREPARED_NAME.to_owned(),
                 arguments: "x".to_owned(),
             }],
-            3..=6 => Self::plan_transaction(random, writes_in_twenty > 1),
-            kind if kind >= 7 && kind < 7 + writes_in_twenty => vec![StatementKind::Write],
+            3..=6 => Self::plan_transaction(random, writes_per_twenty > 1),
+            kind if kind >= 7 && kind < 7 + writes_per_twenty => vec![StatementKind::Write],
             _ => vec![StatementKind::Read],
         };
     }
 
     fn plan_transaction(random: &mut ChaCha8Rng, may_write: bool) -> Vec<StatementKind> {
         let read_only = random.random_range(0..3) == 0 || !may_write;
-        let mut plan = vec![StatementKind::Begin { read_only }];
+        let mut remaining = vec![StatementKind::Begin { read_only }];
         for _ in 0..random.random_range(1..4) {
             let writes = !read_only && random.random_range(0..2) == 0;
-            plan.push(if writes {
+            remaining.push(if writes {
                 StatementKind::Write
             } else {
                 StatementKind::Read
             });
         }
-        plan.push(if random.random_range(0..6) == 0 {
+        remaining.push(if random.random_range(0..6) == 0 {
             StatementKind::Rollback
         } else {
             StatementKind::Commit
         });
-        plan.reverse();
-        plan
+        remaining.reverse();
+        remaining
     }
 
-    /// The next statement, or leaving.
-    pub fn step(
+    /// Returns the next statement to send, or closes the session.
+    pub fn next_step(
         &mut self,
         random: &mut ChaCha8Rng,
         now: Time,
-        writes_in_twenty: u32,
-        numbers: &mut u64,
+        writes_per_twenty: u32,
+        last_statement_number: &mut u64,
         checker: &mut Checker,
     ) -> Step {
         if random.random_range(0..60) == 0 {
-            return Step::Leave;
+            return Step::CloseSession;
         }
-        *numbers += 1;
-        if self.plan.is_empty() {
-            let operation = *numbers;
-            self.plan_operation(random, now, operation, writes_in_twenty);
+        *last_statement_number += 1;
+        if self.remaining.is_empty() {
+            let operation = *last_statement_number;
+            self.plan_operation(random, now, operation, writes_per_twenty);
         }
-        let kind = self.plan.pop().unwrap_or(StatementKind::Read);
-        let id = format!("a{numbers}");
+        let kind = self.remaining.pop().unwrap_or(StatementKind::Read);
+        let id = format!("a{last_statement_number}");
         let text = self.text(&kind, &id);
         if let StatementKind::Begin { .. } = kind {
             self.in_transaction = true;
         }
-        let asked = Asked {
+        let sent = SentStatement {
             session: self.session,
             operation: self.operation,
             text: text.clone(),
@@ -198,12 +198,12 @@
             before: self.before.clone(),
             in_transaction: self.in_transaction,
         };
-        checker.asked(id.clone(), asked);
+        checker.record_sent(id.clone(), sent);
         if kind == StatementKind::Write {
             self.writes.push(id.clone());
         }
         self.in_flight = Some((id.clone(), kind.clone()));
-        self.sent += 1;
+        self.sent_count += 1;
         Step::Send(Statement { id, kind, text })
     }
 
@@ -220,20 +220,28 @@
         }
     }
 
-    /// Hears an answer. Returns whether it goes on with this session.
-    pub fn hear(&mut self, now: Time, response: &Response, checker: &mut Checker) -> bool {
-        checker.count(Invariant::OneAnswer);
+    /// Processes a response. Returns whether the session continues.
+    pub fn receive_response(
+        &mut self,
+        now: Time,
+        response: &Response,
+        checker: &mut Checker,
+    ) -> bool {
+        checker.count(Invariant::OneResponse);
         let Some((id, kind)) = self.in_flight.take() else {
-            let text = format!("session {} heard {response:?} unasked", self.session);
-            checker.violate(now, Invariant::OneAnswer, text);
+            let text = format!(
+                "session {} received an unexpected response {response:?}",
+                self.session
+            );
+            checker.record_violation(now, Invariant::OneResponse, text);
             return false;
         };
-        let told = told(response);
-        if told != Told::Success {
-            if told == Told::Promise {
-                checker.promised(self.operation);
+        let reported = reported(response);
+        if reported != ReportedOutcome::Success {
+            if reported == ReportedOutcome::NotRun {
+                checker.record_not_run(self.operation);
             }
-            self.plan.clear();
+            self.remaining.clear();
             return !self.in_transaction;
         }
         match kind {
@@ -242,9 +250,11 @@
             }
             StatementKind::Prepare { prepared, .. } => self.prepared = Some(prepared),
             StatementKind::Write if !self.in_transaction => {
-                checker.acknowledged(now, self.session, &[id]);
+                checker.record_acknowledgement(now, self.session, &[id]);
+            }
+            StatementKind::Commit => {
+                checker.record_acknowledgement(now, self.session, &self.writes)
             }
-            StatementKind::Commit => checker.acknowledged(now, self.session, &self.writes),
             StatementKind::Read | StatementKind::Write | StatementKind::Execute { .. } => {
                 self.before.push(id);
             }
--- a/crates/stairward-simulation/src/group.rs
+++ b/crates/stairward-simulation/src/group.rs
@@ -1,4 +1,4 @@
-//! The databases of one service together: replication, promotion, and what discovery says of them.
+//! The databases of one service: replication, promotion, and their entries in discovery.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,12 +8,12 @@
     BackendId, BackendRole, Incarnation, ServiceName, StoreRevision, Term, Time, ZoneName,
 };
 
-use crate::database::{Database, Entry};
+use crate::database::{Database, LogEntry};
 
-/// How long an old primary goes on once it reaches the new one.
-const OLD_PRIMARY_GOES_ON: Duration = Duration::from_secs(1);
+/// How long an old primary keeps running once it is connected to the new one.
+const OLD_PRIMARY_RUN_TIME: Duration = Duration::from_secs(1);
 
-/// The one service.
+/// The name of the only service.
 pub const SERVICE: &str = "core";
 
 /// The databases of one service.
@@ -21,23 +21,23 @@
 pub struct Group {
     /// The databases by id.
     pub databases: BTreeMap<BackendId, Database>,
-    /// What discovery says.
+    /// The entries in discovery.
     pub listed: BTreeMap<BackendId, BackendDescription>,
-    /// Grows with each change of what discovery says.
+    /// Revision of discovery, which rises with each change.
     pub revision: u64,
     /// The highest fencing token seen.
     pub fence: u64,
-    /// Whether an old primary goes on after another was promoted, until it steps down or has reached the
-    /// new one for a while.
-    pub old_primaries_go_on: bool,
-    /// The database that leads the newest term, or led it and has stepped down: the others receive from it.
+    /// Whether an old primary keeps running after another was promoted, until it steps down or has been
+    /// connected to the new one for a while.
+    pub old_primaries_keep_running: bool,
+    /// The database that was promoted last, which the others replicate from even after it has stepped down.
     source: BackendId,
     applied_at: BTreeMap<BackendId, Vec<(Time, usize)>>,
 }
 
-/// The one service's name.
+/// The name of the only service.
 pub fn service() -> ServiceName {
-    ServiceName::new(SERVICE).expect("a name")
+    ServiceName::new(SERVICE).expect("valid name")
 }
 
 impl Group {
@@ -45,7 +45,7 @@
     pub fn new(connection_limit: usize) -> Self {
         let mut databases = BTreeMap::new();
         for number in 1..=3 {
-            let id = BackendId::new(format!("db-{number}")).expect("a name");
+            let id = BackendId::new(format!("db-{number}")).expect("valid name");
             let role = if number == 1 {
                 BackendRole::Primary
             } else {
@@ -58,8 +58,8 @@
             listed: BTreeMap::new(),
             revision: 0,
             fence: 0,
-            old_primaries_go_on: false,
-            source: BackendId::new("db-1").expect("a name"),
+            old_primaries_keep_running: false,
+            source: BackendId::new("db-1").expect("valid name"),
             applied_at: BTreeMap::new(),
         };
         let ids: Vec<_> = group.databases.keys().cloned().collect();
@@ -69,7 +69,7 @@
         group
     }
 
-    /// Discovery takes in what a database says of itself.
+    /// Lists a database in discovery with its current state.
     pub fn announce(&mut self, id: &BackendId) {
         let Some(database) = self.databases.get(id) else {
             return;
@@ -80,36 +80,36 @@
             id: id.clone(),
             service: service(),
             address: ([127, 0, 0, 1], 7_000 + number).into(),
-            zone: ZoneName::new(format!("zone-{number}")).expect("a name"),
+            zone: ZoneName::new(format!("zone-{number}")).expect("valid name"),
             is_leaving: database.leaving_since.is_some(),
             role: database.role,
-            incarnation: Some(Incarnation(database.starts)),
-            cold_left: database.told_cold,
+            incarnation: Some(Incarnation(database.start_count)),
+            cold_left: database.announced_cold_time,
             slots: None,
             revision: StoreRevision::new(0, self.revision),
         };
         self.listed.insert(id.clone(), description);
     }
 
-    /// Discovery takes in what a database says of itself, unless it lists just that.
-    pub fn announce_unless_listed(&mut self, id: &BackendId) {
+    /// Lists a database in discovery, but keeps the entry and the revision if nothing has changed.
+    pub fn announce_if_changed(&mut self, id: &BackendId) {
         let listed = self.listed.get(id).cloned();
         let revision = self.revision;
         self.announce(id);
         if let (Some(listed), Some(announced)) = (listed, self.listed.get_mut(id)) {
-            let as_before = BackendDescription {
+            let with_old_revision = BackendDescription {
                 revision: listed.revision,
                 ..announced.clone()
             };
-            if as_before == listed {
+            if with_old_revision == listed {
                 *announced = listed;
                 self.revision = revision;
             }
         }
     }
 
-    /// Discovery forgets a database. It counts as leaving from then on.
-    pub fn forget(&mut self, id: &BackendId, now: Time) {
+    /// Removes a database from discovery. It counts as leaving from then on.
+    pub fn unlist(&mut self, id: &BackendId, now: Time) {
         self.revision += 1;
         self.listed.remove(id);
         if let Some(database) = self.databases.get_mut(id) {
@@ -117,18 +117,18 @@
         }
     }
 
-    /// A database forgets all that it knew. Returns what nobody else has of it.
-    pub fn forget_log(&mut self, id: &BackendId) -> Vec<Entry> {
+    /// Erases a database's log. Returns the entries that no other database has.
+    pub fn erase_log(&mut self, id: &BackendId) -> Vec<LogEntry> {
         let Some(database) = self.databases.get_mut(id) else {
             return Vec::new();
         };
         let log = std::mem::take(&mut database.log);
-        database.forget_all();
-        let is_kept = |entry: &Entry| self.databases.values().any(|d| d.log.contains(entry));
+        database.discard_state();
+        let is_kept = |entry: &LogEntry| self.databases.values().any(|d| d.log.contains(entry));
         log.into_iter().filter(|entry| !is_kept(entry)).collect()
     }
 
-    /// The database that leads the newest term.
+    /// The primary of the newest term.
     pub fn primary(&self) -> Option<&BackendId> {
         let primaries = self
             .databases
@@ -139,9 +139,9 @@
             .map(|database| &database.id)
     }
 
-    /// A database leads the next term with what it has received; the others follow it. Returns what they had
-    /// beyond that.
-    pub fn promote(&mut self, id: &BackendId) -> Vec<Entry> {
+    /// Promotes a database to primary of the next term with the log that it has received; the others follow
+    /// it. Returns the entries of the others that are rolled back.
+    pub fn promote(&mut self, id: &BackendId) -> Vec<LogEntry> {
         let newest = self.databases.values().map(|database| database.term).max();
         self.applied_at.clear();
         let term = Term(newest.unwrap_or_default().0 + 1);
@@ -151,7 +151,7 @@
         leader.role = BackendRole::Primary;
         leader.term = term;
         leader.applied = leader.log.len();
-        let kept = leader.log.clone();
+        let leader_log = leader.log.clone();
         self.source = id.clone();
         let mut rolled_back = Vec::new();
         for (other_id, other) in &mut self.databases {
@@ -160,41 +160,43 @@
                 continue;
             }
             let is_old_primary = other.role == BackendRole::Primary;
-            if is_old_primary && self.old_primaries_go_on && other.is_alive {
-                other.reaches_successor_since = None;
-                rolled_back.extend(surplus(&other.log, &kept).iter().cloned());
+            if is_old_primary && self.old_primaries_keep_running && other.is_alive {
+                other.connected_to_successor_since = None;
+                rolled_back.extend(divergent_entries(&other.log, &leader_log).iter().cloned());
                 continue;
             }
             other.role = BackendRole::Replica;
-            if other.is_alive && !self.old_primaries_go_on {
+            if other.is_alive && !self.old_primaries_keep_running {
                 other.term = term;
             }
-            let same = other.log.len() - surplus(&other.log, &kept).len();
+            let same = other.log.len() - divergent_entries(&other.log, &leader_log).len();
             rolled_back.extend(other.log.split_off(same));
             other.applied = other.applied.min(other.log.len());
         }
         rolled_back
     }
 
-    /// Old primaries that have reached the new one for a while follow it. Returns what they had beyond it.
-    pub fn join_old_primaries(&mut self, now: Time) -> Vec<Entry> {
+    /// Demotes old primaries that have been connected to the new one for long enough. Returns the entries
+    /// that are rolled back.
+    pub fn demote_old_primaries(&mut self, now: Time) -> Vec<LogEntry> {
         let Some(leader) = self.databases.get(&self.source) else {
             return Vec::new();
         };
-        let (term, kept, leads) = (leader.term, leader.log.clone(), leader.passes_log());
+        let (term, leader_log, can_ship_log) =
+            (leader.term, leader.log.clone(), leader.can_ship_log());
         let mut rolled_back = Vec::new();
         for database in self.databases.values_mut() {
             if database.role != BackendRole::Primary || database.term >= term {
                 continue;
             }
-            if !leads || !database.is_reached() {
-                database.reaches_successor_since = None;
+            if !can_ship_log || !database.is_reachable() {
+                database.connected_to_successor_since = None;
                 continue;
             }
-            let since = *database.reaches_successor_since.get_or_insert(now);
-            if now >= since + OLD_PRIMARY_GOES_ON {
+            let since = *database.connected_to_successor_since.get_or_insert(now);
+            if now >= since + OLD_PRIMARY_RUN_TIME {
                 database.role = BackendRole::Replica;
-                let same = database.log.len() - surplus(&database.log, &kept).len();
+                let same = database.log.len() - divergent_entries(&database.log, &leader_log).len();
                 rolled_back.extend(database.log.split_off(same));
                 database.applied = database.applied.min(database.log.len());
             }
@@ -202,36 +204,41 @@
         rolled_back
     }
 
-    /// Whether a commit is on as many replicas as it must be before it is acknowledged.
+    /// Whether enough replicas have received a commit for it to be acknowledged.
     #[must_use]
-    pub fn is_received(&self, entry: &Entry, replicas: u32) -> bool {
+    pub fn is_replicated(&self, entry: &LogEntry, replicas: u32) -> bool {
         let number = usize::try_from(entry.at.position.0).unwrap_or(usize::MAX);
-        let has_it = |database: &&Database| {
+        let has_entry = |database: &&Database| {
             database.role == BackendRole::Replica && database.log.get(number - 1) == Some(entry)
         };
-        let holding = self.databases.values().filter(has_it).count();
+        let holding = self.databases.values().filter(has_entry).count();
         holding >= usize::try_from(replicas).unwrap_or(usize::MAX)
     }
 
-    /// Replicas receive what the primary has, and apply it after `lag` times their own factor. The log of a
-    /// primary that has stepped down is received to its end.
+    /// Replicas receive the primary's log and apply it after `lag` multiplied by their own factor. The log of
+    /// a primary that has stepped down is received to its end.
     pub fn replicate(&mut self, now: Time, lag: Duration) {
         let source = self.source.clone();
         let Some(leader) = self.databases.remove(&source) else {
             return;
         };
-        let leads = leader.passes_log();
+        let can_ship_log = leader.can_ship_log();
         for (id, database) in &mut self.databases {
             if !database.is_alive || database.role == BackendRole::Primary {
                 continue;
             }
-            if leads && !database.is_deaf && !database.is_silent && database.held <= leader.term {
+            if can_ship_log
+                && !database.is_isolated
+                && !database.is_silent
+                && database.held <= leader.term
+            {
                 database.term = leader.term;
                 if database.log.len() != leader.log.len()
                     || database.log.last() != leader.log.last()
                 {
-                    // One that led before may have more than the present leader.
-                    let same = database.log.len() - surplus(&database.log, &leader.log).len();
+                    // A former primary may have more entries than the current one.
+                    let same =
+                        database.log.len() - divergent_entries(&database.log, &leader.log).len();
                     database.applied = database.applied.min(same);
                     database.log.clone_from(&leader.log);
                 }
@@ -250,11 +257,11 @@
     }
 }
 
-/// What a log has beyond its common beginning with another.
-fn surplus<'a>(log: &'a [Entry], kept: &[Entry]) -> &'a [Entry] {
+/// The entries of a log after its common prefix with another.
+fn divergent_entries<'a>(log: &'a [LogEntry], leader_log: &[LogEntry]) -> &'a [LogEntry] {
     let same = log
         .iter()
-        .zip(kept)
+        .zip(leader_log)
         .take_while(|(theirs, ours)| theirs == ours)
         .count();
     &log[same..]
--- a/crates/stairward-simulation/src/lib.rs
+++ b/crates/stairward-simulation/src/lib.rs
@@ -1,9 +1,9 @@
-//! Deterministic simulation of the statement engine and the failover duty.
+//! Deterministic simulation of the statement engine and the failover controller.
 //!
-//! Several nodes run the real [`stairward_engine::Engine`] and [`stairward_failover::FailoverController`] on a
-//! virtual clock, before a group of databases that elect nobody, with a metadata store and a promotion
-//! call between them. Faults strike; what callers were told is compared with what the databases did. One
-//! seed is one run.
+//! Several nodes run the real [`stairward_engine::Engine`] and [`stairward_failover::FailoverController`] on
+//! a virtual clock. They serve a replication group whose databases do not elect a primary themselves, and use
+//! a simulated metadata store and promotion call. The simulation injects faults and compares the responses
+//! that callers received with what the databases executed. A seed determines a run completely.
 
 #![forbid(unsafe_code)]
 
@@ -13,8 +13,8 @@
 mod database;
 mod evacuations;
 mod faults;
+mod forwarding;
 mod group;
-mod guests;
 mod nodes;
 mod options;
 mod queue;
@@ -29,9 +29,11 @@
 mod world_store;
 
 pub use callers::{Caller, DATABASES, Step};
-pub use checker::{Asked, Checker, Invariant, ReadKind, Violation};
+pub use checker::{Checker, Invariant, ReadKind, SentStatement, Violation};
 pub use cold::ColdStart;
-pub use database::{ConnectionState, Database, Entry, Link, Outcome, Ran};
+pub use database::{
+    ConnectionKey, ConnectionState, Database, ExecutedStatement, LogEntry, Outcome,
+};
 pub use group::{Group, SERVICE, service};
 pub use options::{BrokenVariant, FaultKind, Options};
 pub use world::{Report, simulate};
--- a/crates/stairward-simulation/src/nodes.rs
+++ b/crates/stairward-simulation/src/nodes.rs
@@ -1,4 +1,4 @@
-//! One simulated node: the real engine and the real duty.
+//! One simulated node: the real engine and the real failover controller.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -19,49 +19,50 @@
 use crate::cold::{ColdStart, EXCESS, SLACK};
 use crate::group::service;
 use crate::options::{BrokenVariant, Options};
-use crate::store_view::{Entry, Evacuation, StoreView};
+use crate::store_view::{BackendEntry, Evacuation, StoreView};
 
-/// How old a bounded read may be.
+/// Maximum staleness of a bounded read.
 pub(crate) const STALENESS: Duration = Duration::from_millis(1_000);
-/// Connections each database takes.
+/// Maximum number of connections to each database.
 pub(crate) const CONNECTION_LIMIT: u32 = 40;
 
-/// How much shorter than it may a node uses back ends that leave: from when it heard, and from when they can have said
-/// so.
-const HEARING_MARGIN: Duration = Duration::from_secs(3);
-const SEND_MARGIN: Duration = Duration::from_secs(1);
+/// Margins subtracted from the drain limit to get how long a node uses a leaving back end: after it learned
+/// of the announcement, and after the earliest time at which it can have been made.
+const NOTICE_MARGIN: Duration = Duration::from_secs(3);
+const ANNOUNCEMENT_MARGIN: Duration = Duration::from_secs(1);
 
-/// One node.
+/// One simulated node.
 #[derive(Debug)]
 pub(crate) struct Node {
     pub engine: Engine,
-    pub duty: FailoverController,
-    /// Grows with each start of the process; unique in the world.
-    pub life: u64,
+    pub failover: FailoverController,
+    /// Rises with each start of a node's process; unique within a run.
+    pub incarnation: u64,
     pub is_running: bool,
-    pub frozen_until: Time,
+    pub paused_until: Time,
     pub connections: BTreeMap<ConnectionId, BackendId>,
-    pub is_cut_from_store: bool,
-    /// Since when it has been able to reach the store without a fault.
-    pub in_touch_since: Time,
-    /// When what it was shown of the store was last certainly the newest.
-    pub shown_at: Option<Time>,
-    /// The databases' entries, as it sees them.
-    pub entries: StoreView<Entry>,
-    /// The entries as they were last told to its engine.
-    pub told_entries: BTreeMap<String, Entry>,
-    /// The evacuations, as it sees them.
+    pub is_partitioned_from_store: bool,
+    /// Since when it has had no fault on the way to the store.
+    pub connected_since: Time,
+    /// When the store state delivered to it was last known to be current.
+    pub last_current_at: Option<Time>,
+    /// The database entries as the node sees them.
+    pub entries: StoreView<BackendEntry>,
+    /// The entries that were last delivered to its engine.
+    pub delivered_entries: BTreeMap<String, BackendEntry>,
+    /// The evacuations as the node sees them.
     pub evacuations: StoreView<Evacuation>,
-    pub leader_memory: LastKnownPrimaries,
-    /// The evacuated zones, as it was last shown them.
+    pub last_known_primaries: LastKnownPrimaries,
+    /// The evacuated zones that were last delivered to it.
     pub evacuated: BTreeSet<ZoneName>,
-    /// The newest configuration that it has had in force, by its content.
-    pub newest_content: u64,
+    /// The newest configuration that it has had in force, identified by its content.
+    pub newest_configuration: u64,
     pub timer_at: Time,
-    pub duty_timer_at: Time,
+    pub failover_timer_at: Time,
 }
 
-/// How long a leader counts as confirmed, and how long whoever replaces it waits therefore.
+/// How long the engine considers a leadership confirmed, and how long the failover controller waits for
+/// confirmations to expire.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Leases {
     pub engine: Option<Duration>,
@@ -69,35 +70,38 @@
 }
 
 impl Leases {
-    /// What nodes of a run work by.
+    /// The leases for the nodes of a run.
     pub fn of(options: &Options) -> Self {
-        let usual = options.old_primaries_go_on.then_some(LEADERSHIP_LEASE);
+        let lease_time = options
+            .old_primaries_keep_running
+            .then_some(LEADERSHIP_LEASE);
         let mut leases = Self {
-            engine: usual,
-            failover: usual,
+            engine: lease_time,
+            failover: lease_time,
         };
         match options.broken {
-            Some(BrokenVariant::NoWait) => leases.failover = usual.map(|lease| lease / 100),
-            Some(BrokenVariant::LongLease) => leases.engine = usual.map(|lease| lease * 5),
-            Some(BrokenVariant::Withhold) => leases.engine = None,
+            Some(BrokenVariant::NoLeaseWait) => {
+                leases.failover = lease_time.map(|lease| lease / 100)
+            }
+            Some(BrokenVariant::LongLease) => leases.engine = lease_time.map(|lease| lease * 5),
+            Some(BrokenVariant::NoConfirmation) => leases.engine = None,
             _ => {}
         }
         leases
     }
 }
 
-/// A node's name.
 pub(crate) fn node_name(index: usize) -> String {
     format!("node-{index}")
 }
 
 impl Node {
-    pub fn start(index: usize, life: u64, now: Time, run: &Options) -> Self {
+    pub fn start(index: usize, incarnation: u64, now: Time, run: &Options) -> Self {
         let leases = Leases::of(run);
-        let zone = |number: usize| ZoneName::new(format!("zone-{number}")).expect("a name");
-        let own = index % 3 + 1;
+        let zone = |number: usize| ZoneName::new(format!("zone-{number}")).expect("valid name");
+        let own_zone = index % 3 + 1;
         let distances = (1..=3).map(|number| {
-            let distance = if number == own {
+            let distance = if number == own_zone {
                 ZoneDistance::Same
             } else {
                 ZoneDistance::Remote
@@ -108,8 +112,8 @@
             distances: distances.collect(),
             leadership_lease: leases.engine,
             leaving_limit: DrainLimit {
-                after_notice: run.drain_limit.saturating_sub(HEARING_MARGIN),
-                after_announcement: run.drain_limit.saturating_sub(SEND_MARGIN),
+                after_notice: run.drain_limit.saturating_sub(NOTICE_MARGIN),
+                after_announcement: run.drain_limit.saturating_sub(ANNOUNCEMENT_MARGIN),
             },
             cold_bound: ColdBound {
                 excess: EXCESS,
@@ -117,36 +121,37 @@
             },
             limits: LimitOptions {
                 started: now,
-                ..LimitOptions::new(NodeId(u64::try_from(index).unwrap_or(0)), life)
+                ..LimitOptions::new(NodeId(u64::try_from(index).unwrap_or(0)), incarnation)
             },
             ..EngineOptions::default()
         };
         let failover = FailoverOptions {
             leadership_lease: leases.failover,
-            ..FailoverOptions::new(format!("{}/{life}", node_name(index)))
+            ..FailoverOptions::new(format!("{}/{incarnation}", node_name(index)))
         };
         Self {
             engine: Engine::new(options),
-            duty: FailoverController::new(failover),
-            life,
+            failover: FailoverController::new(failover),
+            incarnation,
             is_running: true,
-            frozen_until: Time::ZERO,
+            paused_until: Time::ZERO,
             connections: BTreeMap::new(),
-            is_cut_from_store: false,
-            in_touch_since: now,
-            shown_at: None,
+            is_partitioned_from_store: false,
+            connected_since: now,
+            last_current_at: None,
             entries: StoreView::default(),
-            told_entries: BTreeMap::new(),
+            delivered_entries: BTreeMap::new(),
             evacuations: StoreView::default(),
-            leader_memory: LastKnownPrimaries::default(),
+            last_known_primaries: LastKnownPrimaries::default(),
             evacuated: BTreeSet::new(),
-            newest_content: 0,
+            newest_configuration: 0,
             timer_at: Time::NEVER,
-            duty_timer_at: Time::NEVER,
+            failover_timer_at: Time::NEVER,
         }
     }
 
-    /// The duty's view of the back ends: a primary that is no longer listed stays known as missing.
+    /// The groups as the failover controller sees them: a primary that is no longer listed is kept as
+    /// missing.
     pub fn groups(
         &mut self,
         list: &[BackendDescription],
@@ -166,17 +171,17 @@
             group.members.insert(description.id.clone(), member);
         }
         let mut groups = BTreeMap::from([(service(), group)]);
-        self.leader_memory.add_missing_primaries(&mut groups);
+        self.last_known_primaries.add_missing_primaries(&mut groups);
         groups
     }
 }
 
-/// The name of the route that shows a configuration's revision.
+/// Name of a route that identifies a configuration by its revision.
 pub(crate) fn revision_route(revision: u64) -> GroupId {
-    GroupId::new(format!("revision-{revision}")).expect("a name")
+    GroupId::new(format!("revision-{revision}")).expect("valid name")
 }
 
-/// The configuration of a revision.
+/// The configuration with the given revision and content.
 pub(crate) fn routing_table(
     revision: u64,
     content: u64,
@@ -206,7 +211,9 @@
     let mut routes: BTreeMap<_, _> = DATABASES
         .iter()
         .zip(consistencies)
-        .map(|((name, _), consistency)| (GroupId::new(*name).expect("a name"), route(consistency)))
+        .map(|((name, _), consistency)| {
+            (GroupId::new(*name).expect("valid name"), route(consistency))
+        })
         .collect();
     routes.insert(revision_route(content), route(Consistency::Primary));
     let limits = ServiceLimits {
@@ -223,11 +230,11 @@
     })
 }
 
-/// The revision that a configuration's content shows.
-pub(crate) fn content_of(table: &RoutingTable) -> u64 {
+/// The revision that a configuration's content identifies.
+pub(crate) fn configuration_number(table: &RoutingTable) -> u64 {
     let names: BTreeSet<_> = table.routes.keys().collect();
-    let shown = names
+    let number = names
         .iter()
         .find_map(|name| name.as_str().strip_prefix("revision-"));
-    shown.and_then(|number| number.parse().ok()).unwrap_or(0)
+    number.and_then(|number| number.parse().ok()).unwrap_or(0)
 }
--- a/crates/stairward-simulation/src/queue.rs
+++ b/crates/stairward-simulation/src/queue.rs
@@ -1,24 +1,24 @@
-//! What will happen, in the order of time.
+//! The queue of future events, ordered by time.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use stairward_types::Time;
 
-/// Happenings by their moment; those of one moment in the order in which they were planned.
+/// Events by time; events of the same time are ordered by when they were scheduled.
 #[derive(Debug)]
 pub(crate) struct Queue<H> {
     now: Time,
-    planned: u64,
-    happenings: BTreeMap<(Time, u64), H>,
+    sequence: u64,
+    events: BTreeMap<(Time, u64), H>,
 }
 
 impl<H> Queue<H> {
     pub fn new() -> Self {
         Self {
             now: Time::from_millis(1),
-            planned: 0,
-            happenings: BTreeMap::new(),
+            sequence: 0,
+            events: BTreeMap::new(),
         }
     }
 
@@ -26,19 +26,19 @@
         self.now
     }
 
-    pub fn plan(&mut self, after: Duration, happening: H) {
-        self.plan_at(self.now + after, happening);
+    pub fn schedule(&mut self, after: Duration, event: H) {
+        self.schedule_at(self.now + after, event);
     }
 
-    pub fn plan_at(&mut self, at: Time, happening: H) {
-        self.planned += 1;
+    pub fn schedule_at(&mut self, at: Time, event: H) {
+        self.sequence += 1;
         let at = at.max(self.now);
-        self.happenings.insert((at, self.planned), happening);
+        self.events.insert((at, self.sequence), event);
     }
 
     pub fn next(&mut self) -> Option<H> {
-        let ((at, _), happening) = self.happenings.pop_first()?;
+        let ((at, _), event) = self.events.pop_first()?;
         self.now = at;
-        Some(happening)
+        Some(event)
     }
 }
--- a/crates/stairward-simulation/src/store_view.rs
+++ b/crates/stairward-simulation/src/store_view.rs
@@ -1,4 +1,5 @@
-//! What a node makes of the store's objects, as the platform's adapter does: whole listings, across copies of the store.
+//! A node's view of the store's objects. Like the platform's adapter, it takes whole listings and handles
+//! restored copies of the store.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -7,30 +8,30 @@
 use stairward_membership::feed::{RestoredView, StoreObject};
 use stairward_types::{StoreRevision, Time};
 
-/// How long those who wrote what the store lost are given to write it again: what a database that has ended had written
-/// goes after 3.6 s.
-const SETTLES_AFTER: Duration = Duration::from_millis(4_100);
+/// How long writers are given to rewrite what a restore has lost. The entry of a stopped database expires
+/// after 3.6 s.
+const REWRITE_TIMEOUT: Duration = Duration::from_millis(4_100);
 
 /// A database's entry.
 #[derive(Debug, Clone)]
-pub(crate) struct Entry(pub BackendDescription);
+pub(crate) struct BackendEntry(pub BackendDescription);
 
-impl StoreObject for Entry {
+impl StoreObject for BackendEntry {
     fn revision(&self) -> StoreRevision {
         self.0.revision
     }
 
     fn has_same_content(&self, other: &Self) -> bool {
-        let as_this = BackendDescription {
+        let with_own_revision = BackendDescription {
             revision: self.0.revision,
             cold_left: self.0.cold_left,
             ..other.0.clone()
         };
-        as_this == self.0
+        with_own_revision == self.0
     }
 }
 
-/// An operator's wish that a zone be evacuated.
+/// A request to evacuate a zone.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Evacuation(pub StoreRevision);
 
@@ -44,13 +45,13 @@
     }
 }
 
-/// The objects of a kind as one node sees them.
+/// All objects of a kind as one node sees them.
 #[derive(Debug)]
 pub(crate) struct StoreView<T> {
     listed: BTreeMap<String, T>,
     gone: BTreeSet<String>,
     restored: RestoredView<T>,
-    settles_at: Option<Time>,
+    retained_until: Option<Time>,
 }
 
 impl<T> Default for StoreView<T> {
@@ -59,21 +60,21 @@
             listed: BTreeMap::new(),
             gone: BTreeSet::new(),
             restored: RestoredView::default(),
-            settles_at: None,
+            retained_until: None,
         }
     }
 }
 
 impl<T: StoreObject> StoreView<T> {
-    /// Takes a listing of a copy of the store in. Returns the objects as the node sees them.
-    pub fn show(
+    /// Applies a listing of the store. Returns the objects as the node sees them.
+    pub fn apply_listing(
         &mut self,
         now: Time,
         era: u64,
         listed: BTreeMap<String, T>,
     ) -> BTreeMap<String, T> {
         let before = std::mem::replace(&mut self.listed, listed);
-        // A node that has just started can't know when the store last came back.
+        // A node that has just started cannot know when the store was last restored.
         let may_be_restored = self.restored.era().is_none() && era > 0;
         let names_before: BTreeSet<String> = before.keys().cloned().collect();
         let gone = self.gone.clone();
@@ -81,19 +82,19 @@
             .restored
             .apply_listing(Some(era), before, gone, &self.listed);
         if is_restored || may_be_restored {
-            self.settles_at = Some(now + SETTLES_AFTER);
+            self.retained_until = Some(now + REWRITE_TIMEOUT);
         }
         self.gone.extend(names_before);
         self.gone.retain(|name| !self.listed.contains_key(name));
-        if self.settles_at.is_some_and(|at| now >= at) {
-            self.settles_at = None;
+        if self.retained_until.is_some_and(|at| now >= at) {
+            self.retained_until = None;
             self.restored.clear_retained();
         }
         self.restored.effective_objects(&self.listed)
     }
 
-    /// Whether no loss of the store's is recent.
+    /// Whether no recent restore may have lost objects.
     pub fn is_settled(&self) -> bool {
-        self.settles_at.is_none()
+        self.retained_until.is_none()
     }
 }
--- a/crates/stairward-simulation/src/world.rs
+++ b/crates/stairward-simulation/src/world.rs
@@ -1,4 +1,4 @@
-//! The world: everything that happens, in order.
+//! The simulated world: all state, and the events in the order of their time.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -6,13 +6,13 @@
 use rand::{RngExt as _, SeedableRng as _};
 use rand_chacha::ChaCha8Rng;
 use stairward_engine::{BackendCommand, ConnectionId, Event, Response};
-use stairward_failover::{Event as DutyEvent, FailoverRecord, RecordVersion, Via};
+use stairward_failover::{Event as FailoverEvent, FailoverRecord, RecordVersion, Via};
 use stairward_limits::GrantRequest;
 use stairward_types::{BackendId, Freshness, NodeId, TenantName, Term, Time};
 
 use crate::callers::Caller;
 use crate::checker::{Checker, Invariant, Violation};
-use crate::database::Link;
+use crate::database::ConnectionKey;
 use crate::group::Group;
 use crate::nodes::{CONNECTION_LIMIT, Node, STALENESS};
 use crate::options::Options;
@@ -20,140 +20,164 @@
 use crate::store::Store;
 use crate::tenants::TenantHistory;
 
-/// One way between a caller and a node.
+/// One-way delay between a caller and a node.
 pub(crate) const CALLER_DELAY: Duration = Duration::from_millis(3);
-/// One way between a node and the store.
+/// One-way delay between a node and the metadata store.
 pub(crate) const STORE_DELAY: Duration = Duration::from_millis(3);
-/// One way between a node and a database of its own zone, and of another.
+/// One-way delay between a node and a database of its own zone, and of another zone.
 pub(crate) const NEAR_DELAY: Duration = Duration::from_millis(1);
 pub(crate) const FAR_DELAY: Duration = Duration::from_millis(8);
-/// How often replicas receive and apply.
+/// How often replicas receive and apply the log.
 pub(crate) const REPLICATION_TICK: Duration = Duration::from_millis(4);
-/// How late a replica applies when nothing is wrong.
-pub(crate) const USUAL_LAG: Duration = Duration::from_millis(8);
-/// A promotion's time.
+/// Apply delay of a replica without faults.
+pub(crate) const NORMAL_LAG: Duration = Duration::from_millis(8);
+/// How long a promotion takes.
 pub(crate) const PROMOTION_TIME: Duration = Duration::from_millis(600);
-/// How often a node looks at the store again.
+/// How often a node polls the metadata store.
 pub(crate) const STORE_POLL: Duration = Duration::from_millis(1_000);
-/// How long a caller waits for an answer.
-pub(crate) const CALLER_PATIENCE: Duration = Duration::from_secs(5);
-/// After the callers' time the run goes on for so long.
-pub(crate) const SETTLING: Duration = Duration::from_secs(4);
-/// A configuration is in force on a node in touch within this time.
+/// How long a caller waits for a response.
+pub(crate) const CALLER_TIMEOUT: Duration = Duration::from_secs(5);
+/// How long the run continues after callers have stopped.
+pub(crate) const SETTLE_TIME: Duration = Duration::from_secs(4);
+/// A connected node must have a configuration in force within this time.
 pub(crate) const CONFIGURATION_LIMIT: Duration = Duration::from_secs(4);
-/// A node is in touch when nothing has been wrong with it for this long.
-pub(crate) const CONTACT: Duration = Duration::from_secs(5);
-/// One in so many statements of a transaction is sent to another connection by a broken node.
-pub(crate) const MULTIPLEX_ONE_IN: u32 = 12;
+/// A node counts as connected when it has had no fault for this long.
+pub(crate) const MIN_CONNECTED_TIME: Duration = Duration::from_secs(5);
+/// The wrong-connection variant sends one in this many statements to another connection.
+pub(crate) const WRONG_CONNECTION_ONE_IN: u32 = 12;
 
-/// A question of the duty to a database.
+/// A query of the failover controller to a database.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Question {
+pub(crate) enum MemberQuery {
     Status,
+    /// Ask repeatedly until the member has received everything up to a position.
     Received(Freshness),
+    /// Put the member on hold for terms below this one.
     Hold(Term),
+    /// Step down in favor of this term.
     StepDown(Term),
+    /// End a hold.
     Resume,
 }
 
-/// Something that happens.
+/// An event of the simulation. The first number is usually the node, the second its incarnation.
 #[derive(Debug)]
-pub(crate) enum Happening {
+pub(crate) enum SimulationEvent {
+    /// An event for a node's engine.
     Engine(usize, u64, Box<Event>),
-    Duty(usize, u64, Box<DutyEvent>),
+    /// An event for a node's failover controller.
+    Failover(usize, u64, Box<FailoverEvent>),
     EngineTimer(usize, u64),
-    DutyTimer(usize, u64),
+    FailoverTimer(usize, u64),
     PollStore(usize, u64),
-    ShowStore(usize, u64),
-    OpenAt(usize, u64, ConnectionId, BackendId, Option<TenantName>),
-    CommandAt(usize, Link, BackendId, BackendCommand),
-    CloseAt(Link, BackendId),
-    RecordAt(usize, u64, RecordVersion, FailoverRecord),
-    AwaitReplicas(Link, crate::database::Entry, Duration, Box<Happening>),
-    AskPeerAt(usize, u64, usize, Time),
-    /// A node finds that its link to another has ended.
-    LinkLost(usize, u64, NodeId),
-    AskAt(usize, u64, BackendId, Question),
-    /// A node looks at a back end that another finds silent.
-    VerifyAt(usize, u64, BackendId, NodeId),
-    /// A node asks a member to step down or to hold, by a way.
-    ReachAt(usize, u64, BackendId, Question, Via),
-    AskLeadAt(usize, u64, usize, Time),
-    /// A node asks another for operations of tenants with a limit.
-    AskLimitAt(usize, u64, usize, Box<GrantRequest>),
-    RevokeAt(usize, u64, NodeId, Term),
-    PromoteAt(
+    DeliverStoreState(usize, u64),
+    OpenConnection(usize, u64, ConnectionId, BackendId, Option<TenantName>),
+    RunCommand(usize, ConnectionKey, BackendId, BackendCommand),
+    CloseConnection(ConnectionKey, BackendId),
+    WriteRecord(usize, u64, RecordVersion, FailoverRecord),
+    /// Checks again whether enough replicas have received a commit whose response is outstanding.
+    AwaitReplicas(
+        ConnectionKey,
+        crate::database::LogEntry,
+        Duration,
+        Box<SimulationEvent>,
+    ),
+    /// A node asks a peer for the leader position that it knows.
+    QueryPeerPosition(usize, u64, usize, Time),
+    /// A node detects that its connection to another node has ended.
+    PeerDisconnected(usize, u64, NodeId),
+    QueryMember(usize, u64, BackendId, MemberQuery),
+    /// A node checks a back end that another node reports as unresponsive.
+    VerifyBackend(usize, u64, BackendId, NodeId),
+    /// A node asks a member to step down or to hold, directly or through a peer.
+    CallMember(usize, u64, BackendId, MemberQuery, Via),
+    /// A node asks a peer what it knows of the service's leadership.
+    QueryPeerLeadership(usize, u64, usize, Time),
+    /// A node asks a coordinator to grant operations of tenants with a rate limit.
+    RequestLimitGrant(usize, u64, usize, Box<GrantRequest>),
+    /// A promoting node tells another one that a new term may begin.
+    RevokeLeadership(usize, u64, NodeId, Term),
+    /// A node requests a promotion; the flag says whether it receives the response.
+    Promote(
         usize,
         u64,
         BackendId,
         stairward_failover::FencingToken,
         bool,
     ),
-    Leads(BackendId),
+    /// An accepted promotion takes effect.
+    PromotionCompletes(BackendId),
     Replicate,
-    CallerActs(usize),
-    CallerHears(usize, u64, Box<Response>),
-    CallerCut(usize, u64),
-    CallerTimesOut(usize, u64, u64),
+    CallerTurn(usize),
+    CallerResponse(usize, u64, Box<Response>),
+    CallerDisconnected(usize, u64),
+    /// A caller closes its session if this request is still outstanding.
+    CallerTimeout(usize, u64, u64),
     StartNode(usize),
-    Strike,
-    FaultEnds(crate::faults::Ending),
+    InjectFault,
+    FaultEnds(crate::faults::FaultEnd),
+    /// Checks that connected nodes have a configuration in force that was written at this time.
     CheckConfiguration(u64, Time),
     End,
 }
 
-/// What came of a run.
+/// The result of a run.
 #[derive(Debug)]
 pub struct Report {
-    /// What was violated.
+    /// The violations of invariants.
     pub violations: Vec<Violation>,
     /// How often each invariant was checked.
     pub checked: BTreeMap<Invariant, u64>,
     /// Statements that succeeded.
     pub succeeded: u64,
-    /// Statements that did not.
+    /// Statements that did not succeed.
     pub failed: u64,
-    /// Promotions carried out.
+    /// Promotions that took effect.
     pub promotions: u64,
     /// Acknowledged commits that promotions rolled back.
     pub acknowledged_then_lost: u64,
-    /// What struck.
-    pub strikes: Vec<String>,
-    /// Steps of the failover duty, and promotions that took effect.
+    /// The injected faults.
+    pub faults: Vec<String>,
+    /// Steps of the failover controllers, and promotions that took effect.
     pub decisions: Vec<String>,
-    /// A number that any difference between two runs would change.
+    /// A hash of the event times, which differs when two runs differ in them.
     pub fingerprint: u64,
 }
 
 pub(crate) struct World {
     pub options: Options,
     pub random: ChaCha8Rng,
-    pub queue: Queue<Happening>,
+    pub queue: Queue<SimulationEvent>,
     pub nodes: Vec<Node>,
     pub group: Group,
     pub store: Store,
     pub tenants: TenantHistory,
     pub checker: Checker,
     pub callers: Vec<Caller>,
-    pub guests: crate::guests::Guests,
-    /// Pairs of node and database that don't reach each other.
-    pub cuts: BTreeSet<(usize, BackendId)>,
-    /// Connections that say nothing any more.
-    pub stalled: BTreeSet<Link>,
-    pub answer_loss_percent: u32,
-    pub promotions_are_late: bool,
-    pub strikes: Vec<String>,
+    pub forwarded_sessions: crate::forwarding::ForwardedSessions,
+    /// Pairs of node and database that cannot reach each other.
+    pub partitions: BTreeSet<(usize, BackendId)>,
+    /// Connections on which no more responses arrive.
+    pub stalled: BTreeSet<ConnectionKey>,
+    pub response_loss_percent: u32,
+    /// Whether promotions may be delayed and their responses lost.
+    pub delays_promotions: bool,
+    pub faults: Vec<String>,
     pub decisions: Vec<String>,
-    /// Who last wrote the service's record, and when, whatever the store has lost since.
-    pub(crate) last_holder: Option<(Time, String)>,
-    pub strikes_left: u32,
-    pub lives: u64,
-    pub(crate) numbers: u64,
+    /// Who last wrote the service's record, and when. A restore of the store does not reset it.
+    pub(crate) last_record_writer: Option<(Time, String)>,
+    /// Number of faults that are still to be injected.
+    pub remaining_faults: u32,
+    /// The last incarnation given to a node.
+    pub last_incarnation: u64,
+    pub(crate) last_statement_number: u64,
+    /// Number of the last session.
     pub(crate) sessions: u64,
     pub(crate) succeeded: u64,
     pub(crate) failed: u64,
     pub(crate) promotions: u64,
     pub(crate) fingerprint: u64,
+    /// Whether the run has reached its end.
     pub(crate) is_over: bool,
 }
 
@@ -161,12 +185,12 @@
 #[must_use]
 pub fn simulate(options: &Options) -> Report {
     let mut world = World::new(options.clone());
-    world.begin();
-    while let Some(happening) = world.queue.next() {
+    world.schedule_initial_events();
+    while let Some(event) = world.queue.next() {
         if world.is_over {
             break;
         }
-        world.happen(happening);
+        world.handle_event(event);
     }
     world.report()
 }
@@ -176,7 +200,7 @@
         let limit = usize::try_from(CONNECTION_LIMIT).unwrap_or(usize::MAX);
         let callers = (0..options.sessions).map(|number| Caller::new(u64::from(number)));
         let mut group = Group::new(limit);
-        group.old_primaries_go_on = options.old_primaries_go_on;
+        group.old_primaries_keep_running = options.old_primaries_keep_running;
         Self {
             random: ChaCha8Rng::seed_from_u64(options.seed),
             queue: Queue::new(),
@@ -184,23 +208,23 @@
             group,
             store: Store {
                 configuration: 1,
-                written_configuration: 1,
+                operator_configuration: 1,
                 ..Store::default()
             },
             checker: Checker::new(STALENESS),
             tenants: TenantHistory::default(),
             callers: callers.collect(),
-            guests: crate::guests::Guests::default(),
-            cuts: BTreeSet::new(),
+            forwarded_sessions: crate::forwarding::ForwardedSessions::default(),
+            partitions: BTreeSet::new(),
             stalled: BTreeSet::new(),
-            answer_loss_percent: 0,
-            promotions_are_late: false,
-            last_holder: None,
-            strikes: Vec::new(),
+            response_loss_percent: 0,
+            delays_promotions: false,
+            last_record_writer: None,
+            faults: Vec::new(),
             decisions: Vec::new(),
-            strikes_left: options.strikes,
-            lives: 0,
-            numbers: 0,
+            remaining_faults: options.fault_count,
+            last_incarnation: 0,
+            last_statement_number: 0,
             sessions: 0,
             succeeded: 0,
             failed: 0,
@@ -211,31 +235,35 @@
         }
     }
 
-    fn begin(&mut self) {
+    fn schedule_initial_events(&mut self) {
         for index in 0..usize::try_from(self.options.nodes).unwrap_or(1) {
-            self.lives += 1;
+            self.last_incarnation += 1;
             self.nodes.push(Node::start(
                 index,
-                self.lives,
+                self.last_incarnation,
                 self.queue.now(),
                 &self.options,
             ));
-            self.queue
-                .plan(STORE_DELAY, Happening::PollStore(index, self.lives));
+            self.queue.schedule(
+                STORE_DELAY,
+                SimulationEvent::PollStore(index, self.last_incarnation),
+            );
         }
-        self.queue.plan(REPLICATION_TICK, Happening::Replicate);
+        self.queue
+            .schedule(REPLICATION_TICK, SimulationEvent::Replicate);
         for index in 0..self.callers.len() {
-            let pause = self.between(200, 600);
-            self.queue.plan(pause, Happening::CallerActs(index));
+            let pause = self.random_duration(200, 600);
+            self.queue
+                .schedule(pause, SimulationEvent::CallerTurn(index));
         }
-        let first = self.between(1_000, 3_000);
-        self.queue.plan(first, Happening::Strike);
-        let end = self.options.length + SETTLING;
-        self.queue.plan(end, Happening::End);
+        let first = self.random_duration(1_000, 3_000);
+        self.queue.schedule(first, SimulationEvent::InjectFault);
+        let end = self.options.duration + SETTLE_TIME;
+        self.queue.schedule(end, SimulationEvent::End);
     }
 
-    pub fn between(&mut self, least: u64, most: u64) -> Duration {
-        Duration::from_millis(self.random.random_range(least..most))
+    pub fn random_duration(&mut self, min_ms: u64, max_count: u64) -> Duration {
+        Duration::from_millis(self.random.random_range(min_ms..max_count))
     }
 
     pub fn now(&self) -> Time {
@@ -244,7 +272,7 @@
 
     fn report(mut self) -> Report {
         let now = self.now();
-        self.checker.check_promises(now);
+        self.checker.check_not_run_guarantees(now);
         Report {
             violations: self.checker.violations,
             checked: self.checker.checked,
@@ -252,119 +280,131 @@
             failed: self.failed,
             promotions: self.promotions,
             acknowledged_then_lost: self.checker.acknowledged_then_lost,
-            strikes: self.strikes,
+            faults: self.faults,
             decisions: self.decisions,
             fingerprint: self.fingerprint,
         }
     }
 
-    fn happen(&mut self, happening: Happening) {
+    fn handle_event(&mut self, event: SimulationEvent) {
         self.fingerprint = self
             .fingerprint
             .wrapping_mul(0x0100_0000_01b3)
             .wrapping_add(self.now().0);
-        let Some(happening) = self.postpone_for_frozen(happening) else {
+        let Some(event) = self.postpone_if_paused(event) else {
             return;
         };
-        match happening {
-            Happening::Engine(node, life, event) => self.tell_engine(node, life, *event),
-            Happening::Duty(node, life, event) => self.tell_duty(node, life, *event),
-            Happening::EngineTimer(node, life) => self.tell_engine(node, life, Event::Tick),
-            Happening::DutyTimer(node, life) => {
-                if self.is_running(node, life) {
-                    self.nodes[node].duty_timer_at = Time::NEVER;
+        match event {
+            SimulationEvent::Engine(node, incarnation, event) => {
+                self.handle_engine_event(node, incarnation, *event)
+            }
+            SimulationEvent::Failover(node, incarnation, event) => {
+                self.handle_failover_event(node, incarnation, *event)
+            }
+            SimulationEvent::EngineTimer(node, incarnation) => {
+                self.handle_engine_event(node, incarnation, Event::Tick)
+            }
+            SimulationEvent::FailoverTimer(node, incarnation) => {
+                if self.is_running(node, incarnation) {
+                    self.nodes[node].failover_timer_at = Time::NEVER;
                 }
-                self.tell_duty(node, life, DutyEvent::Tick);
+                self.handle_failover_event(node, incarnation, FailoverEvent::Tick);
+            }
+            SimulationEvent::PollStore(node, incarnation) => self.poll_store(node, incarnation),
+            SimulationEvent::DeliverStoreState(node, incarnation) => {
+                self.deliver_store_state(node, incarnation)
             }
-            Happening::PollStore(node, life) => self.poll_store(node, life),
-            Happening::ShowStore(node, life) => self.show_store(node, life),
-            Happening::OpenAt(node, life, connection, backend, tenant) => {
-                self.open_at(node, life, connection, &backend, tenant);
+            SimulationEvent::OpenConnection(node, incarnation, connection, backend, tenant) => {
+                self.open_connection(node, incarnation, connection, &backend, tenant);
             }
-            Happening::CommandAt(node, link, backend, command) => {
-                self.command_at(node, link, &backend, &command);
+            SimulationEvent::RunCommand(node, connection_key, backend, command) => {
+                self.run_command(node, connection_key, &backend, &command);
             }
-            Happening::CloseAt(link, backend) => {
+            SimulationEvent::CloseConnection(connection_key, backend) => {
                 if let Some(database) = self.group.databases.get_mut(&backend) {
-                    database.connections.remove(&link);
+                    database.connections.remove(&connection_key);
                 }
             }
-            Happening::RecordAt(node, life, version, record) => {
-                self.record_at(node, life, version, record);
+            SimulationEvent::WriteRecord(node, incarnation, version, record) => {
+                self.write_record_from(node, incarnation, version, record);
+            }
+            SimulationEvent::AwaitReplicas(connection_key, entry, delay, reply) => {
+                self.wait_for_replicas(connection_key, entry, delay, *reply);
+            }
+            SimulationEvent::QueryPeerPosition(node, incarnation, peer, asked_at) => {
+                self.query_peer_position(node, incarnation, peer, asked_at);
             }
-            Happening::AwaitReplicas(link, entry, delay, reply) => {
-                self.wait_for_replicas(link, entry, delay, *reply);
+            SimulationEvent::PeerDisconnected(node, incarnation, holder) => {
+                self.peer_disconnected(node, incarnation, holder)
             }
-            Happening::AskPeerAt(node, life, peer, asked_at) => {
-                self.ask_peer_at(node, life, peer, asked_at);
+            SimulationEvent::VerifyBackend(node, incarnation, backend, asker) => {
+                self.verify_backend(node, incarnation, &backend, asker);
             }
-            Happening::LinkLost(node, life, holder) => self.link_lost(node, life, holder),
-            Happening::VerifyAt(node, life, backend, asker) => {
-                self.verify_at(node, life, &backend, asker);
+            SimulationEvent::QueryMember(node, incarnation, backend, query) => {
+                self.query_member(node, incarnation, &backend, query);
             }
-            Happening::AskAt(node, life, backend, question) => {
-                self.ask_at(node, life, &backend, question);
+            SimulationEvent::CallMember(node, incarnation, backend, query, via) => {
+                self.call_member(node, incarnation, &backend, query, &via);
             }
-            Happening::ReachAt(node, life, backend, question, via) => {
-                self.reach_at(node, life, &backend, question, &via);
+            SimulationEvent::RevokeLeadership(node, incarnation, user, term) => {
+                self.revoke_leadership(node, incarnation, user, term);
             }
-            Happening::RevokeAt(node, life, user, term) => {
-                self.revoke_at(node, life, user, term);
+            SimulationEvent::RequestLimitGrant(node, incarnation, peer, ask) => {
+                self.request_limit_grant(node, incarnation, peer, &ask);
             }
-            Happening::AskLimitAt(node, life, peer, ask) => {
-                self.ask_limit(node, life, peer, &ask);
+            SimulationEvent::QueryPeerLeadership(node, incarnation, peer, asked_at) => {
+                self.query_peer_leadership(node, incarnation, peer, asked_at);
             }
-            Happening::AskLeadAt(node, life, peer, asked_at) => {
-                self.ask_lead_at(node, life, peer, asked_at);
+            SimulationEvent::Promote(node, incarnation, backend, token, is_answered) => {
+                self.run_promotion(node, incarnation, &backend, token, is_answered);
             }
-            Happening::PromoteAt(node, life, backend, token, is_answered) => {
-                self.promote_at(node, life, &backend, token, is_answered);
+            SimulationEvent::PromotionCompletes(backend) => self.complete_promotion(&backend),
+            SimulationEvent::Replicate => self.replicate(),
+            SimulationEvent::CallerTurn(caller) => self.caller_turn(caller),
+            SimulationEvent::CallerResponse(caller, session, response) => {
+                self.caller_receives_response(caller, session, &response);
             }
-            Happening::Leads(backend) => self.leads(&backend),
-            Happening::Replicate => self.replicate(),
-            Happening::CallerActs(caller) => self.caller_acts(caller),
-            Happening::CallerHears(caller, session, response) => {
-                self.caller_hears(caller, session, &response);
+            SimulationEvent::CallerDisconnected(caller, session) => {
+                self.caller_disconnected(caller, session)
             }
-            Happening::CallerCut(caller, session) => self.caller_cut(caller, session),
-            Happening::CallerTimesOut(caller, session, number) => {
-                if self.numbers_of(caller) == (session, number) {
-                    self.leave(caller);
+            SimulationEvent::CallerTimeout(caller, session, number) => {
+                if self.pending_request(caller) == (session, number) {
+                    self.close_session(caller);
                 }
             }
-            Happening::StartNode(node) => self.start_node(node),
-            Happening::Strike => self.strike(),
-            Happening::FaultEnds(ending) => self.fault_ends(ending),
-            Happening::CheckConfiguration(revision, since) => {
+            SimulationEvent::StartNode(node) => self.start_node(node),
+            SimulationEvent::InjectFault => self.inject_fault(),
+            SimulationEvent::FaultEnds(ending) => self.end_fault(ending),
+            SimulationEvent::CheckConfiguration(revision, since) => {
                 self.check_configuration(revision, since);
             }
-            Happening::End => {
+            SimulationEvent::End => {
                 self.check_limits();
                 self.is_over = true;
             }
         }
     }
 
-    /// What happens to a frozen node happens when it thaws.
-    fn postpone_for_frozen(&mut self, happening: Happening) -> Option<Happening> {
-        let node = match &happening {
-            Happening::Engine(node, ..)
-            | Happening::Duty(node, ..)
-            | Happening::EngineTimer(node, _)
-            | Happening::DutyTimer(node, _)
-            | Happening::PollStore(node, _)
-            | Happening::ShowStore(node, _) => *node,
-            _ => return Some(happening),
+    /// Postpones events of a paused node until the pause ends.
+    fn postpone_if_paused(&mut self, event: SimulationEvent) -> Option<SimulationEvent> {
+        let node = match &event {
+            SimulationEvent::Engine(node, ..)
+            | SimulationEvent::Failover(node, ..)
+            | SimulationEvent::EngineTimer(node, _)
+            | SimulationEvent::FailoverTimer(node, _)
+            | SimulationEvent::PollStore(node, _)
+            | SimulationEvent::DeliverStoreState(node, _) => *node,
+            _ => return Some(event),
         };
-        let until = self.nodes[node].frozen_until;
+        let until = self.nodes[node].paused_until;
         if self.now() >= until {
-            return Some(happening);
+            return Some(event);
         }
-        self.queue.plan_at(until, happening);
+        self.queue.schedule_at(until, event);
         None
     }
 
-    pub fn is_running(&self, node: usize, life: u64) -> bool {
-        self.nodes[node].is_running && self.nodes[node].life == life
+    pub fn is_running(&self, node: usize, incarnation: u64) -> bool {
+        self.nodes[node].is_running && self.nodes[node].incarnation == incarnation
     }
 }
--- a/crates/stairward-simulation/src/world_callers.rs
+++ b/crates/stairward-simulation/src/world_callers.rs
@@ -1,4 +1,4 @@
-//! Callers' turns; the starts and ends of processes.
+//! Turns of callers, starts and stops of nodes and databases, and configuration changes.
 
 use rand::RngExt as _;
 use stairward_engine::{Event, Response, SessionId};
@@ -9,7 +9,8 @@
 use crate::nodes::Node;
 use crate::tenants::{Owner, key_of};
 use crate::world::{
-    CALLER_DELAY, CALLER_PATIENCE, CONFIGURATION_LIMIT, CONTACT, Happening, STORE_DELAY, World,
+    CALLER_DELAY, CALLER_TIMEOUT, CONFIGURATION_LIMIT, MIN_CONNECTED_TIME, STORE_DELAY,
+    SimulationEvent, World,
 };
 
 impl World {
@@ -19,44 +20,44 @@
             .position(|caller| caller.session == session.0 && caller.node.is_some())
     }
 
-    pub(crate) fn numbers_of(&self, caller: usize) -> (u64, u64) {
+    pub(crate) fn pending_request(&self, caller: usize) -> (u64, u64) {
         let number = if self.callers[caller].is_waiting() {
-            self.callers[caller].asked_number()
+            self.callers[caller].request_number()
         } else {
             0
         };
         (self.callers[caller].session, number)
     }
 
-    pub(crate) fn caller_acts(&mut self, index: usize) {
+    pub(crate) fn caller_turn(&mut self, index: usize) {
         let now = self.now();
-        if now >= Time::ZERO + self.options.length || self.callers[index].is_waiting() {
+        if now >= Time::ZERO + self.options.duration || self.callers[index].is_waiting() {
             return;
         }
-        let Some((node, life)) = self.callers[index].node else {
+        let Some((node, incarnation)) = self.callers[index].node else {
             return self.connect(index);
         };
-        if !self.is_running(node, life) {
-            return self.caller_cut(index, self.callers[index].session);
+        if !self.is_running(node, incarnation) {
+            return self.caller_disconnected(index, self.callers[index].session);
         }
         let caller = &mut self.callers[index];
-        let step = caller.step(
+        let step = caller.next_step(
             &mut self.random,
             now,
-            self.options.writes_in_twenty,
-            &mut self.numbers,
+            self.options.writes_per_twenty,
+            &mut self.last_statement_number,
             &mut self.checker,
         );
         let session = SessionId(caller.session);
         match step {
-            Step::Leave => self.leave(index),
+            Step::CloseSession => self.close_session(index),
             Step::Send(statement) => {
                 let event = Event::Statement { session, statement };
-                let event = Happening::Engine(node, life, Box::new(event));
-                self.queue.plan(CALLER_DELAY, event);
-                let (session, number) = self.numbers_of(index);
-                let patience = Happening::CallerTimesOut(index, session, number);
-                self.queue.plan(CALLER_PATIENCE, patience);
+                let event = SimulationEvent::Engine(node, incarnation, Box::new(event));
+                self.queue.schedule(CALLER_DELAY, event);
+                let (session, number) = self.pending_request(index);
+                let timeout = SimulationEvent::CallerTimeout(index, session, number);
+                self.queue.schedule(CALLER_TIMEOUT, timeout);
             }
         }
     }
@@ -67,29 +68,31 @@
             .iter()
             .enumerate()
             .filter(|(_, node)| node.is_running && node.engine.is_ready())
-            .map(|(index, node)| (index, node.life))
+            .map(|(index, node)| (index, node.incarnation))
             .collect();
-        let pause = self.between(20, 120);
-        self.queue.plan(pause, Happening::CallerActs(index));
+        let pause = self.random_duration(20, 120);
+        self.queue
+            .schedule(pause, SimulationEvent::CallerTurn(index));
         if running.is_empty() {
             return;
         }
         let node = running[self.random.random_range(0..running.len())];
         let database = self.random.random_range(0..DATABASES.len());
         self.sessions += 1;
-        self.callers[index].connected(self.sessions, node, database);
-        let key = self.own_session(index, node);
+        self.callers[index].start_session(self.sessions, node, database);
+        let key = self.assign_key(index, node);
         let event = Event::SessionOpened {
             session: SessionId(self.sessions),
-            database: GroupId::new(DATABASES[database].0).expect("a name"),
+            database: GroupId::new(DATABASES[database].0).expect("valid name"),
             key,
         };
-        let event = Happening::Engine(node.0, node.1, Box::new(event));
-        self.queue.plan(CALLER_DELAY, event);
+        let event = SimulationEvent::Engine(node.0, node.1, Box::new(event));
+        self.queue.schedule(CALLER_DELAY, event);
     }
 
-    /// Notes whose session a caller's new one is; its key is the newest one.
-    fn own_session(&mut self, index: usize, node: (usize, u64)) -> Option<ApiKey> {
+    /// Records the owner of a caller's new session. Returns its key, which the newest configuration
+    /// introduced.
+    fn assign_key(&mut self, index: usize, node: (usize, u64)) -> Option<ApiKey> {
         if self.options.tenants == 0 {
             return None;
         }
@@ -105,30 +108,37 @@
     }
 
     /// A caller closes its session.
-    pub(crate) fn leave(&mut self, index: usize) {
+    pub(crate) fn close_session(&mut self, index: usize) {
         let session = SessionId(self.callers[index].session);
-        if let Some((node, life)) = self.callers[index].node.take() {
+        if let Some((node, incarnation)) = self.callers[index].node.take() {
             let event = Event::SessionClosed { session };
-            let event = Happening::Engine(node, life, Box::new(event));
-            self.queue.plan(CALLER_DELAY, event);
+            let event = SimulationEvent::Engine(node, incarnation, Box::new(event));
+            self.queue.schedule(CALLER_DELAY, event);
         }
         let number = self.callers[index].number;
         self.callers[index] = Caller::new(number);
-        let pause = self.between(20, 200);
-        self.queue.plan(pause, Happening::CallerActs(index));
+        let pause = self.random_duration(20, 200);
+        self.queue
+            .schedule(pause, SimulationEvent::CallerTurn(index));
     }
 
-    pub(crate) fn caller_cut(&mut self, index: usize, session: u64) {
+    pub(crate) fn caller_disconnected(&mut self, index: usize, session: u64) {
         if self.callers[index].session != session {
             return;
         }
         let number = self.callers[index].number;
         self.callers[index] = Caller::new(number);
-        let pause = self.between(20, 200);
-        self.queue.plan(pause, Happening::CallerActs(index));
+        let pause = self.random_duration(20, 200);
+        self.queue
+            .schedule(pause, SimulationEvent::CallerTurn(index));
     }
 
-    pub(crate) fn caller_hears(&mut self, index: usize, session: u64, response: &Response) {
+    pub(crate) fn caller_receives_response(
+        &mut self,
+        index: usize,
+        session: u64,
+        response: &Response,
+    ) {
         if self.callers[index].session != session {
             return;
         }
@@ -142,111 +152,123 @@
             self.failed += 1;
         }
         let now = self.now();
-        let goes_on = self.callers[index].hear(now, response, &mut self.checker);
-        if !goes_on {
-            return self.leave(index);
+        let continues = self.callers[index].receive_response(now, response, &mut self.checker);
+        if !continues {
+            return self.close_session(index);
         }
-        let pause = self.between(1, 40);
-        self.queue.plan(pause, Happening::CallerActs(index));
+        let pause = self.random_duration(1, 40);
+        self.queue
+            .schedule(pause, SimulationEvent::CallerTurn(index));
     }
 
-    /// A node's process ends.
+    /// Kills a node's process.
     pub(crate) fn kill_node(&mut self, index: usize) {
         self.nodes[index].is_running = false;
-        let life = self.nodes[index].life;
-        self.links_lost(index, life);
+        let incarnation = self.nodes[index].incarnation;
+        self.disconnect_node(index, incarnation);
         for database in self.group.databases.values_mut() {
-            database.connections.retain(|link, _| link.life != life);
+            database
+                .connections
+                .retain(|connection_key, _| connection_key.incarnation != incarnation);
         }
         for caller in 0..self.callers.len() {
-            if self.callers[caller].node == Some((index, life)) {
+            if self.callers[caller].node == Some((index, incarnation)) {
                 let session = self.callers[caller].session;
-                self.queue
-                    .plan(CALLER_DELAY, Happening::CallerCut(caller, session));
+                self.queue.schedule(
+                    CALLER_DELAY,
+                    SimulationEvent::CallerDisconnected(caller, session),
+                );
             }
         }
     }
 
     pub(crate) fn start_node(&mut self, index: usize) {
-        self.lives += 1;
+        self.last_incarnation += 1;
         let now = self.now();
-        let cut = self.nodes[index].is_cut_from_store;
-        let in_touch_since = self.nodes[index].in_touch_since.max(now);
-        self.nodes[index] = Node::start(index, self.lives, now, &self.options);
-        self.nodes[index].is_cut_from_store = cut;
-        self.nodes[index].in_touch_since = in_touch_since;
-        self.queue
-            .plan(STORE_DELAY, Happening::PollStore(index, self.lives));
+        let is_partitioned = self.nodes[index].is_partitioned_from_store;
+        let connected_since = self.nodes[index].connected_since.max(now);
+        self.nodes[index] = Node::start(index, self.last_incarnation, now, &self.options);
+        self.nodes[index].is_partitioned_from_store = is_partitioned;
+        self.nodes[index].connected_since = connected_since;
+        self.queue.schedule(
+            STORE_DELAY,
+            SimulationEvent::PollStore(index, self.last_incarnation),
+        );
     }
 
-    /// A database's process ends: its connections end with it.
+    /// Stops a database's process, which closes its connections.
     pub(crate) fn stop_database(&mut self, id: &BackendId) {
         let Some(database) = self.group.databases.get_mut(id) else {
             return;
         };
         database.is_alive = false;
-        for link in database.drop_connections() {
-            let node = self.nodes.iter().position(|node| node.life == link.life);
+        for connection_key in database.drop_connections() {
+            let node = self
+                .nodes
+                .iter()
+                .position(|node| node.incarnation == connection_key.incarnation);
             if let Some(node) = node {
                 let lost = Event::ConnectionLost {
-                    connection: link.connection,
+                    connection: connection_key.connection,
                 };
                 let delay = self.delay(node, id);
-                let lost = Happening::Engine(node, link.life, Box::new(lost));
-                self.queue.plan(delay, lost);
+                let lost =
+                    SimulationEvent::Engine(node, connection_key.incarnation, Box::new(lost));
+                self.queue.schedule(delay, lost);
             }
         }
     }
 
-    /// A database's process starts again, with its log.
+    /// Starts a database's process with its log, or makes an unresponsive database responsive again.
     pub(crate) fn start_database(&mut self, id: &BackendId) {
         let now = self.now();
         let newest = self.group.databases.values().map(|d| d.term).max();
         let Some(database) = self.group.databases.get_mut(id) else {
             return;
         };
-        // One that only fell silent has not started anew.
+        // A database that was only unresponsive has not restarted.
         let has_restarted = !database.is_alive;
         database.is_alive = true;
         database.is_silent = false;
         database.resume();
         database.leaving_since = None;
-        database.starts += u64::from(has_restarted);
+        database.start_count += u64::from(has_restarted);
         if let Some(cold) = self.options.cold.filter(|_| has_restarted) {
-            database.cold_until = now + cold.lasts;
-            database.told_cold = cold.lasts;
-            database.cold_arrivals.clear();
+            database.cold_until = now + cold.duration;
+            database.announced_cold_time = cold.duration;
+            database.cold_request_times.clear();
         }
         if Some(database.term) < newest {
             database.role = BackendRole::Replica;
         }
         self.group.announce(id);
-        self.push_to_all();
+        self.notify_all_nodes();
     }
 
     pub(crate) fn check_configuration(&mut self, revision: u64, since: Time) {
         let now = self.now();
         for index in 0..self.nodes.len() {
             let node = &self.nodes[index];
-            let is_in_touch = node.is_running
-                && now >= node.in_touch_since + CONTACT
+            let is_connected = node.is_running
+                && now >= node.connected_since + MIN_CONNECTED_TIME
                 && !self.store.is_down
-                && node.in_touch_since <= since;
-            if is_in_touch && node.newest_content < revision {
-                let text = format!("node {index} has not {revision} in force");
-                self.checker.violate(now, Invariant::Configuration, text);
+                && node.connected_since <= since;
+            if is_connected && node.newest_configuration < revision {
+                let text = format!("node {index} does not have configuration {revision} in force");
+                self.checker
+                    .record_violation(now, Invariant::Configuration, text);
             }
         }
     }
 
     /// The operator changes the configuration.
     pub(crate) fn change_configuration(&mut self) {
-        self.store.written_configuration += 1;
-        self.store.configuration = self.store.written_configuration;
+        self.store.operator_configuration += 1;
+        self.store.configuration = self.store.operator_configuration;
         let (revision, now) = (self.store.configuration, self.now());
         self.tenants.acknowledged.insert(revision, now);
-        self.push_to_all();
-        let check = Happening::CheckConfiguration(revision, now);
-        self.queue.plan(CONFIGURATION_LIMIT, check);
+        self.notify_all_nodes();
+        let check = SimulationEvent::CheckConfiguration(revision, now);
+        self.queue.schedule(CONFIGURATION_LIMIT, check);
     }
 }
--- a/crates/stairward-simulation/src/world_databases.rs
+++ b/crates/stairward-simulation/src/world_databases.rs
@@ -1,28 +1,29 @@
-//! Connections, commands, replication and questions at databases.
+//! Connections, commands and replication of databases, and queries to them and between nodes.
 
 use std::time::Duration;
 
 use rand::RngExt as _;
 use stairward_engine::{BackendCommand, ConnectionId, Event, OpenFailure};
-use stairward_failover::{Event as DutyEvent, MemberCallResult, MemberStatus, Via};
+use stairward_failover::{Event as FailoverEvent, MemberCallResult, MemberStatus, Via};
 use stairward_types::{BackendId, BackendRole, NodeId, TenantName, Time};
 
 use crate::checker::Invariant;
-use crate::database::{ConnectionState, Link};
+use crate::database::{ConnectionKey, ConnectionState};
 use crate::options::BrokenVariant;
 use crate::world::{
-    CONTACT, FAR_DELAY, Happening, NEAR_DELAY, Question, REPLICATION_TICK, USUAL_LAG, World,
+    FAR_DELAY, MIN_CONNECTED_TIME, MemberQuery, NEAR_DELAY, NORMAL_LAG, REPLICATION_TICK,
+    SimulationEvent, World,
 };
 
-/// How long a member that is not reached is waited for.
-const MEMBER_PATIENCE: Duration = Duration::from_millis(800);
-/// Pause before a member that has not received enough is looked at again, and looks on average.
-const ASK_AGAIN: Duration = Duration::from_millis(15);
-const RECEIVED_LOOKS: u32 = 20;
+/// How long a node waits for an unreachable member.
+const MEMBER_TIMEOUT: Duration = Duration::from_millis(800);
+/// Pause before a member that has not received enough is checked again, and the mean number of such checks.
+const RETRY_PAUSE: Duration = Duration::from_millis(15);
+const MEAN_RECEIVED_CHECKS: u32 = 20;
 
-/// What came of a question to a member that led before or did not.
-fn reach_of(led: bool, status: MemberStatus) -> MemberCallResult {
-    if led && status.role == BackendRole::Replica {
+/// The result of a call to a member; `was_primary` says whether it was the primary before the call.
+fn call_result(was_primary: bool, status: MemberStatus) -> MemberCallResult {
+    if was_primary && status.role == BackendRole::Replica {
         MemberCallResult::GaveWay(status)
     } else {
         MemberCallResult::Answered(status)
@@ -30,8 +31,8 @@
 }
 
 impl World {
-    pub(crate) fn reaches(&self, node: usize, backend: &BackendId) -> bool {
-        let is_cut = self.cuts.contains(&(node, backend.clone()));
+    pub(crate) fn can_reach(&self, node: usize, backend: &BackendId) -> bool {
+        let is_cut = self.partitions.contains(&(node, backend.clone()));
         let is_silent = self
             .group
             .databases
@@ -40,26 +41,29 @@
         !is_cut && !is_silent
     }
 
-    pub(crate) fn open_at(
+    pub(crate) fn open_connection(
         &mut self,
         node: usize,
-        life: u64,
+        incarnation: u64,
         connection: ConnectionId,
         backend: &BackendId,
         tenant: Option<TenantName>,
     ) {
-        if !self.is_running(node, life) {
+        if !self.is_running(node, incarnation) {
             return;
         }
         let delay = self.delay(node, backend);
-        let link = Link { life, connection };
-        if !self.reaches(node, backend) {
+        let connection_key = ConnectionKey {
+            incarnation,
+            connection,
+        };
+        if !self.can_reach(node, backend) {
             let failed = Event::OpenFailed {
                 connection,
                 failure: OpenFailure::TimedOut,
             };
-            let failed = Happening::Engine(node, life, Box::new(failed));
-            return self.queue.plan(Duration::from_secs(1), failed);
+            let failed = SimulationEvent::Engine(node, incarnation, Box::new(failed));
+            return self.queue.schedule(Duration::from_secs(1), failed);
         }
         let Some(database) = self.group.databases.get_mut(backend) else {
             return;
@@ -79,27 +83,29 @@
                 tenant,
                 ..ConnectionState::default()
             };
-            database.connections.insert(link, state);
+            database.connections.insert(connection_key, state);
             Event::ConnectionOpened {
                 connection,
                 position: Some(database.position()),
             }
         };
-        self.queue
-            .plan(delay, Happening::Engine(node, life, Box::new(event)));
+        self.queue.schedule(
+            delay,
+            SimulationEvent::Engine(node, incarnation, Box::new(event)),
+        );
     }
 
-    pub(crate) fn command_at(
+    pub(crate) fn run_command(
         &mut self,
         node: usize,
-        link: Link,
+        connection_key: ConnectionKey,
         backend: &BackendId,
         command: &BackendCommand,
     ) {
-        if !self.reaches(node, backend) {
-            self.stalled.insert(link);
+        if !self.can_reach(node, backend) {
+            self.stalled.insert(connection_key);
         }
-        if self.stalled.contains(&link) {
+        if self.stalled.contains(&connection_key) {
             return;
         }
         self.check_leaving(node, backend, command);
@@ -109,76 +115,77 @@
         let Some(database) = self.group.databases.get_mut(backend) else {
             return;
         };
-        if !database.is_alive || !database.connections.contains_key(&link) {
+        if !database.is_alive || !database.connections.contains_key(&connection_key) {
             return;
         }
-        let outcome = database.run(link, command);
+        let outcome = database.run(connection_key, command);
         if let Some(entry) = &outcome.committed {
-            self.checker.committed(now, entry);
+            self.checker.record_commit(now, entry);
         }
-        if let Some(ran) = &outcome.ran {
-            self.checker.ran(now, database, ran);
-            let state = database.connections.get(&link);
-            let opened_for = state.and_then(|state| state.tenant.clone());
-            self.check_tenant(&ran.id, opened_for.as_ref());
+        if let Some(executed) = &outcome.executed {
+            self.checker.record_executed(now, database, executed);
+            let state = database.connections.get(&connection_key);
+            let connection_tenant = state.and_then(|state| state.tenant.clone());
+            self.check_tenant(&executed.id, connection_tenant.as_ref());
         }
-        let is_lost =
-            outcome.ran.is_some() && self.random.random_range(0..100) < self.answer_loss_percent;
+        let is_lost = outcome.executed.is_some()
+            && self.random.random_range(0..100) < self.response_loss_percent;
         if is_lost {
-            self.stalled.insert(link);
+            self.stalled.insert(connection_key);
             return;
         }
-        // Answers of one connection keep their order: those that take no slot are as slow as the rest.
-        let work = if outcome.ran.is_some() { 8 } else { 0 };
+        // Responses of a connection stay in order: commands that run no client statement are as slow as the
+        // rest.
+        let work = if outcome.executed.is_some() { 8 } else { 0 };
         let delay = self.delay(node, backend) + Duration::from_millis(work);
         let mut reply = outcome.reply;
-        if self.options.broken == Some(BrokenVariant::Revocation)
+        if self.options.broken == Some(BrokenVariant::IgnoredRevocation)
             && let Some(member) = &mut reply.member
         {
             member.held = stairward_types::Term(0);
         }
         let reply = Event::Reply {
-            connection: link.connection,
+            connection: connection_key.connection,
             reply,
         };
-        let reply = Happening::Engine(node, link.life, Box::new(reply));
+        let reply = SimulationEvent::Engine(node, connection_key.incarnation, Box::new(reply));
         match outcome.committed {
             Some(entry) if self.options.synchronous_replicas > 0 => {
-                self.wait_for_replicas(link, entry, delay, reply);
+                self.wait_for_replicas(connection_key, entry, delay, reply);
             }
-            _ => self.queue.plan(delay, reply),
+            _ => self.queue.schedule(delay, reply),
         }
     }
 
-    /// The answer to a commit comes once enough replicas have received it. Until then the connection says
-    /// nothing, and if the commit is lost it never does.
+    /// Sends the response to a commit once enough replicas have received it. Until then the connection
+    /// returns nothing; if the commit is lost, it never does.
     pub(crate) fn wait_for_replicas(
         &mut self,
-        link: Link,
-        entry: crate::database::Entry,
+        connection_key: ConnectionKey,
+        entry: crate::database::LogEntry,
         delay: Duration,
-        reply: Happening,
+        reply: SimulationEvent,
     ) {
         let replicas = self.options.synchronous_replicas;
-        if self.group.is_received(&entry, replicas) {
-            return self.queue.plan(delay, reply);
+        if self.group.is_replicated(&entry, replicas) {
+            return self.queue.schedule(delay, reply);
         }
-        let is_over = self.stalled.contains(&link)
+        let is_over = self.stalled.contains(&connection_key)
             || !self
                 .group
                 .databases
                 .values()
                 .any(|database| database.log.contains(&entry));
         if is_over {
-            self.stalled.insert(link);
+            self.stalled.insert(connection_key);
             return;
         }
-        let waits = Happening::AwaitReplicas(link, entry, delay, Box::new(reply));
-        self.queue.plan(REPLICATION_TICK, waits);
+        let retry = SimulationEvent::AwaitReplicas(connection_key, entry, delay, Box::new(reply));
+        self.queue.schedule(REPLICATION_TICK, retry);
     }
 
-    /// A single statement, or the first of a transaction, must not reach a back end that has been leaving
-    /// for long.
+    /// Checks that no single statement and no first statement of a transaction reaches a back end that has
+    /// been leaving for longer than the drain limit.
     pub(crate) fn check_leaving(
         &mut self,
         node: usize,
@@ -192,7 +199,7 @@
                 | BackendCommand::Begin { .. }
         );
         let now = self.now();
-        let is_in_touch = now >= self.nodes[node].in_touch_since + CONTACT;
+        let is_connected = now >= self.nodes[node].connected_since + MIN_CONNECTED_TIME;
         let leaving_since = self
             .group
             .databases
@@ -200,163 +207,191 @@
             .and_then(|database| database.leaving_since);
         if let Some(since) = leaving_since
             && is_new
-            && is_in_touch
+            && is_connected
         {
             self.checker.count(Invariant::Leaving);
-            // It counts from when the store took it, which it does only while it is up.
-            let since = self.store.taken_at(since);
+            // The limit counts from when the store accepted the announcement, which it only does while it is
+            // available.
+            let since = self.store.accepted_at(since);
             if now > since + self.options.drain_limit {
-                let text = format!("{backend}, leaving since {since:?}, got work of node {node}");
-                self.checker.violate(now, Invariant::Leaving, text);
+                let text =
+                    format!("{backend}, leaving since {since:?}, received new work of node {node}");
+                self.checker.record_violation(now, Invariant::Leaving, text);
             }
         }
     }
 
     pub(crate) fn replicate(&mut self) {
         let now = self.now();
-        self.queue.plan(REPLICATION_TICK, Happening::Replicate);
-        self.group.replicate(now, USUAL_LAG);
-        let rolled_back = self.group.join_old_primaries(now);
-        self.checker.rolled_back(&rolled_back);
+        self.queue
+            .schedule(REPLICATION_TICK, SimulationEvent::Replicate);
+        self.group.replicate(now, NORMAL_LAG);
+        let rolled_back = self.group.demote_old_primaries(now);
+        self.checker.record_rollback(&rolled_back);
     }
 
-    /// What a member answers to a question; none when it is not reached.
-    fn answer_to(
+    /// A member's response to a query; `None` if it cannot be reached.
+    fn answer_query(
         &mut self,
         node: usize,
         backend: &BackendId,
-        question: Question,
+        query: MemberQuery,
     ) -> Option<MemberStatus> {
-        let reaches = self.reaches(node, backend);
+        let can_reach = self.can_reach(node, backend);
         let database = self.group.databases.get_mut(backend)?;
-        if !reaches || !database.is_alive {
+        if !can_reach || !database.is_alive {
             return None;
         }
-        match question {
-            Question::Status | Question::Received(_) => {}
-            Question::Hold(term) => database.hold(term),
-            Question::Resume => database.resume(),
-            Question::StepDown(term) => database.step_down(term),
+        match query {
+            MemberQuery::Status | MemberQuery::Received(_) => {}
+            MemberQuery::Hold(term) => database.hold(term),
+            MemberQuery::Resume => database.resume(),
+            MemberQuery::StepDown(term) => database.step_down(term),
         }
         let status = database.status();
-        if matches!(question, Question::StepDown(_)) && self.group.listed.contains_key(backend) {
-            // A change of role is told right away.
+        if matches!(query, MemberQuery::StepDown(_)) && self.group.listed.contains_key(backend) {
+            // A database announces a change of its role immediately.
             self.group.announce(backend);
-            self.push_to_all();
+            self.notify_all_nodes();
         }
         Some(status)
     }
 
-    pub(crate) fn ask_at(
+    pub(crate) fn query_member(
         &mut self,
         node: usize,
-        life: u64,
+        incarnation: u64,
         backend: &BackendId,
-        question: Question,
+        query: MemberQuery,
     ) {
-        if !self.is_running(node, life) {
+        if !self.is_running(node, incarnation) {
             return;
         }
-        let status = self.answer_to(node, backend, question);
-        if question == Question::Resume {
+        let status = self.answer_query(node, backend, query);
+        if query == MemberQuery::Resume {
             return;
         }
-        if let (Question::Received(all), Some(status)) = (question, status)
+        if let (MemberQuery::Received(all), Some(status)) = (query, status)
             && !status.received.covers(all)
-            && self.random.random_range(0..RECEIVED_LOOKS) > 0
+            && self.random.random_range(0..MEAN_RECEIVED_CHECKS) > 0
         {
-            let again = Happening::AskAt(node, life, backend.clone(), question);
-            return self.queue.plan(ASK_AGAIN, again);
+            let again = SimulationEvent::QueryMember(node, incarnation, backend.clone(), query);
+            return self.queue.schedule(RETRY_PAUSE, again);
         }
         let delay = if status.is_some() {
             self.delay(node, backend)
         } else {
-            MEMBER_PATIENCE
+            MEMBER_TIMEOUT
         };
-        let event = DutyEvent::StatusReply(backend.clone(), status);
-        self.queue
-            .plan(delay, Happening::Duty(node, life, Box::new(event)));
+        let event = FailoverEvent::StatusReply(backend.clone(), status);
+        self.queue.schedule(
+            delay,
+            SimulationEvent::Failover(node, incarnation, Box::new(event)),
+        );
     }
 
-    /// A node looks at a back end that another finds silent, and tells it if it is.
-    pub(crate) fn verify_at(&mut self, node: usize, life: u64, backend: &BackendId, asker: NodeId) {
-        let answers = self.answer_to(node, backend, Question::Status).is_some();
-        let place = usize::try_from(asker.0).unwrap_or(0);
-        if answers || !self.is_running(node, life) || place >= self.nodes.len() {
+    /// A node checks a back end that another node reports as unresponsive, and tells that node if it agrees.
+    pub(crate) fn verify_backend(
+        &mut self,
+        node: usize,
+        incarnation: u64,
+        backend: &BackendId,
+        asker: NodeId,
+    ) {
+        let responds = self
+            .answer_query(node, backend, MemberQuery::Status)
+            .is_some();
+        let asker_index = usize::try_from(asker.0).unwrap_or(0);
+        if responds || !self.is_running(node, incarnation) || asker_index >= self.nodes.len() {
             return;
         }
-        let found = DutyEvent::FoundSilent(backend.clone());
-        self.queue.plan(
-            MEMBER_PATIENCE,
-            Happening::Duty(node, life, Box::new(found)),
+        let found = FailoverEvent::FoundSilent(backend.clone());
+        self.queue.schedule(
+            MEMBER_TIMEOUT,
+            SimulationEvent::Failover(node, incarnation, Box::new(found)),
         );
-        let own = NodeId(u64::try_from(node).unwrap_or(0));
-        let told = DutyEvent::Verified(own, backend.clone());
-        let told_life = self.nodes[place].life;
-        self.queue.plan(
-            MEMBER_PATIENCE,
-            Happening::Duty(place, told_life, Box::new(told)),
+        let own_id = NodeId(u64::try_from(node).unwrap_or(0));
+        let verified = FailoverEvent::Verified(own_id, backend.clone());
+        let asker_incarnation = self.nodes[asker_index].incarnation;
+        self.queue.schedule(
+            MEMBER_TIMEOUT,
+            SimulationEvent::Failover(asker_index, asker_incarnation, Box::new(verified)),
         );
     }
 
-    /// A member is asked to step down or to hold, by the node itself or by a peer.
-    pub(crate) fn reach_at(
+    /// A member is asked to step down or to hold, by the node itself or through a peer.
+    pub(crate) fn call_member(
         &mut self,
         node: usize,
-        life: u64,
+        incarnation: u64,
         backend: &BackendId,
-        question: Question,
+        query: MemberQuery,
         via: &Via,
     ) {
-        if !self.is_running(node, life) {
+        if !self.is_running(node, incarnation) {
             return;
         }
-        let asking = match via {
+        let calling_node = match via {
             Via::Direct => node,
             Via::Peer(peer) => usize::try_from(peer.0).unwrap_or(0),
         };
         let now = self.now();
-        let can_ask = self.nodes[asking].is_running && now >= self.nodes[asking].frozen_until;
-        let is_skipped = self.options.broken == Some(BrokenVariant::StepDown)
-            && matches!(question, Question::StepDown(_));
+        let can_call =
+            self.nodes[calling_node].is_running && now >= self.nodes[calling_node].paused_until;
+        let is_assumed = self.options.broken == Some(BrokenVariant::NoStepDown)
+            && matches!(query, MemberQuery::StepDown(_));
         let is_alive = self.group.databases[backend].is_alive;
-        let reaches = can_ask && self.reaches(asking, backend);
-        let reach = if is_skipped {
+        let can_reach = can_call && self.can_reach(calling_node, backend);
+        let result = if is_assumed {
             let mut status = self.group.databases[backend].status();
             status.role = BackendRole::Replica;
             MemberCallResult::GaveWay(status)
-        } else if !reaches {
+        } else if !can_reach {
             MemberCallResult::Silent
         } else if !is_alive {
             MemberCallResult::Refused
         } else {
-            let led = self.group.databases[backend].role == BackendRole::Primary;
-            let status = self.answer_to(asking, backend, question);
-            let is_lost = self.random.random_range(0..100) < self.answer_loss_percent;
+            let was_primary = self.group.databases[backend].role == BackendRole::Primary;
+            let status = self.answer_query(calling_node, backend, query);
+            let is_lost = self.random.random_range(0..100) < self.response_loss_percent;
             status
                 .filter(|_| !is_lost)
-                .map_or(MemberCallResult::Silent, |status| reach_of(led, status))
+                .map_or(MemberCallResult::Silent, |status| {
+                    call_result(was_primary, status)
+                })
         };
-        let delay = if reach == MemberCallResult::Silent {
-            MEMBER_PATIENCE
+        let delay = if result == MemberCallResult::Silent {
+            MEMBER_TIMEOUT
         } else {
             FAR_DELAY
         };
-        let event = DutyEvent::MemberCallEnded(backend.clone(), via.clone(), reach);
-        self.queue
-            .plan(delay, Happening::Duty(node, life, Box::new(event)));
+        let event = FailoverEvent::MemberCallEnded(backend.clone(), via.clone(), result);
+        self.queue.schedule(
+            delay,
+            SimulationEvent::Failover(node, incarnation, Box::new(event)),
+        );
     }
 
-    /// A node is asked what it knows of the lead.
-    pub(crate) fn ask_lead_at(&mut self, node: usize, life: u64, peer: usize, asked_at: Time) {
+    /// A node is asked what it knows of a service's leadership.
+    pub(crate) fn query_peer_leadership(
+        &mut self,
+        node: usize,
+        incarnation: u64,
+        peer: usize,
+        asked_at: Time,
+    ) {
         let now = self.now();
         let asked = &self.nodes[peer];
-        if !asked.is_running || now < asked.frozen_until {
+        if !asked.is_running || now < asked.paused_until {
             return;
         }
         let service = crate::group::service();
-        let peer_life = asked.life;
-        self.tell_engine(peer, peer_life, Event::LeadershipQueried(service.clone()));
+        let peer_incarnation = asked.incarnation;
+        self.handle_engine_event(
+            peer,
+            peer_incarnation,
+            Event::LeadershipQueried(service.clone()),
+        );
         if let Some((possible_term, age)) = self.nodes[peer].engine.known_leadership(now, &service)
         {
             let event = Event::PeerLeadership {
@@ -365,16 +400,22 @@
                 asked_at,
                 age,
             };
-            let event = Happening::Engine(node, life, Box::new(event));
-            self.queue.plan(NEAR_DELAY, event);
+            let event = SimulationEvent::Engine(node, incarnation, Box::new(event));
+            self.queue.schedule(NEAR_DELAY, event);
         }
     }
 
-    /// A peer says what it knows of the leader's position, and how old that is by its own clock.
-    pub(crate) fn ask_peer_at(&mut self, node: usize, life: u64, peer: usize, asked_at: Time) {
+    /// A peer returns the leader position that it knows and the age of that position by its own clock.
+    pub(crate) fn query_peer_position(
+        &mut self,
+        node: usize,
+        incarnation: u64,
+        peer: usize,
+        asked_at: Time,
+    ) {
         let now = self.now();
         let asked = &self.nodes[peer];
-        if !asked.is_running || now < asked.frozen_until {
+        if !asked.is_running || now < asked.paused_until {
             return;
         }
         let service = crate::group::service();
@@ -385,39 +426,39 @@
                 asked_at,
                 age,
             };
-            let event = Happening::Engine(node, life, Box::new(event));
-            self.queue.plan(FAR_DELAY, event);
+            let event = SimulationEvent::Engine(node, incarnation, Box::new(event));
+            self.queue.schedule(FAR_DELAY, event);
         }
     }
 
-    pub(crate) fn leads(&mut self, backend: &BackendId) {
+    pub(crate) fn complete_promotion(&mut self, backend: &BackendId) {
         let is_alive = self
             .group
             .databases
             .get(backend)
             .is_some_and(|database| database.is_alive);
-        let leads_already = self.group.primary() == Some(backend);
-        if !is_alive || leads_already {
+        let is_already_primary = self.group.primary() == Some(backend);
+        if !is_alive || is_already_primary {
             return;
         }
         self.promotions += 1;
         let rolled_back = self.group.promote(backend);
         let term = self.group.databases[backend].term;
-        let began = self.now();
-        self.checker.term_began(began, term);
+        let started_at = self.now();
+        self.checker.record_term_start(started_at, term);
         self.decisions
-            .push(format!("{began:?} {backend} leads {term:?}"));
+            .push(format!("{started_at:?} {backend} is primary of {term:?}"));
         if self.options.synchronous_replicas > 0 {
             let now = self.now();
             self.checker.check_kept(now, &rolled_back);
         }
-        self.checker.rolled_back(&rolled_back);
+        self.checker.record_rollback(&rolled_back);
         let ids: Vec<_> = self.group.databases.keys().cloned().collect();
         for id in ids {
             if self.group.listed.contains_key(&id) {
                 self.group.announce(&id);
             }
         }
-        self.push_to_all();
+        self.notify_all_nodes();
     }
 }
--- a/crates/stairward-simulation/src/world_nodes.rs
+++ b/crates/stairward-simulation/src/world_nodes.rs
@@ -1,4 +1,4 @@
-//! What nodes decide, carried out; broken variants are damaged here, on the way out or in.
+//! Carries out the effects of nodes. Broken variants alter effects and events here.
 
 use std::time::Duration;
 
@@ -6,24 +6,26 @@
 use stairward_engine::{
     BackendCommand, BackendEvidence, ConnectionId, Effect, Event, LeadershipChange, Response,
 };
-use stairward_failover::{Event as DutyEvent, LeaderEvidence};
+use stairward_failover::{Event as FailoverEvent, LeaderEvidence};
 use stairward_limits::GrantRequest;
 use stairward_types::{BackendId, Freshness, LogPosition, NodeId};
 
 use crate::checker::Invariant;
-use crate::database::Link;
-use crate::nodes::content_of;
+use crate::database::ConnectionKey;
+use crate::nodes::configuration_number;
 use crate::options::BrokenVariant;
 use crate::tenants::tenant_name;
-use crate::world::{CALLER_DELAY, FAR_DELAY, Happening, MULTIPLEX_ONE_IN, NEAR_DELAY, World};
+use crate::world::{
+    CALLER_DELAY, FAR_DELAY, NEAR_DELAY, SimulationEvent, WRONG_CONNECTION_ONE_IN, World,
+};
 
 impl World {
-    pub(crate) fn tell_engine(&mut self, index: usize, life: u64, event: Event) {
-        if !self.is_running(index, life) {
+    pub(crate) fn handle_engine_event(&mut self, index: usize, incarnation: u64, event: Event) {
+        if !self.is_running(index, incarnation) {
             return;
         }
         let now = self.now();
-        let event = self.damage_event(event);
+        let event = self.corrupt_event(event);
         let event = self.hide_lost_log(index, event);
         let node = &mut self.nodes[index];
         let effects = node.engine.handle(now, event);
@@ -32,17 +34,17 @@
         {
             node.timer_at = wake;
             self.queue
-                .plan_at(wake, Happening::EngineTimer(index, life));
+                .schedule_at(wake, SimulationEvent::EngineTimer(index, incarnation));
         }
-        self.note_configuration(index);
+        self.check_configuration_order(index);
         for effect in effects {
-            self.carry_out(index, life, effect);
+            self.apply_effect(index, incarnation, effect);
         }
     }
 
-    /// A broken node does not know that back ends leave.
-    pub(crate) fn damage_event(&self, mut event: Event) -> Event {
-        if self.options.broken == Some(BrokenVariant::Drain)
+    /// The ignored-leaving variant does not see that back ends are leaving.
+    pub(crate) fn corrupt_event(&self, mut event: Event) -> Event {
+        if self.options.broken == Some(BrokenVariant::IgnoredLeaving)
             && let Event::BackendsListed { list, .. } = &mut event
         {
             for description in list {
@@ -52,9 +54,9 @@
         event
     }
 
-    /// A broken node does not see that a primary has lost its log.
+    /// The hidden-lost-log variant does not see that a primary has lost its log.
     fn hide_lost_log(&self, index: usize, mut event: Event) -> Event {
-        if self.options.broken == Some(BrokenVariant::LostLog)
+        if self.options.broken == Some(BrokenVariant::HiddenLostLog)
             && let Event::ConnectionOpened {
                 connection,
                 position,
@@ -74,25 +76,26 @@
         event
     }
 
-    pub(crate) fn note_configuration(&mut self, index: usize) {
+    pub(crate) fn check_configuration_order(&mut self, index: usize) {
         let now = self.now();
         let node = &mut self.nodes[index];
         let Some(table) = node.engine.routing_table() else {
             return;
         };
-        let content = content_of(table);
+        let content = configuration_number(table);
         self.checker.count(Invariant::Configuration);
-        if content < node.newest_content {
+        if content < node.newest_configuration {
             let text = format!(
-                "node {index} went back from {} to {content}",
-                node.newest_content
+                "node {index} replaced configuration {} by the older {content}",
+                node.newest_configuration
             );
-            self.checker.violate(now, Invariant::Configuration, text);
+            self.checker
+                .record_violation(now, Invariant::Configuration, text);
         }
-        node.newest_content = content;
+        node.newest_configuration = content;
     }
 
-    pub(crate) fn carry_out(&mut self, index: usize, life: u64, effect: Effect) {
+    pub(crate) fn apply_effect(&mut self, index: usize, incarnation: u64, effect: Effect) {
         match effect {
             Effect::AcceptSession { .. }
             | Effect::Record(_)
@@ -105,15 +108,15 @@
             | Effect::RecordFleetSize(_)
             | Effect::CoordinatorChanged { .. }
             | Effect::Stopped => {}
-            Effect::PingHolder { holder } => self.ask_holder(index, life, holder),
+            Effect::PingHolder { holder } => self.ping_holder(index, incarnation, holder),
             Effect::Forward {
                 holder,
                 session,
                 request,
                 forwarded,
-            } => self.forward(index, life, holder, session, request, forwarded),
+            } => self.forward(index, incarnation, holder, session, request, forwarded),
             Effect::CloseForwardedSession { holder, session } => {
-                self.close_forwarded(index, life, holder, session);
+                self.close_forwarded(index, incarnation, holder, session);
             }
             Effect::LeadershipObserved {
                 service,
@@ -124,47 +127,49 @@
                 ..
             } => {
                 let now = self.now();
-                let seen =
+                let observation =
                     format!("{now:?} node-{index}: {leader} of {term:?} {change:?}, {awaited:?}");
-                self.decisions.push(seen);
+                self.decisions.push(observation);
                 let is_revoked = change == LeadershipChange::Revoked;
-                self.tell_duty(
+                self.handle_failover_event(
                     index,
-                    life,
-                    DutyEvent::LeadershipRevoked(service, is_revoked),
+                    incarnation,
+                    FailoverEvent::LeadershipRevoked(service, is_revoked),
                 );
             }
             Effect::QueryLeadership { holder, .. } => {
                 let asked_at = self.now();
                 let peer = usize::try_from(holder.0).unwrap_or(0);
-                let ask = Happening::AskLeadAt(index, life, peer, asked_at);
-                self.queue.plan(NEAR_DELAY, ask);
+                let ask = SimulationEvent::QueryPeerLeadership(index, incarnation, peer, asked_at);
+                self.queue.schedule(NEAR_DELAY, ask);
             }
             Effect::RequestLimitGrant(coordinator, ask) => {
                 let peer = usize::try_from(coordinator.0).unwrap_or(0);
-                let ask = Happening::AskLimitAt(index, life, peer, Box::new(ask));
-                self.queue.plan(FAR_DELAY, ask);
+                let ask =
+                    SimulationEvent::RequestLimitGrant(index, incarnation, peer, Box::new(ask));
+                self.queue.schedule(FAR_DELAY, ask);
             }
             Effect::QueryPosition { .. } => {
                 let asked_at = self.now();
                 let peer = (index + 1) % self.nodes.len();
-                let ask = Happening::AskPeerAt(index, life, peer, asked_at);
-                self.queue.plan(FAR_DELAY, ask);
+                let ask = SimulationEvent::QueryPeerPosition(index, incarnation, peer, asked_at);
+                self.queue.schedule(FAR_DELAY, ask);
             }
             Effect::RefuseSession { session, .. } | Effect::CloseSession { session } => {
                 if let Some(caller) = self.caller_of(session) {
-                    let cut = Happening::CallerCut(caller, session.0);
-                    self.queue.plan(CALLER_DELAY, cut);
+                    let cut = SimulationEvent::CallerDisconnected(caller, session.0);
+                    self.queue.schedule(CALLER_DELAY, cut);
                 }
             }
             Effect::Respond { session, response } => {
-                let Some(response) = self.answer_guest(session, response) else {
+                let Some(response) = self.answer_forwarded(session, response) else {
                     return;
                 };
                 if let Some(caller) = self.caller_of(session) {
-                    let response = self.damage_response(response);
-                    let hears = Happening::CallerHears(caller, session.0, Box::new(response));
-                    self.queue.plan(CALLER_DELAY, hears);
+                    let response = self.corrupt_response(response);
+                    let delivery =
+                        SimulationEvent::CallerResponse(caller, session.0, Box::new(response));
+                    self.queue.schedule(CALLER_DELAY, delivery);
                 }
             }
             Effect::Open { connection, target } => {
@@ -173,21 +178,35 @@
                     .connections
                     .insert(connection, target.backend.clone());
                 let tenant = match self.options.broken {
-                    Some(BrokenVariant::Tenant) => target.tenant.map(|_| tenant_name(0)),
+                    Some(BrokenVariant::SharedTenantConnections) => {
+                        target.tenant.map(|_| tenant_name(0))
+                    }
                     _ => target.tenant,
                 };
-                let open = Happening::OpenAt(index, life, connection, target.backend, tenant);
-                self.queue.plan(delay, open);
+                let open = SimulationEvent::OpenConnection(
+                    index,
+                    incarnation,
+                    connection,
+                    target.backend,
+                    tenant,
+                );
+                self.queue.schedule(delay, open);
             }
             Effect::Send {
                 connection,
                 command,
-            } => self.send(index, life, connection, command),
+            } => self.send(index, incarnation, connection, command),
             Effect::CloseConnection { connection } => {
                 if let Some(backend) = self.nodes[index].connections.remove(&connection) {
                     let delay = self.delay(index, &backend);
-                    let link = Link { life, connection };
-                    self.queue.plan(delay, Happening::CloseAt(link, backend));
+                    let connection_key = ConnectionKey {
+                        incarnation,
+                        connection,
+                    };
+                    self.queue.schedule(
+                        delay,
+                        SimulationEvent::CloseConnection(connection_key, backend),
+                    );
                 }
             }
             Effect::BackendObserved { backend, evidence } => {
@@ -198,13 +217,23 @@
                     BackendEvidence::LostLog => LeaderEvidence::LostLog,
                     BackendEvidence::NotLeader | BackendEvidence::ConnectionLimitReached => return,
                 };
-                self.tell_duty(index, life, DutyEvent::Evidence(backend, evidence));
+                self.handle_failover_event(
+                    index,
+                    incarnation,
+                    FailoverEvent::Evidence(backend, evidence),
+                );
             }
         }
     }
 
-    /// A coordinator answers a node that asked it, if it runs.
-    pub(crate) fn ask_limit(&mut self, node: usize, life: u64, peer: usize, ask: &GrantRequest) {
+    /// A running coordinator responds to a node's request for grants.
+    pub(crate) fn request_limit_grant(
+        &mut self,
+        node: usize,
+        incarnation: u64,
+        peer: usize,
+        ask: &GrantRequest,
+    ) {
         let now = self.now();
         let asking = NodeId(u64::try_from(node).unwrap_or(0));
         let coordinator = NodeId(u64::try_from(peer).unwrap_or(0));
@@ -212,19 +241,19 @@
             return;
         };
         let mut grant = answering.engine.answer_limit(now, asking, ask);
-        if self.options.broken == Some(BrokenVariant::Limit) {
+        if self.options.broken == Some(BrokenVariant::UnlimitedGrants) {
             for (granted, want) in grant.granted.iter_mut().zip(&ask.demands) {
                 granted.count = want.waiting + want.ahead;
                 granted.unmet = 0;
             }
         }
         let granted = Event::LimitGranted(coordinator, grant);
-        let granted = Happening::Engine(node, life, Box::new(granted));
-        self.queue.plan(FAR_DELAY, granted);
+        let granted = SimulationEvent::Engine(node, incarnation, Box::new(granted));
+        self.queue.schedule(FAR_DELAY, granted);
     }
 
-    pub(crate) fn damage_response(&mut self, mut response: Response) -> Response {
-        if self.options.broken == Some(BrokenVariant::Promise)
+    pub(crate) fn corrupt_response(&mut self, mut response: Response) -> Response {
+        if self.options.broken == Some(BrokenVariant::FalseNotRun)
             && let stairward_engine::ResponseResult::Refused { code, .. } = &mut response.result
             && code.class() == stairward_types::OutcomeClass::OutcomeUnknown
         {
@@ -236,27 +265,37 @@
     pub(crate) fn send(
         &mut self,
         index: usize,
-        life: u64,
+        incarnation: u64,
         connection: ConnectionId,
         command: BackendCommand,
     ) {
         let Some(backend) = self.nodes[index].connections.get(&connection).cloned() else {
             return;
         };
-        let (connection, command) = self.damage_command(index, &backend, connection, command);
+        let (connection, command) = self.corrupt_command(index, &backend, connection, command);
         let delay = self.delay(index, &backend);
-        let link = Link { life, connection };
-        if self.options.broken == Some(BrokenVariant::Resend)
+        let connection_key = ConnectionKey {
+            incarnation,
+            connection,
+        };
+        if self.options.broken == Some(BrokenVariant::DuplicateWrite)
             && matches!(&command, BackendCommand::Run { text, .. } if text.starts_with("WRITE"))
         {
-            let again = Happening::CommandAt(index, link, backend.clone(), command.clone());
-            self.queue.plan(delay, again);
+            let again = SimulationEvent::RunCommand(
+                index,
+                connection_key,
+                backend.clone(),
+                command.clone(),
+            );
+            self.queue.schedule(delay, again);
         }
-        self.queue
-            .plan(delay, Happening::CommandAt(index, link, backend, command));
+        self.queue.schedule(
+            delay,
+            SimulationEvent::RunCommand(index, connection_key, backend, command),
+        );
     }
 
-    pub(crate) fn damage_command(
+    pub(crate) fn corrupt_command(
         &mut self,
         index: usize,
         backend: &BackendId,
@@ -265,20 +304,20 @@
     ) -> (ConnectionId, BackendCommand) {
         match (self.options.broken, &mut command) {
             (
-                Some(BrokenVariant::Floor),
+                Some(BrokenVariant::NoReadFloor),
                 BackendCommand::Run { floor, .. }
                 | BackendCommand::Execute { floor, .. }
                 | BackendCommand::Begin { floor, .. },
             ) => *floor = None,
-            (Some(BrokenVariant::LeaderProof), BackendCommand::Begin { read_only, .. }) => {
-                // A transaction that any copy accepts proves nothing.
+            (Some(BrokenVariant::NoLeaderCheck), BackendCommand::Begin { read_only, .. }) => {
+                // Any replica accepts a read-only transaction, so that it proves no leadership.
                 *read_only = true;
             }
-            (Some(BrokenVariant::Reset), BackendCommand::Reset) => {
+            (Some(BrokenVariant::NoSessionReset), BackendCommand::Reset) => {
                 command = BackendCommand::Rollback;
             }
-            (Some(BrokenVariant::Multiplex), BackendCommand::Run { .. })
-                if self.random.random_range(0..MULTIPLEX_ONE_IN) == 0 =>
+            (Some(BrokenVariant::WrongConnection), BackendCommand::Run { .. })
+                if self.random.random_range(0..WRONG_CONNECTION_ONE_IN) == 0 =>
             {
                 let others = self.nodes[index].connections.iter();
                 let other = others
--- a/crates/stairward-simulation/src/world_store.rs
+++ b/crates/stairward-simulation/src/world_store.rs
@@ -1,4 +1,4 @@
-//! The store and the promotion call, and the failover duty's effects on them.
+//! The metadata store, promotions, and the effects of the failover controllers.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,56 +6,59 @@
 use rand::RngExt as _;
 use stairward_engine::{BackendDescription, Event, ServiceHolders};
 use stairward_failover::{
-    Effect as DutyEffect, Event as DutyEvent, FailoverRecord, PromotionOutcome, RecordVersion, Via,
+    Effect as FailoverEffect, Event as FailoverEvent, FailoverRecord, PromotionOutcome,
+    RecordVersion, Via,
 };
 use stairward_types::{BackendId, NodeId, StoreRevision, Term, Time};
 
 use crate::checker::Invariant;
 use crate::nodes::{node_name, routing_table};
 use crate::options::BrokenVariant;
-use crate::store_view::{Entry, StoreView};
+use crate::store_view::{BackendEntry, StoreView};
 use crate::tenants::directory;
 use crate::world::{
-    FAR_DELAY, Happening, PROMOTION_TIME, Question, STORE_DELAY, STORE_POLL, World,
+    FAR_DELAY, MemberQuery, PROMOTION_TIME, STORE_DELAY, STORE_POLL, SimulationEvent, World,
 };
 use stairward_membership::feed::StoreObject as _;
 
-/// More revisions than a copy of the store gives out in a run.
-const REVISIONS_OF_A_COPY: u64 = 1_000_000;
-/// For so long after a node's write of a service's record no other node writes it.
-const HOLDER_LEASE: Duration = Duration::from_millis(3_000);
-/// Zones that nodes are spread over.
+/// More revisions than one copy of the store creates in a run.
+const REVISIONS_PER_COPY: u64 = 1_000_000;
+/// For this long after a node has written a service's record, no other node may write it.
+const RECORD_LEASE: Duration = Duration::from_millis(3_000);
+/// Number of zones that nodes are spread over.
 const ZONES: usize = 3;
 
 impl World {
-    pub(crate) fn store_reaches(&self, node: usize) -> bool {
-        !self.store.is_down && !self.nodes[node].is_cut_from_store
+    pub(crate) fn can_reach_store(&self, node: usize) -> bool {
+        !self.store.is_down && !self.nodes[node].is_partitioned_from_store
     }
 
-    /// Changes in the store are shown to every node that watches.
-    pub(crate) fn push_to_all(&mut self) {
+    /// Notifies every node of a change in the store.
+    pub(crate) fn notify_all_nodes(&mut self) {
         for index in 0..self.nodes.len() {
-            let life = self.nodes[index].life;
-            self.queue
-                .plan(STORE_DELAY, Happening::ShowStore(index, life));
+            let incarnation = self.nodes[index].incarnation;
+            self.queue.schedule(
+                STORE_DELAY,
+                SimulationEvent::DeliverStoreState(index, incarnation),
+            );
         }
     }
 
-    pub(crate) fn poll_store(&mut self, node: usize, life: u64) {
-        if !self.is_running(node, life) {
+    pub(crate) fn poll_store(&mut self, node: usize, incarnation: u64) {
+        if !self.is_running(node, incarnation) {
             return;
         }
-        self.show_store(node, life);
+        self.deliver_store_state(node, incarnation);
         self.queue
-            .plan(STORE_POLL, Happening::PollStore(node, life));
+            .schedule(STORE_POLL, SimulationEvent::PollStore(node, incarnation));
     }
 
-    pub(crate) fn show_store(&mut self, node: usize, life: u64) {
-        if !self.is_running(node, life) || !self.store_reaches(node) {
+    pub(crate) fn deliver_store_state(&mut self, node: usize, incarnation: u64) {
+        if !self.is_running(node, incarnation) || !self.can_reach_store(node) {
             return;
         }
         let revision = self.store.configuration;
-        let is_broken = self.options.broken == Some(BrokenVariant::Configuration);
+        let is_broken = self.options.broken == Some(BrokenVariant::StaleConfiguration);
         let content = if is_broken && revision.is_multiple_of(2) {
             revision.saturating_sub(3)
         } else {
@@ -69,172 +72,205 @@
             directory(&self.options, content),
             self.options.cold,
         );
-        self.show_members(node, life);
-        self.tell_engine(node, life, Event::ConfigurationChanged(table));
-        let (list, since) = self.show_entries(node);
+        self.deliver_members(node, incarnation);
+        self.handle_engine_event(node, incarnation, Event::ConfigurationChanged(table));
+        let (list, since) = self.visible_entries(node);
         let backends = Event::BackendsListed {
             list: list.clone(),
             since,
         };
-        self.tell_engine(node, life, backends);
-        self.show_evacuated(node, life, since);
+        self.handle_engine_event(node, incarnation, backends);
+        self.deliver_evacuations(node, incarnation, since);
         let nodes = u32::try_from(self.nodes.len()).unwrap_or(1);
-        self.tell_engine(node, life, Event::NodeCountChanged(nodes));
+        self.handle_engine_event(node, incarnation, Event::NodeCountChanged(nodes));
         let holders = ServiceHolders {
-            first_ranked: self.first_holder_for(node),
-            leadership_source: self.lead_source_for(node),
-            forward_targets: self.holders_for(node),
+            first_ranked: self.first_ranked_for(node),
+            leadership_source: self.leadership_source_for(node),
+            forward_targets: self.forward_targets_for(node),
             ..ServiceHolders::default()
         };
         let holders = BTreeMap::from([(crate::group::service(), holders)]);
-        self.tell_engine(node, life, Event::HoldersChanged(holders));
+        self.handle_engine_event(node, incarnation, Event::HoldersChanged(holders));
         let peers: Vec<_> = (0..self.nodes.len())
             .filter(|peer| *peer != node)
             .map(|peer| NodeId(u64::try_from(peer).unwrap_or(0)))
             .collect();
         let users = peers.iter().copied().collect();
-        self.tell_duty(node, life, DutyEvent::LeaderUsers(users));
-        self.tell_duty(node, life, DutyEvent::RelayPeers(peers));
+        self.handle_failover_event(node, incarnation, FailoverEvent::LeaderUsers(users));
+        self.handle_failover_event(node, incarnation, FailoverEvent::RelayPeers(peers));
         let groups = self.nodes[node].groups(&list, self.options.synchronous_replicas);
-        self.tell_duty(node, life, DutyEvent::NodeCount(nodes));
-        self.tell_duty(node, life, DutyEvent::Groups(groups));
+        self.handle_failover_event(node, incarnation, FailoverEvent::NodeCount(nodes));
+        self.handle_failover_event(node, incarnation, FailoverEvent::Groups(groups));
         let version = self.record_version();
         let record = self.store.record.clone();
         let records = record.map(|record| (crate::group::service(), (version, record)));
         let records = records.into_iter().collect();
-        let era = self.era_as_told();
-        self.tell_duty(node, life, DutyEvent::Records { era, records });
+        let era = self.visible_era();
+        self.handle_failover_event(node, incarnation, FailoverEvent::Records { era, records });
     }
 
-    /// The databases' entries as a node sees them, and after which moment what is new in them came about.
-    fn show_entries(&mut self, node: usize) -> (Vec<BackendDescription>, Option<Time>) {
+    /// The database entries as a node sees them, and the time after which new content in them must have been
+    /// written.
+    fn visible_entries(&mut self, node: usize) -> (Vec<BackendDescription>, Option<Time>) {
         let (now, era) = (self.now(), self.store.era);
-        let keeps = self.options.broken != Some(BrokenVariant::Restored);
-        let in_era = |entry: &BackendDescription| BackendDescription {
+        let is_protected = self.options.broken != Some(BrokenVariant::UnprotectedRestore);
+        let with_era = |entry: &BackendDescription| BackendDescription {
             revision: StoreRevision::new(era, entry.revision.revision()),
             ..entry.clone()
         };
         let listed = self.group.listed.iter();
-        let listed = listed.map(|(id, entry)| (id.to_string(), Entry(in_era(entry))));
+        let listed = listed.map(|(id, entry)| (id.to_string(), BackendEntry(with_era(entry))));
         let node = &mut self.nodes[node];
-        if !keeps {
+        if !is_protected {
             node.entries = StoreView::default();
         }
-        let mut seen = node.entries.show(now, era, listed.collect());
+        let mut seen = node.entries.apply_listing(now, era, listed.collect());
         for (name, entry) in &mut seen {
-            // An entry that reads as before was not written again.
-            if let Some(before) = node.told_entries.get(name)
+            // An entry with unchanged content was not written again.
+            if let Some(before) = node.delivered_entries.get(name)
                 && before.revision().era() < entry.revision().era()
                 && before.has_same_content(entry)
             {
                 entry.0.revision = before.revision();
             }
         }
-        node.told_entries.clone_from(&seen);
-        let since = node.shown_at;
-        // What is written again after a loss may have been said before it.
+        node.delivered_entries.clone_from(&seen);
+        let since = node.last_current_at;
+        // An entry that was rewritten after a restore may have been announced before it.
         if node.entries.is_settled() {
-            node.shown_at = Some(now);
+            node.last_current_at = Some(now);
         }
         (seen.into_values().map(|entry| entry.0).collect(), since)
     }
 
-    /// The first node of a zone asks members about the lead for the others of its zone.
-    fn lead_source_for(&self, node: usize) -> Option<NodeId> {
+    /// The first node of each zone queries members about leadership for the other nodes of the zone.
+    fn leadership_source_for(&self, node: usize) -> Option<NodeId> {
         let source = node % ZONES;
         let is_other = source != node;
         is_other.then(|| NodeId(u64::try_from(source).unwrap_or(0)))
     }
 
-    pub(crate) fn tell_duty(&mut self, index: usize, life: u64, event: DutyEvent) {
-        if !self.is_running(index, life) {
+    pub(crate) fn handle_failover_event(
+        &mut self,
+        index: usize,
+        incarnation: u64,
+        event: FailoverEvent,
+    ) {
+        if !self.is_running(index, incarnation) {
             return;
         }
         let now = self.now();
-        let effects = self.nodes[index].duty.handle(now, event);
+        let effects = self.nodes[index].failover.handle(now, event);
         for effect in effects {
-            self.carry_out_duty(index, life, effect);
+            self.apply_failover_effect(index, incarnation, effect);
         }
         let node = &mut self.nodes[index];
-        let wake = node.duty.next_wake(now);
+        let wake = node.failover.next_wake(now);
         if let Some(wake) = wake
-            && (node.duty_timer_at <= now || wake < node.duty_timer_at)
+            && (node.failover_timer_at <= now || wake < node.failover_timer_at)
         {
-            node.duty_timer_at = wake;
-            self.queue.plan_at(wake, Happening::DutyTimer(index, life));
+            node.failover_timer_at = wake;
+            self.queue
+                .schedule_at(wake, SimulationEvent::FailoverTimer(index, incarnation));
         }
     }
 
-    pub(crate) fn carry_out_duty(&mut self, index: usize, life: u64, effect: DutyEffect) {
+    pub(crate) fn apply_failover_effect(
+        &mut self,
+        index: usize,
+        incarnation: u64,
+        effect: FailoverEffect,
+    ) {
         match effect {
-            DutyEffect::WriteRecord(_, version, record) => {
-                let write = Happening::RecordAt(index, life, version, record);
-                self.queue.plan(STORE_DELAY, write);
+            FailoverEffect::WriteRecord(_, version, record) => {
+                let write = SimulationEvent::WriteRecord(index, incarnation, version, record);
+                self.queue.schedule(STORE_DELAY, write);
             }
-            DutyEffect::ReportSilent(silent) => {
-                let own = NodeId(u64::try_from(index).unwrap_or(0));
+            FailoverEffect::ReportSilent(silent) => {
+                let own_id = NodeId(u64::try_from(index).unwrap_or(0));
                 for peer in (0..self.nodes.len()).filter(|peer| *peer != index) {
-                    let event = DutyEvent::Suspicion(own, silent.clone());
-                    let life = self.nodes[peer].life;
-                    let told = Happening::Duty(peer, life, Box::new(event));
-                    self.queue.plan(FAR_DELAY * 3, told);
+                    let event = FailoverEvent::Suspicion(own_id, silent.clone());
+                    let incarnation = self.nodes[peer].incarnation;
+                    let notified = SimulationEvent::Failover(peer, incarnation, Box::new(event));
+                    self.queue.schedule(FAR_DELAY * 3, notified);
                 }
             }
-            DutyEffect::Verify { backend, asker } => {
+            FailoverEffect::Verify { backend, asker } => {
                 let delay = self.delay(index, &backend) * 3;
-                let verify = Happening::VerifyAt(index, life, backend, asker);
-                self.queue.plan(delay, verify);
+                let verify = SimulationEvent::VerifyBackend(index, incarnation, backend, asker);
+                self.queue.schedule(delay, verify);
             }
-            DutyEffect::QueryStatus(backend) => {
+            FailoverEffect::QueryStatus(backend) => {
                 let delay = self.delay(index, &backend) * 3;
-                let ask = Happening::AskAt(index, life, backend, Question::Status);
-                self.queue.plan(delay, ask);
+                let ask =
+                    SimulationEvent::QueryMember(index, incarnation, backend, MemberQuery::Status);
+                self.queue.schedule(delay, ask);
             }
-            DutyEffect::Hold(backend, term) => {
-                let is_broken = self.options.broken == Some(BrokenVariant::Hold);
-                let question = if is_broken {
-                    Question::Status
+            FailoverEffect::Hold(backend, term) => {
+                let is_broken = self.options.broken == Some(BrokenVariant::NoHold);
+                let query = if is_broken {
+                    MemberQuery::Status
                 } else {
-                    Question::Hold(term)
+                    MemberQuery::Hold(term)
                 };
                 let delay = self.delay(index, &backend) * 3;
-                let ask = Happening::AskAt(index, life, backend, question);
-                self.queue.plan(delay, ask);
+                let ask = SimulationEvent::QueryMember(index, incarnation, backend, query);
+                self.queue.schedule(delay, ask);
             }
-            DutyEffect::QueryUntilReceived(backend, all) => {
+            FailoverEffect::QueryUntilReceived(backend, all) => {
                 let delay = self.delay(index, &backend);
-                let ask = Happening::AskAt(index, life, backend, Question::Received(all));
-                self.queue.plan(delay, ask);
+                let ask = SimulationEvent::QueryMember(
+                    index,
+                    incarnation,
+                    backend,
+                    MemberQuery::Received(all),
+                );
+                self.queue.schedule(delay, ask);
             }
-            DutyEffect::StepDown(backend, term, ways) => {
-                self.reach_for(index, life, &backend, Question::StepDown(term), ways);
+            FailoverEffect::StepDown(backend, term, ways) => {
+                self.schedule_member_calls(
+                    index,
+                    incarnation,
+                    &backend,
+                    MemberQuery::StepDown(term),
+                    ways,
+                );
             }
-            DutyEffect::Revoke(_, term, users) => {
-                let own = NodeId(u64::try_from(index).unwrap_or(0));
-                for user in users.into_iter().chain([own]) {
-                    let revoke = Happening::RevokeAt(index, life, user, term);
-                    self.queue.plan(FAR_DELAY * 3, revoke);
+            FailoverEffect::Revoke(_, term, users) => {
+                let own_id = NodeId(u64::try_from(index).unwrap_or(0));
+                for user in users.into_iter().chain([own_id]) {
+                    let revoke = SimulationEvent::RevokeLeadership(index, incarnation, user, term);
+                    self.queue.schedule(FAR_DELAY * 3, revoke);
                 }
             }
-            DutyEffect::AnnounceAttemptEnded(service, users) => {
-                let own = NodeId(u64::try_from(index).unwrap_or(0));
-                for user in users.into_iter().chain([own]) {
-                    let place = usize::try_from(user.0).unwrap_or(0);
-                    let told = self.nodes[place].life;
+            FailoverEffect::AnnounceAttemptEnded(service, users) => {
+                let own_id = NodeId(u64::try_from(index).unwrap_or(0));
+                for user in users.into_iter().chain([own_id]) {
+                    let node_index = usize::try_from(user.0).unwrap_or(0);
+                    let notified = self.nodes[node_index].incarnation;
                     let event = Event::PromotionEnded(service.clone());
-                    let settle = Happening::Engine(place, told, Box::new(event));
-                    self.queue.plan(FAR_DELAY * 3, settle);
+                    let ended = SimulationEvent::Engine(node_index, notified, Box::new(event));
+                    self.queue.schedule(FAR_DELAY * 3, ended);
                 }
             }
-            DutyEffect::HoldVia(backend, term, ways) => {
-                self.reach_for(index, life, &backend, Question::Hold(term), ways);
+            FailoverEffect::HoldVia(backend, term, ways) => {
+                self.schedule_member_calls(
+                    index,
+                    incarnation,
+                    &backend,
+                    MemberQuery::Hold(term),
+                    ways,
+                );
+            }
+            FailoverEffect::Resume(backend) => {
+                let resume =
+                    SimulationEvent::QueryMember(index, incarnation, backend, MemberQuery::Resume);
+                self.queue.schedule(STORE_DELAY, resume);
             }
-            DutyEffect::Resume(backend) => {
-                let resume = Happening::AskAt(index, life, backend, Question::Resume);
-                self.queue.plan(STORE_DELAY, resume);
+            FailoverEffect::Promote(_, backend, token) => {
+                self.promote(index, incarnation, backend, token)
             }
-            DutyEffect::Promote(_, backend, token) => self.promote(index, life, backend, token),
-            DutyEffect::Log(_, action) => {
+            FailoverEffect::Log(_, action) => {
                 let now = self.now();
                 self.decisions
                     .push(format!("{now:?} {}: {action:?}", node_name(index)));
@@ -242,42 +278,48 @@
         }
     }
 
-    /// Another node is told that a term may begin, and answers.
-    pub(crate) fn revoke_at(&mut self, node: usize, life: u64, user: NodeId, term: Term) {
-        let place = usize::try_from(user.0).unwrap_or(0);
-        let told = &self.nodes[place];
-        if !told.is_running || self.now() < told.frozen_until {
+    /// A node is told that a new term may begin, and responds.
+    pub(crate) fn revoke_leadership(
+        &mut self,
+        node: usize,
+        incarnation: u64,
+        user: NodeId,
+        term: Term,
+    ) {
+        let node_index = usize::try_from(user.0).unwrap_or(0);
+        let notified = &self.nodes[node_index];
+        if !notified.is_running || self.now() < notified.paused_until {
             return;
         }
-        let told_life = told.life;
+        let notified_incarnation = notified.incarnation;
         let service = crate::group::service();
         match self.options.broken {
-            // Nobody is told, so that the wait alone must keep the old leader from being believed.
-            Some(BrokenVariant::NoWait | BrokenVariant::LongLease) => return,
-            // The node answers but goes on as before.
-            Some(BrokenVariant::Revocation) => {}
+            // Nodes are not told, so that only the wait keeps the old leader from being used.
+            Some(BrokenVariant::NoLeaseWait | BrokenVariant::LongLease) => return,
+            // The node responds, but does not apply the revocation.
+            Some(BrokenVariant::IgnoredRevocation) => {}
             _ => {
                 let event = Event::LeadershipRevoked(service.clone(), term);
-                self.tell_engine(place, told_life, event);
+                self.handle_engine_event(node_index, notified_incarnation, event);
             }
         }
-        let newest = self.nodes[place].engine.newest_term(&service);
-        let revoked = DutyEvent::Revoked {
+        let newest = self.nodes[node_index].engine.newest_term(&service);
+        let revoked = FailoverEvent::Revoked {
             service,
             term,
             user,
             newest,
         };
-        let revoked = Happening::Duty(node, life, Box::new(revoked));
-        self.queue.plan(FAR_DELAY, revoked);
+        let revoked = SimulationEvent::Failover(node, incarnation, Box::new(revoked));
+        self.queue.schedule(FAR_DELAY, revoked);
     }
 
-    fn reach_for(
+    fn schedule_member_calls(
         &mut self,
         index: usize,
-        life: u64,
+        incarnation: u64,
         backend: &BackendId,
-        question: Question,
+        query: MemberQuery,
         ways: Vec<Via>,
     ) {
         for via in ways {
@@ -285,139 +327,152 @@
                 Via::Direct => self.delay(index, backend) * 3,
                 Via::Peer(_) => FAR_DELAY * 4,
             };
-            let reach = Happening::ReachAt(index, life, backend.clone(), question, via);
-            self.queue.plan(delay, reach);
+            let call = SimulationEvent::CallMember(index, incarnation, backend.clone(), query, via);
+            self.queue.schedule(delay, call);
         }
     }
 
-    /// The era of the store as nodes are told it; always the first one for some that are broken.
-    fn era_as_told(&self) -> u64 {
+    /// The store's era as nodes see it; some broken variants always see the first one.
+    fn visible_era(&self) -> u64 {
         match self.options.broken {
-            Some(BrokenVariant::Era | BrokenVariant::LostLease) => 0,
+            Some(BrokenVariant::IgnoredEra | BrokenVariant::HiddenRecordLoss) => 0,
             _ => self.store.era,
         }
     }
 
-    /// The revisions by which those of a later copy are higher for a node that is told of no copies.
-    fn lead_of_copy(&self) -> u64 {
+    /// Offset added to the revisions of a restored copy for nodes that do not see the era.
+    fn copy_revision_offset(&self) -> u64 {
         match self.options.broken {
-            Some(BrokenVariant::LostLease) => self.store.era * REVISIONS_OF_A_COPY,
+            Some(BrokenVariant::HiddenRecordLoss) => self.store.era * REVISIONS_PER_COPY,
             _ => 0,
         }
     }
 
     fn record_version(&self) -> RecordVersion {
-        let revision = self.store.record_version + self.lead_of_copy();
-        RecordVersion(StoreRevision::new(self.era_as_told(), revision))
+        let revision = self.store.record_version + self.copy_revision_offset();
+        RecordVersion(StoreRevision::new(self.visible_era(), revision))
     }
 
-    /// No two nodes write a service's record within a lease, whatever the store has lost meanwhile.
-    fn check_holder(&mut self, writer: &str) {
+    /// Checks that no two nodes write a service's record within one lease, even if the store has lost writes.
+    fn check_record_writer(&mut self, writer: &str) {
         let now = self.now();
-        self.checker.count(Invariant::OneHolder);
-        let last = self.last_holder.replace((now, writer.to_owned()));
+        self.checker.count(Invariant::SingleRecordWriter);
+        let last = self.last_record_writer.replace((now, writer.to_owned()));
         if let Some((at, holder)) = last
             && holder != writer
-            && now < at + HOLDER_LEASE
+            && now < at + RECORD_LEASE
         {
-            let text = format!("{holder} wrote the record at {at:?}, then {writer}");
-            self.checker.violate(now, Invariant::OneHolder, text);
+            let text =
+                format!("{holder} wrote the record at {at:?}, then {writer} within the lease");
+            self.checker
+                .record_violation(now, Invariant::SingleRecordWriter, text);
         }
     }
 
-    pub(crate) fn record_at(
+    pub(crate) fn write_record_from(
         &mut self,
         node: usize,
-        life: u64,
+        incarnation: u64,
         version: RecordVersion,
         record: FailoverRecord,
     ) {
         let service = crate::group::service();
-        if !self.store_reaches(node) {
-            let failed = Happening::Duty(
+        if !self.can_reach_store(node) {
+            let failed = SimulationEvent::Failover(
                 node,
-                life,
-                Box::new(DutyEvent::RecordFailed(service.clone())),
+                incarnation,
+                Box::new(FailoverEvent::RecordFailed(service.clone())),
             );
-            return self.queue.plan(Duration::from_millis(1_500), failed);
+            return self.queue.schedule(Duration::from_millis(1_500), failed);
         }
-        let expected = version.0.revision().saturating_sub(self.lead_of_copy());
+        let expected = version
+            .0
+            .revision()
+            .saturating_sub(self.copy_revision_offset());
         let writer = record.holder.clone();
         let written = self.store.write_record(expected, record.clone());
-        self.push_to_all();
-        if version.0.era() != self.era_as_told() {
-            // Another copy of the store answers: what came of it tells nothing.
-            let failed = DutyEvent::RecordFailed(service);
-            let failed = Happening::Duty(node, life, Box::new(failed));
-            return self.queue.plan(STORE_DELAY, failed);
+        self.notify_all_nodes();
+        if version.0.era() != self.visible_era() {
+            // The node expected another copy of the store, so that the result of the write is meaningless to
+            // it.
+            let failed = FailoverEvent::RecordFailed(service);
+            let failed = SimulationEvent::Failover(node, incarnation, Box::new(failed));
+            return self.queue.schedule(STORE_DELAY, failed);
         }
         if written.is_some() {
-            self.check_holder(&writer);
+            self.check_record_writer(&writer);
         }
-        if self.store.loses_answers && self.random.random_range(0..2) == 0 {
-            let failed = Happening::Duty(
+        if self.store.loses_responses && self.random.random_range(0..2) == 0 {
+            let failed = SimulationEvent::Failover(
                 node,
-                life,
-                Box::new(DutyEvent::RecordFailed(service.clone())),
+                incarnation,
+                Box::new(FailoverEvent::RecordFailed(service.clone())),
             );
-            return self.queue.plan(Duration::from_millis(1_500), failed);
+            return self.queue.schedule(Duration::from_millis(1_500), failed);
         }
         let events = match written {
-            Some(_) => vec![DutyEvent::RecordWritten(
+            Some(_) => vec![FailoverEvent::RecordWritten(
                 service,
                 self.record_version(),
                 record,
             )],
             None => vec![
-                DutyEvent::Record(
+                FailoverEvent::Record(
                     service.clone(),
                     self.record_version(),
                     self.store.record.clone(),
                 ),
-                DutyEvent::RecordFailed(service.clone()),
+                FailoverEvent::RecordFailed(service.clone()),
             ],
         };
         for event in events {
-            self.queue
-                .plan(STORE_DELAY, Happening::Duty(node, life, Box::new(event)));
+            self.queue.schedule(
+                STORE_DELAY,
+                SimulationEvent::Failover(node, incarnation, Box::new(event)),
+            );
         }
     }
 
     pub(crate) fn promote(
         &mut self,
         index: usize,
-        life: u64,
+        incarnation: u64,
         backend: BackendId,
         token: stairward_failover::FencingToken,
     ) {
-        let token = if self.options.broken == Some(BrokenVariant::Token) {
+        let token = if self.options.broken == Some(BrokenVariant::ReusedToken) {
             stairward_failover::FencingToken(1)
         } else {
             token
         };
-        let decision = format!("{} of life {life} promotes {backend}", node_name(index));
+        let decision = format!(
+            "{} of incarnation {incarnation} promotes {backend}",
+            node_name(index)
+        );
         let now = self.now();
-        self.checker.decided(now, token.0, decision);
-        let is_late = self.promotions_are_late && self.random.random_range(0..2) == 0;
-        let delay = if is_late {
-            self.between(2_000, 9_000)
+        self.checker.record_promotion(now, token.0, decision);
+        let is_delayed = self.delays_promotions && self.random.random_range(0..2) == 0;
+        let delay = if is_delayed {
+            self.random_duration(2_000, 9_000)
         } else {
             STORE_DELAY
         };
-        let promote = Happening::PromoteAt(index, life, backend, token, !is_late);
-        self.queue.plan(delay, promote);
-        if is_late {
-            let unknown =
-                DutyEvent::Promotion(crate::group::service(), token, PromotionOutcome::Unknown);
-            let unknown = Happening::Duty(index, life, Box::new(unknown));
-            self.queue.plan(Duration::from_millis(2_200), unknown);
+        let promote = SimulationEvent::Promote(index, incarnation, backend, token, !is_delayed);
+        self.queue.schedule(delay, promote);
+        if is_delayed {
+            let unknown_outcome =
+                FailoverEvent::Promotion(crate::group::service(), token, PromotionOutcome::Unknown);
+            let unknown_outcome =
+                SimulationEvent::Failover(index, incarnation, Box::new(unknown_outcome));
+            self.queue
+                .schedule(Duration::from_millis(2_200), unknown_outcome);
         }
     }
 
-    pub(crate) fn promote_at(
+    pub(crate) fn run_promotion(
         &mut self,
         node: usize,
-        life: u64,
+        incarnation: u64,
         backend: &BackendId,
         token: stairward_failover::FencingToken,
         is_answered: bool,
@@ -432,15 +487,19 @@
         } else {
             self.group.fence = token.0;
             if self.group.primary() != Some(backend) {
-                self.queue
-                    .plan(PROMOTION_TIME, Happening::Leads(backend.clone()));
+                self.queue.schedule(
+                    PROMOTION_TIME,
+                    SimulationEvent::PromotionCompletes(backend.clone()),
+                );
             }
             PromotionOutcome::Accepted
         };
         if is_answered {
-            let event = DutyEvent::Promotion(crate::group::service(), token, outcome);
-            self.queue
-                .plan(STORE_DELAY, Happening::Duty(node, life, Box::new(event)));
+            let event = FailoverEvent::Promotion(crate::group::service(), token, outcome);
+            self.queue.schedule(
+                STORE_DELAY,
+                SimulationEvent::Failover(node, incarnation, Box::new(event)),
+            );
         }
     }
 }
