--- a/crates/stairward-settings/src/document.rs
+++ b/crates/stairward-settings/src/document.rs
@@ -52,7 +52,7 @@
         problems: Vec<SettingsProblem>,
     },
     /// The revisions of the history are not consecutive up to the document's revision.
-    #[snafu(display("the revisions of the history are not consecutive up to revision {revision}"))]
+    #[snafu(display("the history does not lead to revision {revision}"))]
     History {
         /// The document's revision.
         revision: Revision,
--- a/crates/stairward-settings/src/edit.rs
+++ b/crates/stairward-settings/src/edit.rs
@@ -67,9 +67,7 @@
 
 /// A change that does not have exactly one of an option, `"add": true` and `"remove": true`.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
-#[snafu(display(
-    "the change at {path} must have exactly one of an option, \"add\": true and \"remove\": true"
-))]
+#[snafu(display("a change at {path} names one of an option, \"add\": true and \"remove\": true"))]
 pub struct AmbiguousChange {
     /// The place of the change.
     pub path: SettingsPath,
@@ -183,15 +181,13 @@
         changed_since: Option<Vec<AppliedEdit>>,
     },
     /// The same edit has already been applied.
-    #[snafu(display("the edit was already applied as revision {revision}"))]
+    #[snafu(display("the edit took effect before, as revision {revision}"))]
     AlreadyApplied {
         /// The revision that it created.
         revision: Revision,
     },
     /// A different edit has already used the change id.
-    #[snafu(display(
-        "change id {change_id} was already used by another edit, revision {revision}"
-    ))]
+    #[snafu(display("another edit has used change id {change_id}, as revision {revision}"))]
     ChangeIdReused {
         /// The change id.
         change_id: ChangeId,
--- a/crates/stairward-settings/src/problem.rs
+++ b/crates/stairward-settings/src/problem.rs
@@ -141,7 +141,7 @@
     #[snafu(display("is not set here"))]
     NotSet,
     /// The place to remove is not in the tree.
-    #[snafu(display("no such place in the settings tree"))]
+    #[snafu(display("there is no such place"))]
     NoSuchPlace,
     /// Two places have the same name, which must be unique in the fleet.
     #[snafu(display("the name is already used by {other}"))]
