--- a/crates/stairward-engine/tests/sessions.rs
+++ b/crates/stairward-engine/tests/sessions.rs
@@ -249,7 +249,7 @@
     assert_ne!(backend(NEAR_REPLICA), harness.sent[0].backend);
 }
 
-/// Guards against a newly started node that assumes it is single_node and takes connections that others hold.
+/// Guards against a newly started node that assumes it is the only node and takes connections that others hold.
 #[test]
 fn a_node_that_has_just_started_assumes_others() {
     let mut harness = Harness::empty();
--- a/crates/stairward-failover/src/demotion.rs
+++ b/crates/stairward-failover/src/demotion.rs
@@ -5,7 +5,7 @@
 //! and all other members report the replica role. The second: every member that any node can reach
 //! is on hold, so that no node can confirm the old leader any longer, and either every node has
 //! confirmed that it no longer accepts the old leader, or the last confirmations of the nodes have
-//! expired since (see the `lead` module of `stairward_engine`).
+//! expired since (see the `leadership` module of `stairward_engine`).
 //!
 //! A refused connection at the old leader's address proves nothing: its process may be back before
 //! the promotion takes effect.
--- a/crates/stairward-proxy/tests/replica_lag.rs
+++ b/crates/stairward-proxy/tests/replica_lag.rs
@@ -7,7 +7,7 @@
 use edge_support::{Site, backend_names, simple_value, with_timeout};
 use stairward_standins::group::Fault;
 
-/// Longer than the test timeout, so no test can pass by waiting for a replay.
+/// Longer than `TEST_TIMEOUT`, so no test can pass by waiting for a replay.
 const LAG: Duration = Duration::from_secs(60);
 
 /// Number of sessions that write and then read in a new session. Repeated because the members that
--- a/crates/stairward-runtime/src/coordination.rs
+++ b/crates/stairward-runtime/src/coordination.rs
@@ -33,7 +33,7 @@
 /// The metadata store and the promotion call.
 pub trait Coordination {
     /// Writes a service's failover record if its version is still `expected`; creates it if that is
-    /// [`RecordVersion::none_in`].
+    /// [`RecordVersion::absent_in_era`].
     fn write_record(
         &self,
         service: ServiceName,
@@ -42,7 +42,7 @@
     ) -> CoordinationFuture<RecordWrite>;
 
     /// Writes the maximum number of nodes if the record's version is still `expected`; creates it if that is
-    /// [`RecordVersion::none_in`].
+    /// [`RecordVersion::absent_in_era`].
     fn write_fleet_size(
         &self,
         expected: RecordVersion,
