--- a/crates/stairward-runtime/src/duty.rs
+++ b/crates/stairward-runtime/src/duty.rs
@@ -22,7 +22,7 @@
 
 impl<W: Wire> Node<W> {
     /// The services' records, as a copy of the store shows them.
-    pub fn learn_records(
+    pub fn apply_failover_records(
         self: &Rc<Self>,
         era: u64,
         records: BTreeMap<ServiceName, (RecordVersion, DutyRecord)>,
@@ -40,7 +40,7 @@
     }
 
     /// Wakes the duty when something is due. Runs for ever.
-    pub async fn run_duty(self: Rc<Self>) {
+    pub async fn run_failover(self: Rc<Self>) {
         loop {
             let now = self.now();
             let wake_at = self.duty.borrow().next_wake(now);
--- a/crates/stairward-runtime/src/feeds.rs
+++ b/crates/stairward-runtime/src/feeds.rs
@@ -25,7 +25,7 @@
 
 /// Shortest pause between two showings of a feed's objects: in a fleet that starts, hundreds change one by one.
 /// A change after a quiet time is shown at once.
-pub const SHOW_PAUSE: Duration = Duration::from_millis(100);
+pub const PUBLISH_INTERVAL: Duration = Duration::from_millis(100);
 /// How long a node that starts waits for the store's stale listing before it asks others for all objects. Two pages
 /// over 20 ms between regions and an eighth of a core take up to 300 ms (`fleetbench run`, 300 nodes, 900 objects).
 const LISTING_PATIENCE: Duration = Duration::from_millis(600);
@@ -34,7 +34,7 @@
 
 /// When a node reads the store for a feed, and when it believes it.
 #[derive(Debug, Clone, Copy)]
-pub struct FeedTimes {
+pub struct FeedTimeouts {
     /// How long after the last word of its watchers a follower reads the store itself.
     pub reads_after: Duration,
     /// How long after the store's last answer a watcher follows others.
@@ -47,16 +47,16 @@
 pub trait FeedObjects {
     /// Replaces all objects, or changes some, so that they are those of a revision; none for a peer's document. Returns
     /// whether the objects are now those that the content is about.
-    fn take(&self, at: Option<StoreRevision>, content: &FeedContent) -> bool;
+    fn apply(&self, at: Option<StoreRevision>, content: &FeedContent) -> bool;
     /// The store came back from an older copy, and whoever wrote what it lost has had the time to write it again.
-    fn settle(&self);
-    /// Acts on the objects as they are. Called after `take`, once for all that came within [`SHOW_PAUSE`]. What differs
+    fn end_restore_grace(&self);
+    /// Acts on the objects as they are. Called after `take`, once for all that came within [`PUBLISH_INTERVAL`]. What differs
     /// from the last showing came about after `since`, or at any time where that is not known.
-    fn show(&self, since: Option<Time>);
+    fn publish(&self, since: Option<Time>);
     /// All objects; empty while there are none.
-    fn whole(&self) -> Vec<u8>;
+    fn snapshot(&self) -> Vec<u8>;
     /// What has changed after a revision, in the form of changes.
-    fn since(&self, revision: StoreRevision) -> Vec<u8>;
+    fn changes_since(&self, revision: StoreRevision) -> Vec<u8>;
     /// A digest of all objects: where two are equal, the objects are.
     fn digest(&self) -> u64;
 }
@@ -83,7 +83,7 @@
         self.note_unshown(since);
         *self.packed.borrow_mut() = None;
         *self.packed_since.borrow_mut() = None;
-        self.objects.take(at, content)
+        self.objects.apply(at, content)
     }
 
     /// Something has changed after a moment, or at any time, and has not been shown yet.
@@ -97,7 +97,7 @@
     }
 
     fn show(&self) {
-        self.objects.show(self.unshown_since.take().flatten());
+        self.objects.publish(self.unshown_since.take().flatten());
     }
 
     /// What has changed after a revision, compressed.
@@ -106,7 +106,7 @@
         match packed.as_ref() {
             Some((since, bytes)) if *since == revision => bytes.clone(),
             _ => {
-                let bytes = compress(&self.objects.since(revision));
+                let bytes = compress(&self.objects.changes_since(revision));
                 *packed = Some((revision, bytes.clone()));
                 bytes
             }
@@ -117,7 +117,7 @@
     fn packed(&self) -> Vec<u8> {
         let mut packed = self.packed.borrow_mut();
         let known = packed.get_or_insert_with(|| {
-            let whole = self.objects.whole();
+            let whole = self.objects.snapshot();
             if whole.is_empty() {
                 whole
             } else {
@@ -189,7 +189,7 @@
     pub fn open_feed(
         self: &Rc<Self>,
         name: &'static str,
-        times: FeedTimes,
+        times: FeedTimeouts,
         objects: Rc<dyn FeedObjects>,
     ) -> watch::Receiver<bool> {
         let (reading, is_reading) = watch::channel(false);
@@ -217,7 +217,7 @@
 
     /// The store answered for a feed: its state at a revision, a moment at which that was certainly the newest, and what
     /// came with it.
-    pub fn store_answered(
+    pub fn apply_store_answer(
         self: &Rc<Self>,
         name: &'static str,
         at: StoreRevision,
@@ -233,7 +233,7 @@
     }
 
     /// The store listed a feed's objects as they were a while ago.
-    pub fn store_listed_stale(
+    pub fn apply_stale_listing(
         self: &Rc<Self>,
         name: &'static str,
         at: StoreRevision,
@@ -243,26 +243,26 @@
     }
 
     /// Takes over what a peer last read, until the store or a watcher answers.
-    pub fn take_word_of_peer(self: &Rc<Self>, name: &'static str, content: Vec<u8>) {
+    pub fn apply_peer_document(self: &Rc<Self>, name: &'static str, content: Vec<u8>) {
         self.feed_event(name, Event::PeerDocument(content));
     }
 
     /// Whether other nodes hear of a feed's changes from this one.
     #[must_use]
-    pub fn has_followers(&self, name: &str) -> bool {
+    pub fn has_feed_followers(&self, name: &str) -> bool {
         let feed = self.feeds.get(name);
         feed.is_some_and(|feed| feed.feed.borrow().has_followers())
     }
 
     /// The revision of a feed's objects that this node holds; none before the first.
     #[must_use]
-    pub fn held_of_feed(&self, name: &str) -> Option<StoreRevision> {
+    pub fn held_feed_revision(&self, name: &str) -> Option<StoreRevision> {
         self.feeds.get(name)?.feed.borrow().held()
     }
 
     /// Whether this node ranks as a watcher of a feed, from which others hear of changes.
     #[must_use]
-    pub fn ranks_as_watcher(&self, name: &str) -> bool {
+    pub fn is_feed_watcher(&self, name: &str) -> bool {
         let feed = self.feeds.get(name);
         feed.is_some_and(|feed| feed.feed.borrow().is_watcher())
     }
@@ -437,8 +437,8 @@
         match open.shown_at.get() {
             // It waits already.
             Some(at) if at > now => {}
-            Some(at) if now.since(at) < SHOW_PAUSE => {
-                let due = at + SHOW_PAUSE;
+            Some(at) if now.since(at) < PUBLISH_INTERVAL => {
+                let due = at + PUBLISH_INTERVAL;
                 open.shown_at.set(Some(due));
                 let open = Rc::clone(open);
                 tokio::task::spawn_local(async move {
@@ -489,7 +489,7 @@
                 }
             }
             Effect::Settled => {
-                open.objects.settle();
+                open.objects.end_restore_grace();
                 // What is shown from now on was known to the store when it came back, or has gone since.
                 open.note_unshown(None);
                 self.show(open);
--- a/crates/stairward-runtime/src/lib.rs
+++ b/crates/stairward-runtime/src/lib.rs
@@ -31,10 +31,10 @@
 mod wire;
 
 pub use coordination::{Coordination, CoordinationFuture, FleetWrite, RecordWrite};
-pub use feeds::{FeedObjects, FeedTimes, SHOW_PAUSE};
+pub use feeds::{FeedObjects, FeedTimeouts, PUBLISH_INTERVAL};
 pub use health::{HealthService, Readiness};
 pub use membership::PeerIdentity;
-pub use neighbour_link::ask_for_document;
+pub use neighbour_link::fetch_document;
 pub use node::{Node, NodeOptions};
 pub use stairward_membership::feed::{FeedContent, RestoredView, StoreObject, StoreRetry};
 pub use wire::{CallerMessage, MemberQuestion, Wire, WireError};
--- a/crates/stairward-runtime/src/neighbour_link.rs
+++ b/crates/stairward-runtime/src/neighbour_link.rs
@@ -79,7 +79,7 @@
 }
 
 /// Asks peers, one after the other, for a document that the store holds.
-pub async fn ask_for_document(peers: &[SocketAddr], name: &str) -> Option<Vec<u8>> {
+pub async fn fetch_document(peers: &[SocketAddr], name: &str) -> Option<Vec<u8>> {
     for peer in peers {
         let asking = async {
             let (mut reader, outgoing) = connect(*peer).await?;
--- a/crates/stairward-runtime/src/neighbours.rs
+++ b/crates/stairward-runtime/src/neighbours.rs
@@ -52,7 +52,7 @@
 
 impl<W: Wire> Node<W> {
     /// Accepts links of other nodes. Runs for ever.
-    pub async fn accept_neighbours(self: Rc<Self>, listener: TcpListener) {
+    pub async fn accept_peers(self: Rc<Self>, listener: TcpListener) {
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
--- a/crates/stairward-runtime/src/node.rs
+++ b/crates/stairward-runtime/src/node.rs
@@ -165,7 +165,7 @@
     }
 
     /// Puts a configuration in force, unless a newer one is.
-    pub fn configure(self: &Rc<Self>, table: RoutingTable) {
+    pub fn apply_configuration(self: &Rc<Self>, table: RoutingTable) {
         let revision = table.revision;
         let known = self.routing_table().map(|known| known.revision);
         if known.is_some_and(|known| revision <= known) {
@@ -185,7 +185,7 @@
 
     /// Takes in the zones to whose back ends nothing is to be sent, whole. What is new in them came about after
     /// `since`, or at any time where that is not known.
-    pub fn set_evacuated(self: &Rc<Self>, zones: BTreeSet<ZoneName>, since: Option<Time>) {
+    pub fn set_evacuated_zones(self: &Rc<Self>, zones: BTreeSet<ZoneName>, since: Option<Time>) {
         if *self.evacuated.borrow() == zones {
             return;
         }
@@ -195,7 +195,7 @@
     }
 
     /// Takes in what differs in discovery's list. It came about after `since`, or at any time where that is not known.
-    pub fn change_backends(self: &Rc<Self>, change: DiscoveryChange, since: Option<Time>) {
+    pub fn apply_discovery(self: &Rc<Self>, change: DiscoveryChange, since: Option<Time>) {
         let touched = self.discovered.borrow_mut().apply(self.now(), &change);
         // Before the engine opens connections: how many nodes hold them follows from what the back ends can use.
         self.update_services(&touched);
@@ -204,7 +204,7 @@
     }
 
     /// The number of nodes on record, as the store shows it; 0 where it shows no record.
-    pub fn learn_fleet_size(self: &Rc<Self>, version: RecordVersion, nodes: u32) {
+    pub fn apply_fleet_size(self: &Rc<Self>, version: RecordVersion, nodes: u32) {
         self.fleet_version.set(version);
         self.handle(Event::FleetRecorded(nodes));
     }
@@ -216,7 +216,7 @@
         tokio::task::spawn_local(async move {
             match writing.await {
                 FleetWrite::Known(version, nodes) => {
-                    node.learn_fleet_size(version, nodes);
+                    node.apply_fleet_size(version, nodes);
                 }
                 FleetWrite::Failed => tracing::warn!(
                     event = LogEvent::StoreUnreachable.number(),
