--- a/crates/stairward-runtime/src/backend_registry.rs
+++ b/crates/stairward-runtime/src/backend_registry.rs
@@ -8,7 +8,7 @@
 use stairward_types::{BackendId, ServiceName, Time, ZoneName};
 
 /// How long a back end that discovery no longer lists is remembered: it may still have to be asked.
-const REMEMBERED_FOR: Duration = Duration::from_secs(60);
+const REMOVED_RETENTION: Duration = Duration::from_secs(60);
 
 /// Back ends by id.
 type Members = BTreeMap<BackendId, Arc<BackendDescription>>;
@@ -19,7 +19,7 @@
     service_of: BTreeMap<BackendId, ServiceName>,
     by_service: BTreeMap<ServiceName, Members>,
     /// Back ends that are listed no more, and since when.
-    gone: BTreeMap<BackendId, (Arc<BackendDescription>, Time)>,
+    removed: BTreeMap<BackendId, (Arc<BackendDescription>, Time)>,
 }
 
 impl BackendRegistry {
@@ -31,8 +31,8 @@
 
     /// Takes a change in. Returns the services that it touches.
     pub fn apply(&mut self, now: Time, change: &DiscoveryChange) -> BTreeSet<ServiceName> {
-        self.gone
-            .retain(|_, (_, gone_at)| now.since(*gone_at) < REMEMBERED_FOR);
+        self.removed
+            .retain(|_, (_, removed_at)| now.since(*removed_at) < REMOVED_RETENTION);
         let mut touched = BTreeSet::new();
         for description in &change.described {
             let service = &description.service;
@@ -40,10 +40,10 @@
                 .service_of
                 .insert(description.id.clone(), service.clone());
             if let Some(before) = before.filter(|before| before != service) {
-                self.take_out(&before, &description.id);
+                self.remove_member(&before, &description.id);
                 touched.insert(before);
             }
-            self.gone.remove(&description.id);
+            self.removed.remove(&description.id);
             self.by_service
                 .entry(service.clone())
                 .or_default()
@@ -54,15 +54,15 @@
             let Some(service) = self.service_of.remove(id) else {
                 continue;
             };
-            if let Some(description) = self.take_out(&service, id) {
-                self.gone.insert(id.clone(), (description, now));
+            if let Some(description) = self.remove_member(&service, id) {
+                self.removed.insert(id.clone(), (description, now));
             }
             touched.insert(service);
         }
         touched
     }
 
-    fn take_out(
+    fn remove_member(
         &mut self,
         service: &ServiceName,
         id: &BackendId,
@@ -84,7 +84,7 @@
     /// A back end that is listed, or was a while ago.
     #[must_use]
     pub fn get_including_removed(&self, id: &BackendId) -> Option<&Arc<BackendDescription>> {
-        let remembered = || self.gone.get(id).map(|(description, _)| description);
+        let remembered = || self.removed.get(id).map(|(description, _)| description);
         self.get(id).or_else(remembered)
     }
 
@@ -106,7 +106,7 @@
 
     /// How many listed back ends run in a zone.
     #[must_use]
-    pub fn count_in(&self, zone: &ZoneName) -> usize {
+    pub fn count_in_zone(&self, zone: &ZoneName) -> usize {
         let members = self.by_service.values().flat_map(BTreeMap::values);
         members.filter(|backend| backend.zone == *zone).count()
     }
--- a/crates/stairward-runtime/src/backends.rs
+++ b/crates/stairward-runtime/src/backends.rs
@@ -16,7 +16,7 @@
 use crate::wire::Wire;
 
 /// How long a back end may take to accept a connection and to say that it is ready.
-const OPEN_PATIENCE: Duration = Duration::from_millis(1_000);
+const OPEN_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Room made for reading at once.
 const READ_SIZE: usize = 4 * 1024;
 
@@ -31,7 +31,7 @@
 /// Opens a connection to a back end and waits until it is ready.
 pub(crate) async fn open_connection<W: Wire>(target: &OpenTarget) -> Result<Opened, OpenFailure> {
     let opening = open_without_limit::<W>(target);
-    match tokio::time::timeout(OPEN_PATIENCE, opening).await {
+    match tokio::time::timeout(OPEN_TIMEOUT, opening).await {
         Ok(opened) => opened,
         Err(_) => Err(OpenFailure::Silent),
     }
--- a/crates/stairward-runtime/src/callers.rs
+++ b/crates/stairward-runtime/src/callers.rs
@@ -18,9 +18,9 @@
 /// Room made for reading at once.
 const READ_SIZE: usize = 2 * 1024;
 /// A new connection must say which database it wants within this time.
-const CONNECT_PATIENCE: Duration = Duration::from_secs(5);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
 /// Pause after a connection could not be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 impl<W: Wire> Node<W> {
     /// Accepts callers. Runs for ever; at most `limit` are connected at once.
@@ -35,7 +35,7 @@
                 ),
                 Err(error) => {
                     tracing::warn!(event = LogEvent::ListenerFailed.number(), %error);
-                    Self::pause(ACCEPT_PAUSE).await;
+                    Self::pause(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
@@ -57,7 +57,7 @@
             reading,
             buffer: BytesMut::new(),
         };
-        let first = tokio::time::timeout(CONNECT_PATIENCE, reader.next::<W>()).await;
+        let first = tokio::time::timeout(CONNECT_TIMEOUT, reader.next::<W>()).await;
         if let Ok(Some(CallerMessage::Connect { database, key })) = first {
             match GroupId::new(database) {
                 Ok(database) => {
--- a/crates/stairward-runtime/src/compression.rs
+++ b/crates/stairward-runtime/src/compression.rs
@@ -6,7 +6,7 @@
 use flate2::read::{DeflateDecoder, DeflateEncoder};
 
 /// The longest content that is unpacked, in bytes: a peer's word must not fill the memory.
-const LONGEST_CONTENT: u64 = 32 * 1024 * 1024;
+const MAXIMUM_CONTENT_BYTES: u64 = 32 * 1024 * 1024;
 
 /// Compresses bytes. What is long is made once and sent to many: a node's link is scarcer than its processor.
 pub(crate) fn compress(bytes: &[u8]) -> Vec<u8> {
@@ -16,11 +16,11 @@
     compressed
 }
 
-/// Unpacks bytes; none when they are damaged or longer than [`LONGEST_CONTENT`].
+/// Unpacks bytes; none when they are damaged or longer than [`MAXIMUM_CONTENT_BYTES`].
 pub(crate) fn decompress(bytes: &[u8]) -> Option<Vec<u8>> {
     let mut content = Vec::new();
-    let mut decoder = DeflateDecoder::new(bytes).take(LONGEST_CONTENT + 1);
+    let mut decoder = DeflateDecoder::new(bytes).take(MAXIMUM_CONTENT_BYTES + 1);
     decoder.read_to_end(&mut content).ok()?;
-    let is_whole = u64::try_from(content.len()).is_ok_and(|length| length <= LONGEST_CONTENT);
+    let is_whole = u64::try_from(content.len()).is_ok_and(|length| length <= MAXIMUM_CONTENT_BYTES);
     is_whole.then_some(content)
 }
--- a/crates/stairward-runtime/src/duty.rs
+++ b/crates/stairward-runtime/src/failover.rs
@@ -18,7 +18,7 @@
 use crate::wire::{MemberRequest, Wire};
 
 /// How often the duty is looked at while nothing is due.
-const IDLE_PAUSE: Duration = Duration::from_millis(500);
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 impl<W: Wire> Node<W> {
     /// The services' records, as a copy of the store shows them.
@@ -27,15 +27,15 @@
         era: u64,
         records: BTreeMap<ServiceName, (RecordVersion, DutyRecord)>,
     ) {
-        self.tell_duty(Event::Records { era, records });
+        self.handle_failover_event(Event::Records { era, records });
     }
 
     /// Gives the duty an event and carries out what it decides.
-    pub(crate) fn tell_duty(self: &Rc<Self>, event: Event) {
+    pub(crate) fn handle_failover_event(self: &Rc<Self>, event: Event) {
         let now = self.now();
-        let effects = self.duty.borrow_mut().handle(now, event);
+        let effects = self.failover.borrow_mut().handle(now, event);
         for effect in effects {
-            self.carry_out_duty(effect);
+            self.apply_failover_effect(effect);
         }
     }
 
@@ -43,10 +43,10 @@
     pub async fn run_failover(self: Rc<Self>) {
         loop {
             let now = self.now();
-            let wake_at = self.duty.borrow().next_wake(now);
-            let pause = wake_at.map_or(IDLE_PAUSE, |at| at.since(now));
-            Self::pause(pause.min(IDLE_PAUSE)).await;
-            self.tell_duty(Event::Tick);
+            let wake_at = self.failover.borrow().next_wake(now);
+            let pause = wake_at.map_or(IDLE_CHECK_INTERVAL, |at| at.since(now));
+            Self::pause(pause.min(IDLE_CHECK_INTERVAL)).await;
+            self.handle_failover_event(Event::Tick);
             prometheus::set_engine_statistics(self.statistics());
             self.show_traffic();
             for (zone, work) in self.engine.borrow().work_in_evacuated() {
@@ -66,38 +66,40 @@
         }
     }
 
-    fn carry_out_duty(self: &Rc<Self>, effect: Effect) {
+    fn apply_failover_effect(self: &Rc<Self>, effect: Effect) {
         let node = Rc::clone(self);
         match effect {
             Effect::WriteRecord(service, version, record) => {
                 self.write_record(service, version, record);
             }
-            Effect::Report(silent) => self.report_silent(&silent),
-            Effect::Verify { backend, asker } => self.verify(backend, asker),
-            Effect::Ask(backend) => self.question(backend, MemberRequest::Status),
-            Effect::Hold(backend, term) => self.question(backend, MemberRequest::Hold(term)),
-            Effect::Resume(backend) => self.question(backend, MemberRequest::Resume),
+            Effect::Report(silent) => self.report_silent_backends(&silent),
+            Effect::Verify { backend, asker } => self.verify_silence(backend, asker),
+            Effect::Ask(backend) => self.send_member_request(backend, MemberRequest::Status),
+            Effect::Hold(backend, term) => {
+                self.send_member_request(backend, MemberRequest::Hold(term))
+            }
+            Effect::Resume(backend) => self.send_member_request(backend, MemberRequest::Resume),
             Effect::AskReceived(backend, all) => {
-                self.question(backend, MemberRequest::Received(all));
+                self.send_member_request(backend, MemberRequest::Received(all));
             }
             Effect::StepDown(backend, term, ways) => {
-                self.reach_for(&backend, MemberRequest::StepDown(term), ways);
+                self.request_by_ways(&backend, MemberRequest::StepDown(term), ways);
             }
             Effect::Revoke(service, term, users) => self.revoke(&service, term, users),
-            Effect::Settle(service, users) => self.settle(&service, users),
+            Effect::Settle(service, users) => self.send_lead_settled(&service, users),
             Effect::HoldBy(backend, term, ways) => {
-                self.reach_for(&backend, MemberRequest::Hold(term), ways);
+                self.request_by_ways(&backend, MemberRequest::Hold(term), ways);
             }
             Effect::Promote(service, backend, token) => {
                 let promoting = self.coordination.promote(service.clone(), backend, token);
                 tokio::task::spawn_local(async move {
                     let outcome = promoting.await;
-                    node.tell_duty(Event::Promotion(service, token, outcome));
+                    node.handle_failover_event(Event::Promotion(service, token, outcome));
                 });
             }
             Effect::Log(service, action) => {
                 prometheus::count_failover_step(&action);
-                self.log.duty(self.now(), &service, &action);
+                self.log.failover_action(self.now(), &service, &action);
             }
         }
     }
@@ -115,18 +117,18 @@
         tokio::task::spawn_local(async move {
             match writing.await {
                 RecordWrite::Written(version) => {
-                    node.tell_duty(Event::RecordWritten(service, version, record));
+                    node.handle_failover_event(Event::RecordWritten(service, version, record));
                 }
                 RecordWrite::Conflict(version, present) => {
-                    node.tell_duty(Event::Record(service.clone(), version, present));
-                    node.tell_duty(Event::RecordFailed(service));
+                    node.handle_failover_event(Event::Record(service.clone(), version, present));
+                    node.handle_failover_event(Event::RecordFailed(service));
                 }
-                RecordWrite::Failed => node.tell_duty(Event::RecordFailed(service)),
+                RecordWrite::Failed => node.handle_failover_event(Event::RecordFailed(service)),
             }
         });
     }
 
-    pub(crate) fn target(&self, backend: &BackendId) -> Option<OpenTarget> {
+    pub(crate) fn open_target(&self, backend: &BackendId) -> Option<OpenTarget> {
         let discovered = self.discovered.borrow();
         let description = discovered.get_including_removed(backend)?;
         Some(OpenTarget {
@@ -137,38 +139,43 @@
         })
     }
 
-    fn question(self: &Rc<Self>, backend: BackendId, question: MemberRequest) {
-        let target = self.target(&backend);
+    fn send_member_request(self: &Rc<Self>, backend: BackendId, request: MemberRequest) {
+        let target = self.open_target(&backend);
         let node = Rc::clone(self);
         tokio::task::spawn_local(async move {
             let status = match target {
-                Some(target) => node.ask_member(target, question).await.answer(),
+                Some(target) => node.ask_member(target, request).await.answer(),
                 None => None,
             };
             if status.is_some() {
                 let answered = Event::Evidence(backend.clone(), LeaderEvidence::Answered);
-                node.tell_duty(answered);
+                node.handle_failover_event(answered);
             }
-            node.tell_duty(Event::Status(backend, status));
+            node.handle_failover_event(Event::Status(backend, status));
         });
     }
 
     /// Asks a member by each of these ways.
-    fn reach_for(self: &Rc<Self>, backend: &BackendId, question: MemberRequest, ways: Vec<Via>) {
-        let target = self.target(backend);
+    fn request_by_ways(
+        self: &Rc<Self>,
+        backend: &BackendId,
+        request: MemberRequest,
+        ways: Vec<Via>,
+    ) {
+        let target = self.open_target(backend);
         for via in ways {
             let node = Rc::clone(self);
             let (backend, target) = (backend.clone(), target.clone());
             tokio::task::spawn_local(async move {
                 let reach = match (target, &via) {
                     (None, _) => Reach::Silent,
-                    (Some(target), Via::Direct) => node.ask_member(target, question).await,
+                    (Some(target), Via::Direct) => node.ask_member(target, request).await,
                     (Some(target), Via::Peer(peer)) => {
-                        node.ask_through_peer(*peer, &target, question).await
+                        node.request_through_peer(*peer, &target, request).await
                     }
                 };
                 node.log.reach(node.now(), &backend, &via, reach);
-                node.tell_duty(Event::Reached(backend, via, reach));
+                node.handle_failover_event(Event::Reached(backend, via, reach));
             });
         }
     }
@@ -189,22 +196,22 @@
     }
 
     /// Tells the duty of all services, their members and their state.
-    pub(crate) fn tell_duty_of_groups(self: &Rc<Self>) {
+    pub(crate) fn update_all_failover_groups(self: &Rc<Self>) {
         let Some(table) = self.routing_table() else {
             return;
         };
         let groups = self.group_states(&table, table.services.keys());
-        self.tell_duty(Event::Groups(groups));
+        self.handle_failover_event(Event::Groups(groups));
     }
 
     /// Tells the duty of these services, as far as they are configured.
-    pub(crate) fn tell_duty_of(self: &Rc<Self>, services: &BTreeSet<ServiceName>) {
+    pub(crate) fn update_failover_groups(self: &Rc<Self>, services: &BTreeSet<ServiceName>) {
         let Some(table) = self.routing_table() else {
             return;
         };
         let groups = self.group_states(&table, services);
         if !groups.is_empty() {
-            self.tell_duty(Event::GroupsChanged(groups));
+            self.handle_failover_event(Event::GroupsChanged(groups));
         }
     }
 
--- a/crates/stairward-runtime/src/relayed_questions.rs
+++ b/crates/stairward-runtime/src/failover_peers.rs
@@ -14,62 +14,62 @@
 use stairward_types::{BackendId, BackendRole, Freshness, NodeId, ServiceName, Term, Time};
 
 use crate::backends::open_connection;
-use crate::neighbour_link::{connect, frame};
 use crate::node::Node;
+use crate::peer_link::{connect, frame};
 use crate::traffic::OpeningKind;
 use crate::wire::{MemberRequest, Wire};
 
 /// How long a peer may take to pass a question on and to answer.
-const RELAY_PATIENCE: Duration = Duration::from_millis(1_000);
+const RELAY_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Peers that are asked to pass a question on: enough that a cut of some of the nodes leaves one that reaches
 /// the member.
-const PEERS_ASKED: usize = 8;
+const RELAY_PEERS: usize = 8;
 
 /// How long a node that is no longer seen counts as one that may use a leader.
-const USERS_REMEMBERED_FOR: Duration = Duration::from_secs(30);
+const LEADER_USER_RETENTION: Duration = Duration::from_secs(30);
 
 /// Another node that may use a leader.
 #[derive(Debug)]
-pub(crate) struct User {
+pub(crate) struct LeaderUser {
     address: SocketAddr,
     seen_at: Time,
 }
 
 impl<W: Wire> Node<W> {
     /// Chooses anew the peers that may pass questions on, and tells the duty.
-    pub(crate) fn choose_question_peers(self: &Rc<Self>) {
+    pub(crate) fn choose_relay_peers(self: &Rc<Self>) {
         let peers: Vec<NodeId> = {
             let members = self.members.borrow();
             let others = members
                 .iter()
                 .map(|member| member.node)
                 .filter(|node| *node != self.peer.node);
-            others.sample(&mut rand::rng(), PEERS_ASKED)
+            others.sample(&mut rand::rng(), RELAY_PEERS)
         };
-        self.question_peers.borrow_mut().clone_from(&peers);
-        self.tell_duty(stairward_failover::Event::Peers(peers));
+        self.relay_peers.borrow_mut().clone_from(&peers);
+        self.handle_failover_event(stairward_failover::Event::Peers(peers));
     }
 
     /// Notes which nodes live: whoever lived a while ago may still use a leader.
-    pub(crate) fn note_users(self: &Rc<Self>) {
+    pub(crate) fn update_leader_users(self: &Rc<Self>) {
         let now = self.now();
         let users: BTreeSet<NodeId> = {
-            let mut users = self.users.borrow_mut();
+            let mut users = self.leader_users.borrow_mut();
             let members = self.members.borrow();
             for member in members
                 .iter()
                 .filter(|member| member.node != self.peer.node)
             {
-                let user = User {
+                let user = LeaderUser {
                     address: member.address,
                     seen_at: now,
                 };
                 users.insert(member.node, user);
             }
-            users.retain(|_, user| now.since(user.seen_at) < USERS_REMEMBERED_FOR);
+            users.retain(|_, user| now.since(user.seen_at) < LEADER_USER_RETENTION);
             users.keys().copied().collect()
         };
-        self.tell_duty(stairward_failover::Event::Users(users));
+        self.handle_failover_event(stairward_failover::Event::Users(users));
     }
 
     /// Has these nodes, and this one, believe no leader of a lower term any more.
@@ -84,12 +84,12 @@
             let (node, service) = (Rc::clone(self), service.clone());
             tokio::task::spawn_local(async move {
                 let newest = if user == own {
-                    Some(node.believe_from(&service, term))
+                    Some(node.revoke_older_terms(&service, term))
                 } else {
-                    node.tell_revoked(user, &service, term).await
+                    node.send_revocation(user, &service, term).await
                 };
                 if let Some(newest) = newest {
-                    node.tell_duty(stairward_failover::Event::Revoked {
+                    node.handle_failover_event(stairward_failover::Event::Revoked {
                         service,
                         term,
                         user,
@@ -101,10 +101,14 @@
     }
 
     /// Tells these nodes, and this one, that no promotion that they were told of is under way any more.
-    pub(crate) fn settle(self: &Rc<Self>, service: &ServiceName, users: BTreeSet<NodeId>) {
+    pub(crate) fn send_lead_settled(
+        self: &Rc<Self>,
+        service: &ServiceName,
+        users: BTreeSet<NodeId>,
+    ) {
         self.handle(Event::LeadSettled(service.clone()));
         // A node that misses it believes the new leader a little later.
-        self.tell_once(
+        self.send_once(
             users,
             &NeighbourMessage::SettleLead {
                 service: Text::new(service.as_str()),
@@ -113,7 +117,7 @@
     }
 
     /// Tells some other nodes which back ends this one finds silent.
-    pub(crate) fn report_silent(self: &Rc<Self>, silent: &BTreeSet<BackendId>) {
+    pub(crate) fn report_silent_backends(self: &Rc<Self>, silent: &BTreeSet<BackendId>) {
         let backends: Vec<_> = silent.iter().map(|id| Text::new(id.as_str())).collect();
         let message = NeighbourMessage::Silent {
             node: self.peer.node.0,
@@ -121,13 +125,13 @@
             backends,
         };
         // One that misses it hears of it again while it holds.
-        self.tell_once(self.question_peers.borrow().iter().copied(), &message);
+        self.send_once(self.relay_peers.borrow().iter().copied(), &message);
     }
 
     /// Looks whether a back end that another node finds silent accepts connections, and tells that node if it does
     /// not. One that is full or busy gives a sign of life.
-    pub(crate) fn verify(self: &Rc<Self>, backend: BackendId, asker: NodeId) {
-        let Some(target) = self.target(&backend) else {
+    pub(crate) fn verify_silence(self: &Rc<Self>, backend: BackendId, asker: NodeId) {
+        let Some(target) = self.open_target(&backend) else {
             return;
         };
         self.traffic.opened(OpeningKind::Backend);
@@ -141,45 +145,58 @@
             }
             if is_silent {
                 let found = stairward_failover::Event::FoundSilent(backend.clone());
-                node.tell_duty(found);
+                node.handle_failover_event(found);
                 let message = NeighbourMessage::ConfirmSilent {
                     node: node.peer.node.0,
                     backend: Text::new(backend.as_str()),
                 };
-                node.tell_once([asker], &message);
+                node.send_once([asker], &message);
             }
         });
     }
 
     /// Tells nodes something that needs no answer, each on a connection of its own.
-    fn tell_once(&self, nodes: impl IntoIterator<Item = NodeId>, message: &NeighbourMessage) {
+    fn send_once(&self, nodes: impl IntoIterator<Item = NodeId>, message: &NeighbourMessage) {
         let message = frame(message);
         for node in nodes {
-            let address = self.users.borrow().get(&node).map(|user| user.address);
+            let address = self
+                .leader_users
+                .borrow()
+                .get(&node)
+                .map(|user| user.address);
             let Some(address) = address else {
                 continue;
             };
             let message = message.clone();
-            self.traffic.opened(OpeningKind::OneShotMade);
+            self.traffic.opened(OpeningKind::OneShot);
             tokio::task::spawn_local(async move {
                 if let Some((_, outgoing)) = connect(address).await {
                     let _ = outgoing.send(&message);
-                    Self::pause(RELAY_PATIENCE).await;
+                    Self::pause(RELAY_TIMEOUT).await;
                 }
             });
         }
     }
 
     /// Believes no leader of a lower term any more; returns the newest term known to have begun.
-    pub(crate) fn believe_from(self: &Rc<Self>, service: &ServiceName, term: Term) -> Term {
+    pub(crate) fn revoke_older_terms(self: &Rc<Self>, service: &ServiceName, term: Term) -> Term {
         self.handle(Event::LeadRevoked(service.clone(), term));
         self.newest_term(service)
     }
 
     /// Tells a node that a term may begin; returns the newest term that it knows to have begun, if it answers.
-    async fn tell_revoked(&self, user: NodeId, service: &ServiceName, term: Term) -> Option<Term> {
-        let address = self.users.borrow().get(&user).map(|user| user.address)?;
-        self.traffic.opened(OpeningKind::OneShotMade);
+    async fn send_revocation(
+        &self,
+        user: NodeId,
+        service: &ServiceName,
+        term: Term,
+    ) -> Option<Term> {
+        let address = self
+            .leader_users
+            .borrow()
+            .get(&user)
+            .map(|user| user.address)?;
+        self.traffic.opened(OpeningKind::OneShot);
         let telling = async {
             let (mut reader, outgoing) = connect(address).await?;
             let message = NeighbourMessage::RevokeLead {
@@ -189,28 +206,28 @@
             outgoing.send(&frame(&message)).ok()?;
             reader.next().await
         };
-        match tokio::time::timeout(RELAY_PATIENCE, telling).await {
+        match tokio::time::timeout(RELAY_TIMEOUT, telling).await {
             Ok(Some(NeighbourMessage::LeadRevoked { newest })) => Some(Term(newest)),
             _ => None,
         }
     }
 
     /// Has a peer ask a member.
-    pub(crate) async fn ask_through_peer(
+    pub(crate) async fn request_through_peer(
         self: &Rc<Self>,
         peer: NodeId,
         target: &OpenTarget,
-        question: MemberRequest,
+        request: MemberRequest,
     ) -> Reach {
         let address = {
             let members = self.members.borrow();
             let member = members.iter().find(|member| member.node == peer);
             member.map(|member| member.address)
         };
-        let (Some(address), Some(message)) = (address, question_message(target, question)) else {
+        let (Some(address), Some(message)) = (address, request_message(target, request)) else {
             return Reach::Silent;
         };
-        self.traffic.opened(OpeningKind::OneShotMade);
+        self.traffic.opened(OpeningKind::OneShot);
         let asking = async {
             let (mut reader, outgoing) = connect(address).await?;
             let question = NeighbourMessage::AskMember(message);
@@ -220,7 +237,7 @@
                 _ => None,
             }
         };
-        tokio::time::timeout(RELAY_PATIENCE, asking)
+        tokio::time::timeout(RELAY_TIMEOUT, asking)
             .await
             .ok()
             .flatten()
@@ -228,19 +245,19 @@
     }
 
     /// Asks a member for a peer; none when the question is not understood.
-    pub(crate) async fn ask_for_peer(
+    pub(crate) async fn answer_relayed_request(
         self: &Rc<Self>,
         message: &MemberQuestionMessage,
     ) -> Option<NeighbourMessage> {
-        let (target, question) = question_of(message)?;
+        let (target, question) = request_of(message)?;
         let reach = self.ask_member(target, question).await;
         Some(NeighbourMessage::MemberReach(reach_message(reach)))
     }
 }
 
 /// A question as a message; none for one that is not passed on.
-fn question_message(target: &OpenTarget, question: MemberRequest) -> Option<MemberQuestionMessage> {
-    let (question, term) = match question {
+fn request_message(target: &OpenTarget, request: MemberRequest) -> Option<MemberQuestionMessage> {
+    let (question, term) = match request {
         MemberRequest::StepDown(term) => (MemberQuestionMessage::STEP_DOWN, term),
         MemberRequest::Hold(term) => (MemberQuestionMessage::HOLD, term),
         MemberRequest::Status | MemberRequest::Received(_) | MemberRequest::Resume => {
@@ -260,7 +277,7 @@
     })
 }
 
-fn question_of(message: &MemberQuestionMessage) -> Option<(OpenTarget, MemberRequest)> {
+fn request_of(message: &MemberQuestionMessage) -> Option<(OpenTarget, MemberRequest)> {
     let term = Term(message.term);
     let question = match message.question {
         MemberQuestionMessage::STEP_DOWN => MemberRequest::StepDown(term),
--- a/crates/stairward-runtime/src/feeds.rs
+++ b/crates/stairward-runtime/src/feeds.rs
@@ -16,8 +16,8 @@
 use tokio::sync::{Notify, watch};
 
 use crate::compression::{compress, decompress};
-use crate::neighbour_link::frame;
 use crate::node::Node;
+use crate::peer_link::frame;
 use crate::prometheus;
 use crate::socket::Outgoing;
 use crate::traffic::TrafficKind;
@@ -28,9 +28,9 @@
 pub const PUBLISH_INTERVAL: Duration = Duration::from_millis(100);
 /// How long a node that starts waits for the store's stale listing before it asks others for all objects. Two pages
 /// over 20 ms between regions and an eighth of a core take up to 300 ms (`fleetbench run`, 300 nodes, 900 objects).
-const LISTING_PATIENCE: Duration = Duration::from_millis(600);
+const LISTING_TIMEOUT: Duration = Duration::from_millis(600);
 /// How often deadlines are looked at when none is known.
-const IDLE_PAUSE: Duration = Duration::from_secs(1);
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// When a node reads the store for a feed, and when it believes it.
 #[derive(Debug, Clone, Copy)]
@@ -66,57 +66,58 @@
     feed: RefCell<Feed>,
     objects: Rc<dyn FeedObjects>,
     /// What has changed after a revision, compressed, until the objects change.
-    packed_since: RefCell<Option<(StoreRevision, Vec<u8>)>>,
+    changes_cache: RefCell<Option<(StoreRevision, Vec<u8>)>>,
     /// All objects, compressed, until they change: hundreds of nodes that start ask for them within a second, and
     /// making them anew each time took a watcher on 0.12 of a core 80 ms a follower (300 nodes, 900 objects).
-    packed: RefCell<Option<Vec<u8>>>,
+    snapshot_cache: RefCell<Option<Vec<u8>>>,
     reading: watch::Sender<bool>,
     /// When the objects were last shown, or will be.
-    shown_at: Cell<Option<Time>>,
+    published_at: Cell<Option<Time>>,
     /// After which moment what has not been shown yet came about; the outer none where all has been shown.
-    unshown_since: Cell<Option<Option<Time>>>,
+    unpublished_since: Cell<Option<Option<Time>>>,
 }
 
 impl OpenFeed {
     /// Replaces all objects, or changes some. The change came about after `since`.
-    fn take(&self, at: Option<StoreRevision>, content: &FeedContent, since: Option<Time>) -> bool {
-        self.note_unshown(since);
-        *self.packed.borrow_mut() = None;
-        *self.packed_since.borrow_mut() = None;
+    fn apply(&self, at: Option<StoreRevision>, content: &FeedContent, since: Option<Time>) -> bool {
+        self.mark_unpublished(since);
+        *self.snapshot_cache.borrow_mut() = None;
+        *self.changes_cache.borrow_mut() = None;
         self.objects.apply(at, content)
     }
 
     /// Something has changed after a moment, or at any time, and has not been shown yet.
-    fn note_unshown(&self, since: Option<Time>) {
+    fn mark_unpublished(&self, since: Option<Time>) {
         // Not known is before all that is.
         let earliest = self
-            .unshown_since
+            .unpublished_since
             .get()
-            .map_or(since, |unshown| unshown.min(since));
-        self.unshown_since.set(Some(earliest));
+            .map_or(since, |unpublished| unpublished.min(since));
+        self.unpublished_since.set(Some(earliest));
     }
 
-    fn show(&self) {
-        self.objects.publish(self.unshown_since.take().flatten());
+    fn publish(&self) {
+        self.objects
+            .publish(self.unpublished_since.take().flatten());
     }
 
     /// What has changed after a revision, compressed.
-    fn packed_since(&self, revision: StoreRevision) -> Vec<u8> {
-        let mut packed = self.packed_since.borrow_mut();
-        match packed.as_ref() {
+    fn compressed_changes(&self, revision: StoreRevision) -> Vec<u8> {
+        let mut cache = self.changes_cache.borrow_mut();
+        match cache.as_ref() {
             Some((since, bytes)) if *since == revision => bytes.clone(),
             _ => {
                 let bytes = compress(&self.objects.changes_since(revision));
-                *packed = Some((revision, bytes.clone()));
+                *cache = Some((revision, bytes.clone()));
                 bytes
             }
         }
     }
 
     /// All objects, compressed; empty while there are none.
-    fn packed(&self) -> Vec<u8> {
-        let mut packed = self.packed.borrow_mut();
-        let known = packed.get_or_insert_with(|| {
+    fn compressed_snapshot(&self) -> Vec<u8> {
+        let mut cache = self.snapshot_cache.borrow_mut();
+        let known = cache.get_or_insert_with(|| {
             let whole = self.objects.snapshot();
             if whole.is_empty() {
                 whole
@@ -130,7 +131,7 @@
 
 /// The state of a feed that followers are told.
 #[derive(Clone, Copy)]
-struct ToldState {
+struct FeedState {
     at: StoreRevision,
     age: Duration,
     current_at: Option<Time>,
@@ -160,17 +161,17 @@
     }
 
     /// All objects of a feed, compressed; none where it isn't followed here.
-    pub(crate) fn packed(&self, name: &str) -> Option<Vec<u8>> {
-        self.get(name).map(|feed| feed.packed())
+    pub(crate) fn compressed_snapshot(&self, name: &str) -> Option<Vec<u8>> {
+        self.get(name).map(|feed| feed.compressed_snapshot())
     }
 
     /// A watcher told what its clock says.
-    pub(crate) fn clock_told(&self, source: NodeId, clock: PeerClock) {
+    pub(crate) fn set_source_clock(&self, source: NodeId, clock: PeerClock) {
         self.source_clocks.borrow_mut().insert(source, clock);
     }
 
     /// A moment of this node's clock that is no later than one of a watcher's; none where its clock is not known yet.
-    fn on_own_clock(&self, source: NodeId, theirs: Time) -> Option<Time> {
+    fn to_local_time(&self, source: NodeId, theirs: Time) -> Option<Time> {
         let clocks = self.source_clocks.borrow();
         clocks.get(&source)?.no_later_than(theirs)
     }
@@ -197,21 +198,21 @@
             node: self.peer.node,
             region: self.peer.region.clone(),
             reads_after: times.reads_after,
-            listing_patience: LISTING_PATIENCE,
+            listing_patience: LISTING_TIMEOUT,
             follows_after: times.follows_after,
             settles_after: times.settles_after,
         };
         let feed = Rc::new(OpenFeed {
             feed: RefCell::new(Feed::new(parameters, self.now())),
             objects,
-            packed_since: RefCell::new(None),
-            packed: RefCell::new(None),
+            changes_cache: RefCell::new(None),
+            snapshot_cache: RefCell::new(None),
             reading,
-            shown_at: Cell::new(None),
-            unshown_since: Cell::new(None),
+            published_at: Cell::new(None),
+            unpublished_since: Cell::new(None),
         });
         self.feeds.by_name.borrow_mut().insert(name, feed);
-        self.feed_event(name, Event::Tick);
+        self.handle_feed_event(name, Event::Tick);
         is_reading
     }
 
@@ -229,7 +230,7 @@
             current_at,
             content,
         };
-        self.feed_event(name, answered);
+        self.handle_feed_event(name, answered);
     }
 
     /// The store listed a feed's objects as they were a while ago.
@@ -239,12 +240,12 @@
         at: StoreRevision,
         objects: Vec<u8>,
     ) {
-        self.feed_event(name, Event::StaleListing { at, objects });
+        self.handle_feed_event(name, Event::StaleListing { at, objects });
     }
 
     /// Takes over what a peer last read, until the store or a watcher answers.
     pub fn apply_peer_document(self: &Rc<Self>, name: &'static str, content: Vec<u8>) {
-        self.feed_event(name, Event::PeerDocument(content));
+        self.handle_feed_event(name, Event::PeerDocument(content));
     }
 
     /// Whether other nodes hear of a feed's changes from this one.
@@ -272,19 +273,19 @@
         loop {
             let now = self.now();
             let wake_at = self.feeds.next_wake(now);
-            let pause = wake_at.map_or(IDLE_PAUSE, |at| at.since(now));
+            let pause = wake_at.map_or(IDLE_CHECK_INTERVAL, |at| at.since(now));
             tokio::select! {
                 () = tokio::time::sleep(pause) => {}
                 () = self.feeds.rescheduled.notified() => continue,
             }
             for (name, _) in self.feeds.all() {
-                self.feed_event(name, Event::Tick);
+                self.handle_feed_event(name, Event::Tick);
             }
         }
     }
 
     /// Tells the feeds of the membership view.
-    pub(crate) fn tell_feeds_of_members(self: &Rc<Self>) {
+    pub(crate) fn update_feed_members(self: &Rc<Self>) {
         let places: Vec<_> = {
             let members = self.members.borrow();
             let places = members.iter().map(|member| PeerPlace {
@@ -295,7 +296,7 @@
             places.collect()
         };
         for (name, _) in self.feeds.all() {
-            self.feed_event(name, Event::Members(places.clone()));
+            self.handle_feed_event(name, Event::Members(places.clone()));
         }
     }
 
@@ -303,7 +304,7 @@
     pub(crate) fn source_lost(self: &Rc<Self>, source: NodeId) {
         self.feeds.source_clocks.borrow_mut().remove(&source);
         for (name, _) in self.feeds.all() {
-            self.feed_event(name, Event::SourceLost(source));
+            self.handle_feed_event(name, Event::SourceLost(source));
         }
         self.feeds.rescheduled.notify_one();
     }
@@ -321,12 +322,12 @@
         links.insert(follower, Rc::clone(outgoing));
         drop(links);
         let known = (known > 0).then_some(StoreRevision::from_number(known));
-        self.feed_event(name.as_str(), Event::FollowerAsked { follower, known });
+        self.handle_feed_event(name.as_str(), Event::FollowerAsked { follower, known });
     }
 
     /// Another node no longer follows a feed.
     pub(crate) fn follower_left(self: &Rc<Self>, link: u64, name: &Text) {
-        self.feed_event(name.as_str(), Event::FollowerLeft(FollowerId(link)));
+        self.handle_feed_event(name.as_str(), Event::FollowerLeft(FollowerId(link)));
     }
 
     /// Another node has taken over what it lacked of a feed.
@@ -335,12 +336,12 @@
             follower: FollowerId(link),
             held: StoreRevision::from_number(held),
         };
-        self.feed_event(name.as_str(), took);
+        self.handle_feed_event(name.as_str(), took);
     }
 
     /// Tells the watchers of a feed which revision is held here now: who sent something long can go on with the next
     /// node, and the other need not send the same.
-    fn tell_sources_what_is_held(self: &Rc<Self>, name: &Text) {
+    fn report_held_revision(self: &Rc<Self>, name: &Text) {
         let Some(open) = self.feeds.get(name.as_str()) else {
             return;
         };
@@ -353,7 +354,7 @@
             held: held.map_or(0, StoreRevision::number),
         };
         for source in sources {
-            self.tell_neighbour(source, &message);
+            self.send_to_peer(source, &message);
         }
     }
 
@@ -363,28 +364,28 @@
         let removed = self.feeds.follower_links.borrow_mut().remove(&follower);
         if removed.is_some() {
             for (name, _) in self.feeds.all() {
-                self.feed_event(name, Event::FollowerLeft(follower));
+                self.handle_feed_event(name, Event::FollowerLeft(follower));
             }
         }
     }
 
     /// A watcher told of its state.
-    pub(crate) fn source_answered(self: &Rc<Self>, source: NodeId, message: FeedStateMessage) {
-        let Some(content) = content_of(&message) else {
+    pub(crate) fn handle_source_answer(self: &Rc<Self>, source: NodeId, message: FeedStateMessage) {
+        let Some(content) = decode_content(&message) else {
             tracing::warn!(
                 event = LogEvent::ConfigurationRefused.number(),
                 source = source.0
             );
             return;
         };
-        let came_in_turn = match &content {
+        let is_large = match &content {
             FeedContent::Whole(_) | FeedContent::Since { .. } => true,
             FeedContent::Changes(bytes) => bytes.len() > MOST_AT_ONCE,
             FeedContent::Unchanged => false,
         };
         let current_at = Some(message.current_at_microseconds)
             .filter(|told| *told > 0)
-            .and_then(|told| self.feeds.on_own_clock(source, Time(told)));
+            .and_then(|told| self.feeds.to_local_time(source, Time(told)));
         let answered = Event::SourceAnswered {
             source,
             at: StoreRevision::from_number(message.at),
@@ -392,10 +393,10 @@
             current_at,
             content,
         };
-        self.feed_event(message.name.as_str(), answered);
-        self.keep_clock_known(source);
-        if came_in_turn {
-            self.tell_sources_what_is_held(&message.name);
+        self.handle_feed_event(message.name.as_str(), answered);
+        self.refresh_clock(source);
+        if is_large {
+            self.report_held_revision(&message.name);
         }
     }
 
@@ -403,11 +404,11 @@
         let question = NeighbourMessage::AskClock {
             asked_at_microseconds: self.now().0,
         };
-        self.tell_neighbour(source, &question);
+        self.send_to_peer(source, &question);
     }
 
     /// Asks a watcher for its clock again where that is due.
-    fn keep_clock_known(self: &Rc<Self>, source: NodeId) {
+    fn refresh_clock(self: &Rc<Self>, source: NodeId) {
         let now = self.now();
         let clock = self.feeds.source_clocks.borrow().get(&source).copied();
         if clock.is_some_and(|clock| clock.is_old(now)) {
@@ -415,7 +416,7 @@
         }
     }
 
-    fn feed_event(self: &Rc<Self>, name: &str, event: Event) {
+    fn handle_feed_event(self: &Rc<Self>, name: &str, event: Event) {
         let Some(open) = self.feeds.get(name) else {
             return;
         };
@@ -427,33 +428,33 @@
             prometheus::set_feed_revision(name, held);
         }
         for effect in effects {
-            self.carry_out_feed(name, &open, effect);
+            self.apply_feed_effect(name, &open, effect);
         }
     }
 
     /// Shows a feed's objects at once, or with what else comes until the pause is over.
-    fn show(&self, open: &Rc<OpenFeed>) {
+    fn publish_feed(&self, open: &Rc<OpenFeed>) {
         let now = self.now();
-        match open.shown_at.get() {
+        match open.published_at.get() {
             // It waits already.
             Some(at) if at > now => {}
             Some(at) if now.since(at) < PUBLISH_INTERVAL => {
                 let due = at + PUBLISH_INTERVAL;
-                open.shown_at.set(Some(due));
+                open.published_at.set(Some(due));
                 let open = Rc::clone(open);
                 tokio::task::spawn_local(async move {
                     tokio::time::sleep(due.since(now)).await;
-                    open.show();
+                    open.publish();
                 });
             }
             _ => {
-                open.shown_at.set(Some(now));
-                open.show();
+                open.published_at.set(Some(now));
+                open.publish();
             }
         }
     }
 
-    fn carry_out_feed(self: &Rc<Self>, name: &str, open: &Rc<OpenFeed>, effect: Effect) {
+    fn apply_feed_effect(self: &Rc<Self>, name: &str, open: &Rc<OpenFeed>, effect: Effect) {
         match effect {
             Effect::Read(is_reading) => {
                 let event = if is_reading {
@@ -471,28 +472,28 @@
                     name: Text::new(name),
                     known: known.map_or(0, StoreRevision::number),
                 };
-                self.tell_neighbour(source, &message);
+                self.send_to_peer(source, &message);
             }
             Effect::Unfollow(source) => {
                 if self.links.borrow().contains_key(&source) {
                     let name = Text::new(name);
-                    self.tell_neighbour(source, &NeighbourMessage::UnfollowFeed { name });
+                    self.send_to_peer(source, &NeighbourMessage::UnfollowFeed { name });
                 }
             }
             Effect::Take { at, content, since } => {
-                let is_consistent = open.take(at, &content, since);
-                self.show(open);
+                let is_consistent = open.apply(at, &content, since);
+                self.publish_feed(open);
                 if !is_consistent {
                     let event = LogEvent::FeedInconsistent;
                     tracing::warn!(event = event.number(), name = event.name(), feed = name);
-                    self.feed_event(name, Event::ContentRefused);
+                    self.handle_feed_event(name, Event::ContentRefused);
                 }
             }
             Effect::Settled => {
                 open.objects.end_restore_grace();
                 // What is shown from now on was known to the store when it came back, or has gone since.
-                open.note_unshown(None);
-                self.show(open);
+                open.mark_unpublished(None);
+                self.publish_feed(open);
             }
             Effect::LeftOut { at, held } => {
                 let event = LogEvent::StoreContentLeftOut;
@@ -511,22 +512,22 @@
                 current_at,
                 content,
             } => {
-                let state = ToldState {
+                let state = FeedState {
                     at,
                     age,
                     current_at,
                 };
-                self.tell_followers(name, open, &followers, state, &content);
+                self.send_to_followers(name, open, &followers, state, &content);
             }
         }
     }
 
-    fn tell_followers(
+    fn send_to_followers(
         self: &Rc<Self>,
         name: &str,
         open: &OpenFeed,
         followers: &[FollowerId],
-        state: ToldState,
+        state: FeedState,
         content: &FeedContent,
     ) {
         let mut message = FeedStateMessage {
@@ -547,13 +548,13 @@
             }
             FeedContent::Whole(_) => {
                 message.kind = FeedStateMessage::WHOLE;
-                message.content = open.packed().into();
+                message.content = open.compressed_snapshot().into();
             }
             FeedContent::Since { since, .. } => {
                 message.kind = FeedStateMessage::SINCE;
                 message.since = since.number();
                 message.digest = open.objects.digest();
-                message.content = open.packed_since(*since).into();
+                message.content = open.compressed_changes(*since).into();
             }
         }
         let bytes = frame(&NeighbourMessage::FeedState(message));
@@ -566,7 +567,7 @@
     }
 }
 
-fn content_of(message: &FeedStateMessage) -> Option<FeedContent> {
+fn decode_content(message: &FeedStateMessage) -> Option<FeedContent> {
     let unpacked = || decompress(&message.content.bytes);
     Some(match message.kind {
         FeedStateMessage::UNCHANGED => FeedContent::Unchanged,
--- a/crates/stairward-runtime/src/health.rs
+++ b/crates/stairward-runtime/src/health.rs
@@ -1,4 +1,4 @@
-//! The readiness answer, for whoever sends callers to the node, and the node's figures.
+//! The readiness answer, for whoever sends callers to the node, and the node's metrics.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -29,22 +29,22 @@
     }
 }
 
-/// The path of the figures; every other one is a question for readiness.
-const FIGURES_PATH: &str = "/metrics";
+/// The path of the metrics; every other one is a question for readiness.
+const METRICS_PATH: &str = "/metrics";
 
-/// Answers over HTTP: the figures on their path; on any other 200 when the node is ready, 503 when not.
+/// Answers over HTTP: the metrics on their path; on any other 200 when the node is ready, 503 when not.
 pub struct HealthService;
 
 #[derive(Clone)]
 struct HealthHandler {
     readiness: Arc<Readiness>,
-    figures: Option<PrometheusHandle>,
+    metrics: Option<PrometheusHandle>,
 }
 
 impl HealthHandler {
     fn answer(&self, path: &str) -> (StatusCode, String) {
-        match &self.figures {
-            Some(figures) if path == FIGURES_PATH => (StatusCode::OK, figures.render()),
+        match &self.metrics {
+            Some(metrics) if path == METRICS_PATH => (StatusCode::OK, metrics.render()),
             _ if self.readiness.get() => (StatusCode::OK, String::new()),
             _ => (StatusCode::SERVICE_UNAVAILABLE, String::new()),
         }
@@ -72,9 +72,9 @@
     pub async fn serve(
         listener: TcpListener,
         readiness: Arc<Readiness>,
-        figures: Option<PrometheusHandle>,
+        metrics: Option<PrometheusHandle>,
     ) {
-        let handler = HealthHandler { readiness, figures };
+        let handler = HealthHandler { readiness, metrics };
         gotham::bind_server(listener, handler, |socket| {
             Box::pin(async move { Ok::<_, ()>(socket) })
         })
--- a/crates/stairward-runtime/src/holders.rs
+++ b/crates/stairward-runtime/src/holders.rs
@@ -65,7 +65,7 @@
         let gone = gone.map(|service| (service.clone(), ServiceHolders::default()));
         let mut changes: Changes = gone.collect();
         self.counts = counts;
-        changes.extend(self.work_out(own, members, changed));
+        changes.extend(self.compute(own, members, changed));
         changes
     }
 
@@ -83,7 +83,7 @@
                 changed.insert(service);
             }
         }
-        self.work_out(own, members, changed)
+        self.compute(own, members, changed)
     }
 
     /// Takes the membership view in. Returns what has changed.
@@ -91,13 +91,16 @@
         let mut changed = self.ranking.set_members(members.iter().map(candidate));
         let before = std::mem::replace(&mut self.members, members.len());
         // Where there are no more nodes than may hold connections, all do.
-        let has_turned = |count: usize| (before > count) != (members.len() > count);
-        let turned = self.counts.iter().filter(|(_, count)| has_turned(**count));
+        let crosses_threshold = |count: usize| (before > count) != (members.len() > count);
+        let turned = self
+            .counts
+            .iter()
+            .filter(|(_, count)| crosses_threshold(**count));
         changed.extend(turned.map(|(service, _)| service.clone()));
-        self.work_out(own, members, changed)
+        self.compute(own, members, changed)
     }
 
-    fn work_out(
+    fn compute(
         &self,
         own: &LocalNode,
         members: &[Profile],
@@ -108,14 +111,14 @@
         }
         let by_node: BTreeMap<NodeId, &Profile> =
             members.iter().map(|member| (member.node, member)).collect();
-        let worked_out = services.into_iter().map(|service| {
-            let holders = self.work_out_one(own, &by_node, &service);
+        let computed = services.into_iter().map(|service| {
+            let holders = self.compute_service(own, &by_node, &service);
             (service, holders)
         });
-        worked_out.collect()
+        computed.collect()
     }
 
-    fn work_out_one(
+    fn compute_service(
         &self,
         own: &LocalNode,
         members: &BTreeMap<NodeId, &Profile>,
--- a/crates/stairward-runtime/src/limit_messages.rs
+++ b/crates/stairward-runtime/src/limit_messages.rs
@@ -8,7 +8,7 @@
 use stairward_types::{NodeId, TenantName, Time};
 
 /// Tenants in one message at most; what is left out is asked for with the next.
-const MOST_TENANTS: usize = 1_000;
+const MAXIMUM_TENANTS: usize = 1_000;
 
 fn milliseconds(duration: Duration) -> u32 {
     u32::try_from(duration.as_millis()).unwrap_or(u32::MAX)
@@ -18,7 +18,7 @@
     u32::try_from(duration.as_micros()).unwrap_or(u32::MAX)
 }
 
-/// The number of entries in a message, which [`MOST_TENANTS`] keeps in range.
+/// The number of entries in a message, which [`MAXIMUM_TENANTS`] keeps in range.
 fn count(entries: usize) -> u16 {
     u16::try_from(entries).unwrap_or(u16::MAX)
 }
@@ -28,7 +28,7 @@
     let wants: Vec<LimitWant> = ask
         .wants
         .into_iter()
-        .take(MOST_TENANTS)
+        .take(MAXIMUM_TENANTS)
         .map(|want| LimitWant {
             tenant: Text::new(want.tenant.as_str()),
             waiting: want.waiting,
--- a/crates/stairward-runtime/src/log.rs
+++ b/crates/stairward-runtime/src/log.rs
@@ -16,9 +16,9 @@
 use crate::traffic::Traffic;
 
 /// Lines of one kind a second; the rest are counted and the count is told with the next line.
-const LINES_A_SECOND: u32 = 100;
+const LINES_PER_SECOND: u32 = 100;
 /// Lines a second about nodes that join: a whole fleet does within a moment, and each node would tell of each other.
-const JOINS_A_SECOND: u32 = 10;
+const JOIN_LINES_PER_SECOND: u32 = 10;
 
 #[derive(Debug, Default)]
 struct Window {
@@ -64,8 +64,8 @@
             window.lines = 0;
         }
         let limit = match event {
-            LogEvent::MemberJoined => JOINS_A_SECOND,
-            _ => LINES_A_SECOND,
+            LogEvent::MemberJoined => JOIN_LINES_PER_SECOND,
+            _ => LINES_PER_SECOND,
         };
         if window.lines >= limit {
             window.left_out += 1;
@@ -227,7 +227,7 @@
     }
 
     /// A step of the failover duty.
-    pub fn duty(&self, now: Time, service: &ServiceName, action: &Action) {
+    pub fn failover_action(&self, now: Time, service: &ServiceName, action: &Action) {
         let event = match action {
             Action::Began { .. } => LogEvent::FailoverBegan,
             Action::GaveUp { .. } => LogEvent::FailoverGivenUp,
--- a/crates/stairward-runtime/src/members.rs
+++ b/crates/stairward-runtime/src/member_requests.rs
@@ -16,15 +16,15 @@
 use crate::wire::{MemberRequest, Wire};
 
 /// How long a member may take to answer.
-const QUESTION_PATIENCE: Duration = Duration::from_millis(800);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(800);
 /// Pause before a member that was busy, or has not received enough, is asked again.
-const AGAIN_PAUSE: Duration = Duration::from_millis(15);
+const RETRY_DELAY: Duration = Duration::from_millis(15);
 /// How long a connection is kept after a question.
-const KEPT_FOR: Duration = Duration::from_millis(1_500);
+const CONNECTION_RETENTION: Duration = Duration::from_millis(1_500);
 
 /// Connections to members that were asked a moment ago.
 #[derive(Default)]
-pub(crate) struct KeptConnections {
+pub(crate) struct MemberConnections {
     by_member: BTreeMap<BackendId, Opened>,
 }
 
@@ -33,24 +33,28 @@
     pub(crate) async fn ask_member(
         self: &Rc<Self>,
         target: OpenTarget,
-        question: MemberRequest,
+        request: MemberRequest,
     ) -> Reach {
-        let asking = self.ask_until_answered(&target, question);
-        tokio::time::timeout(QUESTION_PATIENCE, asking)
+        let asking = self.request_with_retries(&target, request);
+        tokio::time::timeout(REQUEST_TIMEOUT, asking)
             .await
             .unwrap_or(Reach::Silent)
     }
 
-    async fn ask_until_answered(
+    async fn request_with_retries(
         self: &Rc<Self>,
         target: &OpenTarget,
-        question: MemberRequest,
+        request: MemberRequest,
     ) -> Reach {
-        let kept = self.kept.borrow_mut().by_member.remove(&target.backend);
+        let kept = self
+            .member_connections
+            .borrow_mut()
+            .by_member
+            .remove(&target.backend);
         if let Some(mut opened) = kept
-            && let Some(reach) = ask_in_turn::<W>(&mut opened, question).await
+            && let Some(reach) = request_on_connection::<W>(&mut opened, request).await
         {
-            self.keep(target, opened);
+            self.cache_connection(target, opened);
             return reach;
         }
         // None was kept, or it has ended since.
@@ -58,25 +62,25 @@
             match open_connection::<W>(target).await {
                 Ok(opened) => break opened,
                 // Callers' connections come and go.
-                Err(OpenFailure::ConnectionLimit) => Self::pause(AGAIN_PAUSE).await,
+                Err(OpenFailure::ConnectionLimit) => Self::pause(RETRY_DELAY).await,
                 Err(OpenFailure::Refused) => return Reach::Refused,
                 Err(_) => return Reach::Silent,
             }
         };
-        match ask_in_turn::<W>(&mut opened, question).await {
+        match request_on_connection::<W>(&mut opened, request).await {
             Some(reach) => {
-                self.keep(target, opened);
+                self.cache_connection(target, opened);
                 reach
             }
             None => Reach::Silent,
         }
     }
 
-    fn keep(self: &Rc<Self>, target: &OpenTarget, opened: Opened) {
+    fn cache_connection(self: &Rc<Self>, target: &OpenTarget, opened: Opened) {
         let member = target.backend.clone();
         let outgoing = Rc::clone(&opened.outgoing);
         let earlier = self
-            .kept
+            .member_connections
             .borrow_mut()
             .by_member
             .insert(member.clone(), opened);
@@ -85,8 +89,8 @@
         }
         let node = Rc::clone(self);
         tokio::task::spawn_local(async move {
-            Self::pause(KEPT_FOR).await;
-            let mut kept = node.kept.borrow_mut();
+            Self::pause(CONNECTION_RETENTION).await;
+            let mut kept = node.member_connections.borrow_mut();
             let is_same = kept
                 .by_member
                 .get(&member)
@@ -100,11 +104,17 @@
 
 /// Asks on a connection. A member that is to step down is first asked whether it leads: only then does its
 /// answer show that its lead has ended.
-async fn ask_in_turn<W: Wire>(opened: &mut Opened, question: MemberRequest) -> Option<Reach> {
-    let must_have_led = matches!(question, MemberRequest::StepDown(_));
+async fn request_on_connection<W: Wire>(
+    opened: &mut Opened,
+    request: MemberRequest,
+) -> Option<Reach> {
+    let must_have_led = matches!(request, MemberRequest::StepDown(_));
     let led = must_have_led
-        && ask_on::<W>(opened, MemberRequest::Status).await?.role == BackendRole::Primary;
-    let status = ask_on::<W>(opened, question).await?;
+        && request_until_sufficient::<W>(opened, MemberRequest::Status)
+            .await?
+            .role
+            == BackendRole::Primary;
+    let status = request_until_sufficient::<W>(opened, request).await?;
     Some(if led && status.role == BackendRole::Replica {
         Reach::GaveWay(status)
     } else {
@@ -113,12 +123,15 @@
 }
 
 /// Asks on a connection until there is an answer that says enough; none when the connection fails.
-async fn ask_on<W: Wire>(opened: &mut Opened, question: MemberRequest) -> Option<MemberStatus> {
+async fn request_until_sufficient<W: Wire>(
+    opened: &mut Opened,
+    request: MemberRequest,
+) -> Option<MemberStatus> {
     let mut decoder = W::ReplyDecoder::default();
     let began = tokio::time::Instant::now();
     loop {
         let mut bytes = BytesMut::new();
-        W::encode_member_request(question, &mut bytes);
+        W::encode_member_request(request, &mut bytes);
         opened.outgoing.send(&bytes).ok()?;
         let reply = loop {
             if let Some(reply) = W::decode_reply(&mut decoder, &mut opened.buffer).ok()? {
@@ -128,18 +141,18 @@
                 return None;
             }
         };
-        let is_late = began.elapsed() >= QUESTION_PATIENCE / 2;
+        let is_late = began.elapsed() >= REQUEST_TIMEOUT / 2;
         if let Some(status) = reply.member
-            && (is_enough(question, status) || is_late)
+            && (is_sufficient(request, status) || is_late)
         {
             return Some(status);
         }
-        tokio::time::sleep(AGAIN_PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
 
-fn is_enough(question: MemberRequest, status: MemberStatus) -> bool {
-    match question {
+fn is_sufficient(request: MemberRequest, status: MemberStatus) -> bool {
+    match request {
         MemberRequest::Received(all) => status.received.covers(all),
         _ => true,
     }
--- a/crates/stairward-runtime/src/membership.rs
+++ b/crates/stairward-runtime/src/membership.rs
@@ -27,7 +27,7 @@
 const VIEW_INTERVAL: Duration = Duration::from_millis(500);
 /// The first view is looked at once it has not changed for this long: a fleet that starts fills it within 0.3 s
 /// (`fleetbench run`, 295 nodes), and until then a node does not know what is for others to do.
-const FIRST_VIEW_REST: Duration = Duration::from_millis(100);
+const FIRST_VIEW_SETTLE_TIME: Duration = Duration::from_millis(100);
 /// Pause between two tellings of the number of nodes, so that a larger one is forgotten in time.
 const COUNT_INTERVAL: Duration = Duration::from_secs(5);
 
@@ -76,15 +76,15 @@
         let now = self.now();
         let mut swim = SwimMember::new(profile, &identity.seeds, config, now, &mut random);
         let mut buffer = [0; MAXIMUM_DATAGRAM_BYTES + 1];
-        let mut told_count = now;
+        let mut applied_at = now;
         let mut has_announced = false;
         let mut has_changed = false;
         let mut changed_at = now;
-        let mut has_shown = false;
+        let mut has_view = false;
         loop {
             let mut pause = swim.next_deadline().since(self.now());
-            if !has_shown {
-                pause = pause.min(FIRST_VIEW_REST);
+            if !has_view {
+                pause = pause.min(FIRST_VIEW_SETTLE_TIME);
             }
             let event = tokio::select! {
                 received = socket.recv_from(&mut buffer) => match received {
@@ -121,17 +121,17 @@
                     Effect::PeerDigest { .. } | Effect::TermArrived(_) => {}
                 }
             }
-            let since_told = now.since(told_count);
-            let has_rested = has_changed && now.since(changed_at) >= FIRST_VIEW_REST;
-            let is_due = if has_shown {
-                has_changed && since_told >= VIEW_INTERVAL
+            let since_applied = now.since(applied_at);
+            let has_settled = has_changed && now.since(changed_at) >= FIRST_VIEW_SETTLE_TIME;
+            let is_due = if has_view {
+                has_changed && since_applied >= VIEW_INTERVAL
             } else {
-                has_rested || since_told >= VIEW_INTERVAL
+                has_settled || since_applied >= VIEW_INTERVAL
             };
-            if is_due || since_told >= COUNT_INTERVAL {
-                has_shown = true;
+            if is_due || since_applied >= COUNT_INTERVAL {
+                has_view = true;
                 has_changed = false;
-                told_count = now;
+                applied_at = now;
                 self.set_members(swim.view().cloned().collect());
             }
         }
@@ -158,13 +158,13 @@
         let has_changed = *self.members.borrow() != members;
         *self.members.borrow_mut() = members;
         if has_changed {
-            self.choose_question_peers();
+            self.choose_relay_peers();
             self.update_holders();
-            self.tell_feeds_of_members();
+            self.update_feed_members();
         }
         self.handle(known);
         self.set_nodes(u32::try_from(count).unwrap_or(1));
-        self.note_users();
+        self.update_leader_users();
     }
 
     /// Takes a configuration's services in: how many nodes hold connections to each.
@@ -182,7 +182,7 @@
             let mut holders = self.holders.borrow_mut();
             holders.set_services(&self.local_node(), &members, counts)
         };
-        self.show_holders(changes);
+        self.apply_holder_changes(changes);
     }
 
     /// Takes in what has been learnt of the back ends of these services: how many nodes hold connections to each.
@@ -207,7 +207,7 @@
             let mut holders = self.holders.borrow_mut();
             holders.update_holder_counts(&self.local_node(), &members, counts)
         };
-        self.show_holders(changes);
+        self.apply_holder_changes(changes);
     }
 
     fn holder_demand(&self, service: &ServiceName, limits: &ServiceLimits) -> HolderDemand {
@@ -228,7 +228,7 @@
             (regions, holders.set_members(&self.local_node(), &members))
         };
         self.handle(stairward_engine::Event::NodeRegions(regions));
-        self.show_holders(changes);
+        self.apply_holder_changes(changes);
     }
 
     fn local_node(&self) -> LocalNode {
@@ -240,7 +240,7 @@
     }
 
     /// Shows the engine whose holders have changed.
-    fn show_holders(self: &Rc<Self>, changes: BTreeMap<ServiceName, ServiceHolders>) {
+    fn apply_holder_changes(self: &Rc<Self>, changes: BTreeMap<ServiceName, ServiceHolders>) {
         if !changes.is_empty() {
             self.handle(stairward_engine::Event::HoldersChanged(changes));
         }
--- a/crates/stairward-runtime/src/node.rs
+++ b/crates/stairward-runtime/src/node.rs
@@ -24,16 +24,16 @@
 
 use crate::backend_registry::BackendRegistry;
 use crate::coordination::{Coordination, FleetSizeWrite};
+use crate::failover_peers::LeaderUser;
 use crate::feeds::Feeds;
 use crate::health::Readiness;
 use crate::holders::HolderAssignments;
 use crate::limit_messages::ask_message;
 use crate::log::{DecisionLog, EvacuationLine, LeadLine};
-use crate::members::KeptConnections;
+use crate::member_requests::MemberConnections;
 use crate::membership::PeerIdentity;
-use crate::neighbours::{Guests, Link};
+use crate::peers::{Link, RemoteSessions};
 use crate::prometheus;
-use crate::relayed_questions::User;
 use crate::socket::Outgoing;
 use crate::traffic::Traffic;
 use crate::wire::Wire;
@@ -58,7 +58,7 @@
 /// One node. Use it within a `LocalSet`.
 pub struct Node<W: Wire> {
     pub(crate) engine: RefCell<Engine>,
-    pub(crate) duty: RefCell<FailoverDuty>,
+    pub(crate) failover: RefCell<FailoverDuty>,
     pub(crate) coordination: Rc<dyn Coordination>,
     readiness: Arc<Readiness>,
     started: Instant,
@@ -72,12 +72,12 @@
     /// Which nodes hold connections to which services.
     pub(crate) holders: RefCell<HolderAssignments>,
     pub(crate) links: RefCell<BTreeMap<NodeId, Link>>,
-    pub(crate) guests: RefCell<Guests>,
-    pub(crate) kept: RefCell<KeptConnections>,
+    pub(crate) remote_sessions: RefCell<RemoteSessions>,
+    pub(crate) member_connections: RefCell<MemberConnections>,
     /// The peers that pass questions on, and hear of silent back ends.
-    pub(crate) question_peers: RefCell<Vec<NodeId>>,
+    pub(crate) relay_peers: RefCell<Vec<NodeId>>,
     /// Other nodes that live or lived a while ago.
-    pub(crate) users: RefCell<BTreeMap<NodeId, User>>,
+    pub(crate) leader_users: RefCell<BTreeMap<NodeId, LeaderUser>>,
     /// The version of the record of the number of nodes.
     fleet_version: Cell<RecordVersion>,
     /// The zones to whose back ends nothing is to be sent.
@@ -101,7 +101,7 @@
 
 /// Bytes on their way out, by where they go, so that each connection is written to once a turn.
 #[derive(Default)]
-struct Turn {
+struct PendingWrites {
     to_sessions: BTreeMap<SessionId, BytesMut>,
     to_connections: BTreeMap<ConnectionId, BytesMut>,
 }
@@ -119,13 +119,13 @@
             },
             ..options.engine
         };
-        let failover = FailoverOptions {
+        let failover_options = FailoverOptions {
             leadership_lease: options.leadership_lease,
             ..options.failover
         };
         Rc::new(Self {
             engine: RefCell::new(Engine::new(engine)),
-            duty: RefCell::new(FailoverDuty::new(failover)),
+            failover: RefCell::new(FailoverDuty::new(failover_options)),
             coordination: options.coordination,
             readiness: options.readiness,
             started: Instant::now(),
@@ -137,10 +137,10 @@
             members: RefCell::default(),
             holders: RefCell::default(),
             links: RefCell::default(),
-            guests: RefCell::default(),
-            kept: RefCell::default(),
-            question_peers: RefCell::default(),
-            users: RefCell::default(),
+            remote_sessions: RefCell::default(),
+            member_connections: RefCell::default(),
+            relay_peers: RefCell::default(),
+            leader_users: RefCell::default(),
             fleet_version: Cell::default(),
             evacuated: RefCell::default(),
             zone_regions,
@@ -180,7 +180,7 @@
             revision = revision.0,
             "a configuration is known"
         );
-        self.tell_duty_of_groups();
+        self.update_all_failover_groups();
     }
 
     /// Takes in the zones to whose back ends nothing is to be sent, whole. What is new in them came about after
@@ -191,7 +191,7 @@
         }
         self.evacuated.borrow_mut().clone_from(&zones);
         self.handle(Event::Evacuated { zones, since });
-        self.tell_duty_of_groups();
+        self.update_all_failover_groups();
     }
 
     /// Takes in what differs in discovery's list. It came about after `since`, or at any time where that is not known.
@@ -200,7 +200,7 @@
         // Before the engine opens connections: how many nodes hold them follows from what the back ends can use.
         self.update_services(&touched);
         self.handle(Event::BackendsChanged { change, since });
-        self.tell_duty_of(&touched);
+        self.update_failover_groups(&touched);
     }
 
     /// The number of nodes on record, as the store shows it; 0 where it shows no record.
@@ -230,7 +230,7 @@
     /// How many nodes share the back ends.
     pub(crate) fn set_nodes(self: &Rc<Self>, nodes: u32) {
         self.handle(Event::Nodes(nodes));
-        self.tell_duty(stairward_failover::Event::Nodes(nodes));
+        self.handle_failover_event(stairward_failover::Event::Nodes(nodes));
     }
 
     /// Begins a planned stop.
@@ -305,7 +305,7 @@
         };
         self.readiness
             .set(is_ready && !self.discovered.borrow().is_empty());
-        self.carry_out(now, effects);
+        self.apply_effects(now, effects);
         self.reschedule(wake_at);
     }
 
@@ -339,18 +339,18 @@
         }
     }
 
-    fn carry_out(self: &Rc<Self>, now: Time, effects: Vec<Effect>) {
-        let mut turn = Turn::default();
+    fn apply_effects(self: &Rc<Self>, now: Time, effects: Vec<Effect>) {
+        let mut writes = PendingWrites::default();
         for effect in effects {
-            self.carry_out_one(now, effect, &mut turn);
+            self.apply_effect(now, effect, &mut writes);
         }
-        self.flush(turn);
+        self.flush(writes);
     }
 
-    fn carry_out_one(self: &Rc<Self>, now: Time, effect: Effect, turn: &mut Turn) {
+    fn apply_effect(self: &Rc<Self>, now: Time, effect: Effect, writes: &mut PendingWrites) {
         match effect {
             Effect::AcceptSession { session } => {
-                W::encode_accept(turn.to_sessions.entry(session).or_default());
+                W::encode_accept(writes.to_sessions.entry(session).or_default());
             }
             Effect::Forward {
                 holder,
@@ -359,7 +359,7 @@
                 forwarded,
             } => self.forward(holder, session, request, forwarded),
             Effect::AskHolder { holder } => {
-                self.tell_neighbour(holder, &NeighbourMessage::AskAlive);
+                self.send_to_peer(holder, &NeighbourMessage::AskAlive);
             }
             Effect::HolderObserved { holder, is_silent } => self.log.holder(now, holder, is_silent),
             Effect::LeadObserved {
@@ -380,12 +380,12 @@
                 };
                 self.log.lead(now, &lead);
                 let is_revoked = change == LeadChange::Revoked;
-                self.tell_duty(stairward_failover::Event::Lead(service, is_revoked));
+                self.handle_failover_event(stairward_failover::Event::Lead(service, is_revoked));
             }
             Effect::AskLead { holder, service } => self.ask_lead(holder, &service),
             Effect::AskLimit(node, ask) => {
                 let message = ask_message(self.peer.node, ask);
-                self.tell_neighbour(node, &NeighbourMessage::AskLimit(message));
+                self.send_to_peer(node, &NeighbourMessage::AskLimit(message));
             }
             Effect::RecordFleet(nodes) => self.record_fleet(nodes),
             Effect::CoordinatorChanged {
@@ -399,32 +399,35 @@
             Effect::CloseForwarded { holder, session } => self.close_forwarded(holder, session),
             Effect::RefuseSession { session, code } => {
                 self.log.session_refused(now, session, code);
-                W::encode_refusal(code, turn.to_sessions.entry(session).or_default());
-                self.flush(std::mem::take(turn));
+                W::encode_refusal(code, writes.to_sessions.entry(session).or_default());
+                self.flush(std::mem::take(writes));
                 self.close_session(session);
             }
             Effect::Respond { session, response } => {
-                if let Some(response) = self.answer_guest(session, response) {
-                    W::encode_response(&response, turn.to_sessions.entry(session).or_default());
+                if let Some(response) = self.answer_remote_session(session, response) {
+                    W::encode_response(&response, writes.to_sessions.entry(session).or_default());
                 }
             }
             Effect::CloseSession { session } => {
-                self.flush(std::mem::take(turn));
+                self.flush(std::mem::take(writes));
                 self.close_session(session);
-                self.forget_guest(session);
+                self.forget_remote_session(session);
             }
             Effect::Open { connection, target } => self.open(connection, target),
             Effect::Send {
                 connection,
                 command,
-            } => W::encode_command(&command, turn.to_connections.entry(connection).or_default()),
+            } => W::encode_command(
+                &command,
+                writes.to_connections.entry(connection).or_default(),
+            ),
             Effect::CloseConnection { connection } => {
-                turn.to_connections.remove(&connection);
+                writes.to_connections.remove(&connection);
                 if let Some(outgoing) = self.connections.borrow_mut().remove(&connection) {
                     outgoing.close();
                 }
             }
-            Effect::Observed { backend, evidence } => self.observed(now, backend, evidence),
+            Effect::Observed { backend, evidence } => self.handle_evidence(now, backend, evidence),
             Effect::EvacuationObserved { zone, is_evacuated } => {
                 self.evacuation_observed(now, &zone, is_evacuated);
             }
@@ -448,7 +451,7 @@
                     .borrow()
                     .get(&backend)
                     .map(|b| b.service.clone());
-                self.tell_duty_of(&service.into_iter().collect());
+                self.update_failover_groups(&service.into_iter().collect());
             }
             Effect::Record(record) => self.log.request(now, &record),
             Effect::Measured(measure) => prometheus::count_request(&measure),
@@ -459,32 +462,32 @@
         }
     }
 
-    fn flush(self: &Rc<Self>, turn: Turn) {
-        for (session, bytes) in turn.to_sessions {
+    fn flush(self: &Rc<Self>, writes: PendingWrites) {
+        for (session, bytes) in writes.to_sessions {
             let outgoing = self.sessions.borrow().get(&session).cloned();
             if let Some(outgoing) = outgoing
                 && outgoing.send(&bytes).is_err()
             {
-                self.lose_session(session);
+                self.defer_session_end(session);
             }
         }
-        for (connection, bytes) in turn.to_connections {
+        for (connection, bytes) in writes.to_connections {
             let outgoing = self.connections.borrow().get(&connection).cloned();
             if let Some(outgoing) = outgoing
                 && outgoing.send(&bytes).is_err()
             {
-                self.lose_connection(connection);
+                self.defer_connection_end(connection);
             }
         }
     }
 
     /// A session's socket failed while it was written to: the engine hears of it in a turn of its own.
-    fn lose_session(self: &Rc<Self>, session: SessionId) {
+    fn defer_session_end(self: &Rc<Self>, session: SessionId) {
         let node = Rc::clone(self);
         tokio::task::spawn_local(async move { node.session_ended(session) });
     }
 
-    fn lose_connection(self: &Rc<Self>, connection: ConnectionId) {
+    fn defer_connection_end(self: &Rc<Self>, connection: ConnectionId) {
         let node = Rc::clone(self);
         tokio::task::spawn_local(async move { node.connection_ended(connection) });
     }
@@ -515,7 +518,7 @@
         let line = EvacuationLine {
             zone,
             is_evacuated,
-            backends: self.discovered.borrow().count_in(zone),
+            backends: self.discovered.borrow().count_in_zone(zone),
             is_known: self.zone_regions.contains_key(zone),
         };
         self.log.evacuation(now, &line);
@@ -524,7 +527,7 @@
         }
     }
 
-    fn observed(self: &Rc<Self>, now: Time, backend: BackendId, evidence: Evidence) {
+    fn handle_evidence(self: &Rc<Self>, now: Time, backend: BackendId, evidence: Evidence) {
         let (event, evidence) = match evidence {
             Evidence::Answered => (LogEvent::BackendReachable, Some(LeaderEvidence::Answered)),
             Evidence::Refused => (LogEvent::BackendUnreachable, Some(LeaderEvidence::Refused)),
@@ -535,7 +538,7 @@
         };
         self.log.backend(now, event, backend.as_str());
         if let Some(evidence) = evidence {
-            self.tell_duty(stairward_failover::Event::Evidence(backend, evidence));
+            self.handle_failover_event(stairward_failover::Event::Evidence(backend, evidence));
         }
     }
 
--- a/crates/stairward-runtime/src/neighbour_link.rs
+++ b/crates/stairward-runtime/src/peer_link.rs
@@ -15,9 +15,9 @@
 use crate::socket::Outgoing;
 
 /// How long a link may take to be made.
-const LINK_PATIENCE: Duration = Duration::from_millis(500);
+const LINK_TIMEOUT: Duration = Duration::from_millis(500);
 /// How long a peer may take to answer with a document.
-const DOCUMENT_PATIENCE: Duration = Duration::from_millis(800);
+const DOCUMENT_TIMEOUT: Duration = Duration::from_millis(800);
 /// Room made for reading at once.
 const READ_SIZE: usize = 8 * 1024;
 
@@ -70,7 +70,7 @@
 /// Connects to a node.
 pub(crate) async fn connect(address: SocketAddr) -> Option<(MessageReader, Rc<Outgoing>)> {
     let connecting = TcpStream::connect(address);
-    let stream = tokio::time::timeout(LINK_PATIENCE, connecting)
+    let stream = tokio::time::timeout(LINK_TIMEOUT, connecting)
         .await
         .ok()?
         .ok()?;
@@ -94,7 +94,7 @@
                 _ => None,
             }
         };
-        let answer = tokio::time::timeout(DOCUMENT_PATIENCE, asking).await;
+        let answer = tokio::time::timeout(DOCUMENT_TIMEOUT, asking).await;
         if let Ok(Some(content)) = answer {
             return Some(content);
         }
--- a/crates/stairward-runtime/src/neighbours.rs
+++ b/crates/stairward-runtime/src/peers.rs
@@ -15,17 +15,17 @@
 use tokio::net::{TcpListener, TcpStream};
 
 use crate::limit_messages::{ask_of, grant_message, grant_of};
-use crate::neighbour_link::{MessageReader, connect, frame};
-use crate::neighbour_messages::{answer_message, forwarded_of, response_of, statement_message};
 use crate::node::Node;
+use crate::peer_link::{MessageReader, connect, frame};
 use crate::socket::Outgoing;
+use crate::statement_messages::{answer_message, forwarded_of, response_of, statement_message};
 use crate::traffic::{OpeningKind, TrafficKind};
 use crate::wire::Wire;
 
 /// Peers asked at once for a position.
-const PEERS_ASKED: usize = 2;
+const POSITION_PEERS: usize = 2;
 /// Pause after a link could not be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// A link to a holder.
 pub(crate) enum Link {
@@ -36,7 +36,7 @@
 }
 
 /// A session of another node whose statements run here.
-pub(crate) struct Guest {
+pub(crate) struct RemoteSession {
     outgoing: Rc<Outgoing>,
     session: u64,
     request: u64,
@@ -44,9 +44,9 @@
 
 /// Sessions of other nodes, by both numbers.
 #[derive(Default)]
-pub(crate) struct Guests {
-    by_own: BTreeMap<SessionId, Guest>,
-    by_theirs: BTreeMap<(u64, u64), SessionId>,
+pub(crate) struct RemoteSessions {
+    by_local_id: BTreeMap<SessionId, RemoteSession>,
+    by_remote_id: BTreeMap<(u64, u64), SessionId>,
     last_link: u64,
 }
 
@@ -56,21 +56,21 @@
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    tokio::task::spawn_local(Rc::clone(&self).serve_neighbour(stream));
+                    tokio::task::spawn_local(Rc::clone(&self).serve_peer(stream));
                 }
                 Err(error) => {
                     tracing::warn!(event = LogEvent::ListenerFailed.number(), %error);
-                    Self::pause(ACCEPT_PAUSE).await;
+                    Self::pause(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
     }
 
-    async fn serve_neighbour(self: Rc<Self>, stream: TcpStream) {
+    async fn serve_peer(self: Rc<Self>, stream: TcpStream) {
         let link = {
-            let mut guests = self.guests.borrow_mut();
-            guests.last_link += 1;
-            guests.last_link
+            let mut remote_sessions = self.remote_sessions.borrow_mut();
+            remote_sessions.last_link += 1;
+            remote_sessions.last_link
         };
         self.traffic.opened(OpeningKind::Accepted);
         let (reading, outgoing) = Outgoing::split(stream);
@@ -78,17 +78,17 @@
         while let Some(message) = reader.next().await {
             let kind = TrafficKind::of(&message);
             self.traffic.received(kind, reader.last_length());
-            if !self.take_message(link, &outgoing, message).await {
+            if !self.handle_peer_message(link, &outgoing, message).await {
                 break;
             }
         }
         self.traffic.accepted_ended();
-        self.close_guests_of(link);
+        self.close_remote_sessions_of(link);
         self.follower_link_lost(link);
     }
 
     /// Takes a message of another node in, and answers it where it is a question. False when the link is to end.
-    async fn take_message(
+    async fn handle_peer_message(
         self: &Rc<Self>,
         link: u64,
         outgoing: &Rc<Outgoing>,
@@ -97,10 +97,10 @@
         let answer = match message {
             NeighbourMessage::AskDocument { name } => Some(self.document_answer(name)),
             NeighbourMessage::Forward(message) => {
-                return self.take_forwarded(link, outgoing, &message);
+                return self.handle_forwarded(link, outgoing, &message);
             }
             NeighbourMessage::CloseSession { session } => {
-                self.close_guest(link, session);
+                self.close_remote_session(link, session);
                 None
             }
             NeighbourMessage::AskPosition {
@@ -138,7 +138,7 @@
                 let Ok(service) = ServiceName::new(service.as_str()) else {
                     return false;
                 };
-                let newest = self.believe_from(&service, Term(term));
+                let newest = self.revoke_older_terms(&service, Term(term));
                 Some(NeighbourMessage::LeadRevoked { newest: newest.0 })
             }
             NeighbourMessage::Silent { node, backends, .. } => {
@@ -147,13 +147,13 @@
                     .filter_map(|id| BackendId::new(id.as_str()).ok());
                 let silent = ids.collect();
                 let suspicion = stairward_failover::Event::Suspicion(NodeId(node), silent);
-                self.tell_duty(suspicion);
+                self.handle_failover_event(suspicion);
                 None
             }
             NeighbourMessage::ConfirmSilent { node, backend } => {
                 if let Ok(backend) = BackendId::new(backend.as_str()) {
                     let verified = stairward_failover::Event::Verified(NodeId(node), backend);
-                    self.tell_duty(verified);
+                    self.handle_failover_event(verified);
                 }
                 None
             }
@@ -163,10 +163,12 @@
                 }
                 None
             }
-            NeighbourMessage::AskMember(question) => match self.ask_for_peer(&question).await {
-                Some(answer) => Some(answer),
-                None => return false,
-            },
+            NeighbourMessage::AskMember(question) => {
+                match self.answer_relayed_request(&question).await {
+                    Some(answer) => Some(answer),
+                    None => return false,
+                }
+            }
             NeighbourMessage::Document { .. }
             | NeighbourMessage::Lead { .. }
             | NeighbourMessage::LeadRevoked { .. }
@@ -189,7 +191,10 @@
     }
 
     fn document_answer(&self, name: Text) -> NeighbourMessage {
-        let content = self.feeds.packed(name.as_str()).unwrap_or_default();
+        let content = self
+            .feeds
+            .compressed_snapshot(name.as_str())
+            .unwrap_or_default();
         NeighbourMessage::Document {
             name,
             content: content.into(),
@@ -197,7 +202,7 @@
     }
 
     /// Runs a statement for a session of another node. False when it is not understood.
-    fn take_forwarded(
+    fn handle_forwarded(
         self: &Rc<Self>,
         link: u64,
         outgoing: &Rc<Outgoing>,
@@ -206,7 +211,7 @@
         let Some(forwarded) = forwarded_of(message) else {
             return false;
         };
-        let session = self.guest(link, outgoing, message.session, message.request);
+        let session = self.remote_session(link, outgoing, message.session, message.request);
         self.handle(Event::Forwarded {
             session,
             forwarded: Box::new(forwarded),
@@ -215,26 +220,32 @@
     }
 
     /// The own number of another node's session, with its request under way.
-    fn guest(&self, link: u64, outgoing: &Rc<Outgoing>, theirs: u64, request: u64) -> SessionId {
-        let mut guests = self.guests.borrow_mut();
-        let known = guests.by_theirs.get(&(link, theirs)).copied();
+    fn remote_session(
+        &self,
+        link: u64,
+        outgoing: &Rc<Outgoing>,
+        theirs: u64,
+        request: u64,
+    ) -> SessionId {
+        let mut remote_sessions = self.remote_sessions.borrow_mut();
+        let known = remote_sessions.by_remote_id.get(&(link, theirs)).copied();
         let own = known.unwrap_or_else(|| self.next_session());
-        guests.by_theirs.insert((link, theirs), own);
-        let guest = Guest {
+        remote_sessions.by_remote_id.insert((link, theirs), own);
+        let guest = RemoteSession {
             outgoing: Rc::clone(outgoing),
             session: theirs,
             request,
         };
-        guests.by_own.insert(own, guest);
+        remote_sessions.by_local_id.insert(own, guest);
         own
     }
 
-    fn close_guest(self: &Rc<Self>, link: u64, theirs: u64) {
+    fn close_remote_session(self: &Rc<Self>, link: u64, theirs: u64) {
         let own = {
-            let mut guests = self.guests.borrow_mut();
-            let own = guests.by_theirs.remove(&(link, theirs));
+            let mut remote_sessions = self.remote_sessions.borrow_mut();
+            let own = remote_sessions.by_remote_id.remove(&(link, theirs));
             if let Some(own) = &own {
-                guests.by_own.remove(own);
+                remote_sessions.by_local_id.remove(own);
             }
             own
         };
@@ -243,21 +254,27 @@
         }
     }
 
-    fn close_guests_of(self: &Rc<Self>, link: u64) {
+    fn close_remote_sessions_of(self: &Rc<Self>, link: u64) {
         let theirs: Vec<u64> = {
-            let guests = self.guests.borrow();
-            let of_link = guests.by_theirs.range((link, 0)..=(link, u64::MAX));
+            let remote_sessions = self.remote_sessions.borrow();
+            let of_link = remote_sessions
+                .by_remote_id
+                .range((link, 0)..=(link, u64::MAX));
             of_link.map(|((_, theirs), _)| *theirs).collect()
         };
         for session in theirs {
-            self.close_guest(link, session);
+            self.close_remote_session(link, session);
         }
     }
 
     /// Sends an answer to the node whose session it is for; gives it back when the session is this node's.
-    pub(crate) fn answer_guest(&self, session: SessionId, response: Response) -> Option<Response> {
-        let guests = self.guests.borrow();
-        let Some(guest) = guests.by_own.get(&session) else {
+    pub(crate) fn answer_remote_session(
+        &self,
+        session: SessionId,
+        response: Response,
+    ) -> Option<Response> {
+        let remote_sessions = self.remote_sessions.borrow();
+        let Some(guest) = remote_sessions.by_local_id.get(&session) else {
             return Some(response);
         };
         let answer = answer_message(guest.session, guest.request, response);
@@ -267,10 +284,12 @@
     }
 
     /// The engine has ended another node's session, which was at rest.
-    pub(crate) fn forget_guest(&self, session: SessionId) {
-        let mut guests = self.guests.borrow_mut();
-        if guests.by_own.remove(&session).is_some() {
-            guests.by_theirs.retain(|_, own| *own != session);
+    pub(crate) fn forget_remote_session(&self, session: SessionId) {
+        let mut remote_sessions = self.remote_sessions.borrow_mut();
+        if remote_sessions.by_local_id.remove(&session).is_some() {
+            remote_sessions
+                .by_remote_id
+                .retain(|_, own| *own != session);
         }
     }
 
@@ -283,7 +302,7 @@
         forwarded: Forwarded,
     ) {
         if let Some(message) = statement_message(session.0, request, forwarded) {
-            self.tell_neighbour(holder, &NeighbourMessage::Forward(message));
+            self.send_to_peer(holder, &NeighbourMessage::Forward(message));
         }
     }
 
@@ -291,11 +310,11 @@
     pub(crate) fn close_forwarded(self: &Rc<Self>, holder: NodeId, session: SessionId) {
         if self.links.borrow().contains_key(&holder) {
             let message = NeighbourMessage::CloseSession { session: session.0 };
-            self.tell_neighbour(holder, &message);
+            self.send_to_peer(holder, &message);
         }
     }
 
-    pub(crate) fn tell_neighbour(self: &Rc<Self>, holder: NodeId, message: &NeighbourMessage) {
+    pub(crate) fn send_to_peer(self: &Rc<Self>, holder: NodeId, message: &NeighbourMessage) {
         let bytes = frame(message);
         self.traffic.sent(TrafficKind::of(message), bytes.len());
         let node = Rc::clone(self);
@@ -321,7 +340,7 @@
             .iter()
             .find(|member| member.node == holder)
             .map(|member| member.address);
-        self.traffic.opened(OpeningKind::LinkMade);
+        self.traffic.opened(OpeningKind::PeerLink);
         let connected = match address {
             Some(address) => connect(address).await,
             None => None,
@@ -387,9 +406,10 @@
                     told_at_microseconds,
                 } => {
                     let (asked, told) = (Time(asked_at_microseconds), Time(told_at_microseconds));
-                    self.feeds.clock_told(holder, PeerClock::new(asked, told));
+                    self.feeds
+                        .set_source_clock(holder, PeerClock::new(asked, told));
                 }
-                NeighbourMessage::FeedState(message) => self.source_answered(holder, message),
+                NeighbourMessage::FeedState(message) => self.handle_source_answer(holder, message),
                 _ => break,
             }
         }
@@ -407,8 +427,8 @@
             service: Text::new(service.as_str()),
             asked_at_microseconds: self.now().0,
         };
-        for peer in others.sample(&mut rand::rng(), PEERS_ASKED) {
-            self.tell_neighbour(*peer, &message);
+        for peer in others.sample(&mut rand::rng(), POSITION_PEERS) {
+            self.send_to_peer(*peer, &message);
         }
     }
 
@@ -431,7 +451,7 @@
             service: Text::new(service.as_str()),
             asked_at_microseconds: self.now().0,
         };
-        self.tell_neighbour(holder, &message);
+        self.send_to_peer(holder, &message);
     }
 
     /// Answers a question about tenants' limits, as coordinator; none when it is not understood.
--- a/crates/stairward-runtime/src/prometheus.rs
+++ b/crates/stairward-runtime/src/prometheus.rs
@@ -28,7 +28,7 @@
 /// Statements sent to back ends that were leaving, counted when their time was over.
 const SENT_TO_LEAVING: &str = "stairward_statements_to_leaving_total";
 /// Starts of back ends under an id that they had before, by service.
-const STARTS: &str = "stairward_backend_starts_total";
+const BACKEND_STARTS: &str = "stairward_backend_starts_total";
 /// Entries of back ends that were left out, by reason.
 const ENTRIES_REFUSED: &str = "stairward_entries_refused_total";
 /// The copy of the store that answers: it rises each time that the store comes back from an older copy.
@@ -90,7 +90,7 @@
 
 /// Counts a start of a back end under the id that it had.
 pub(crate) fn count_backend_start(service: &ServiceName) {
-    metrics::counter!(STARTS, "service" => service.to_string()).increment(1);
+    metrics::counter!(BACKEND_STARTS, "service" => service.to_string()).increment(1);
 }
 
 /// Counts an entry of discovery that can't be used.
--- a/crates/stairward-runtime/src/socket.rs
+++ b/crates/stairward-runtime/src/socket.rs
@@ -23,7 +23,7 @@
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 const KEEPALIVE_PROBES: u32 = 3;
 /// How long a closing connection is given to take its last bytes.
-const FLUSH_PATIENCE: Duration = Duration::from_secs(2);
+const FLUSH_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The writing side of a connection.
 #[derive(Debug)]
@@ -126,7 +126,7 @@
         }
         let outgoing = Rc::clone(self);
         tokio::task::spawn_local(async move {
-            let _ = tokio::time::timeout(FLUSH_PATIENCE, outgoing.flush()).await;
+            let _ = tokio::time::timeout(FLUSH_TIMEOUT, outgoing.flush()).await;
         });
     }
 }
--- a/crates/stairward-runtime/src/traffic.rs
+++ b/crates/stairward-runtime/src/traffic.rs
@@ -7,7 +7,7 @@
 use stairward_types::{Duration, Time};
 
 /// Pause between two log lines of a node's traffic: six lines a minute, whatever the load.
-const LINE_INTERVAL: Duration = Duration::from_secs(10);
+const LOG_INTERVAL: Duration = Duration::from_secs(10);
 
 /// What a message between nodes is for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -100,9 +100,9 @@
     /// To a back end.
     Backend,
     /// To another node, to stay.
-    LinkMade,
+    PeerLink,
     /// To another node, for one message or question.
-    OneShotMade,
+    OneShot,
     /// By another node, of either kind.
     Accepted,
 }
@@ -112,8 +112,8 @@
     const ALL: [Self; 5] = [
         Self::Client,
         Self::Backend,
-        Self::LinkMade,
-        Self::OneShotMade,
+        Self::PeerLink,
+        Self::OneShot,
         Self::Accepted,
     ];
 
@@ -121,8 +121,8 @@
         match self {
             Self::Client => "client",
             Self::Backend => "backend",
-            Self::LinkMade => "link",
-            Self::OneShotMade => "one_shot",
+            Self::PeerLink => "link",
+            Self::OneShot => "one_shot",
             Self::Accepted => "accepted",
         }
     }
@@ -150,7 +150,7 @@
     openings: RefCell<[u64; OpeningKind::ALL.len()]>,
     /// Connections made by other nodes that are open.
     accepted_open: Cell<usize>,
-    told_at: Cell<Time>,
+    logged_at: Cell<Time>,
 }
 
 impl Traffic {
@@ -207,9 +207,9 @@
 
     /// Whether a log line is due.
     pub fn is_line_due(&self, now: Time) -> bool {
-        let is_due = now.since(self.told_at.get()) >= LINE_INTERVAL;
+        let is_due = now.since(self.logged_at.get()) >= LOG_INTERVAL;
         if is_due {
-            self.told_at.set(now);
+            self.logged_at.set(now);
         }
         is_due
     }
