--- a/crates/stairward-runtime/src/backend_registry.rs
+++ b/crates/stairward-runtime/src/backend_registry.rs
@@ -1,4 +1,4 @@
-//! The back ends that discovery lists, by id and by service, and those that it listed a while ago.
+//! Back ends known from discovery, by id and by service, including recently removed ones.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -7,18 +7,18 @@
 use stairward_engine::{BackendDescription, DiscoveryChange};
 use stairward_types::{BackendId, ServiceName, Time, ZoneName};
 
-/// How long a back end that discovery no longer lists is remembered: it may still have to be asked.
+/// How long a removed back end is kept: failover may still have to send it requests.
 const REMOVED_RETENTION: Duration = Duration::from_secs(60);
 
 /// Back ends by id.
 type Members = BTreeMap<BackendId, Arc<BackendDescription>>;
 
-/// What discovery tells. Changes cost what they touch, whatever the number of back ends.
+/// The back ends listed by discovery. The cost of a change depends on its size, not on the number of back ends.
 #[derive(Debug, Default)]
 pub struct BackendRegistry {
     service_of: BTreeMap<BackendId, ServiceName>,
     by_service: BTreeMap<ServiceName, Members>,
-    /// Back ends that are listed no more, and since when.
+    /// Recently removed back ends, with the time of removal.
     removed: BTreeMap<BackendId, (Arc<BackendDescription>, Time)>,
 }
 
@@ -29,7 +29,7 @@
         self.service_of.is_empty()
     }
 
-    /// Takes a change in. Returns the services that it touches.
+    /// Applies a change. Returns the affected services.
     pub fn apply(&mut self, now: Time, change: &DiscoveryChange) -> BTreeSet<ServiceName> {
         self.removed
             .retain(|_, (_, removed_at)| now.since(*removed_at) < REMOVED_RETENTION);
@@ -81,7 +81,7 @@
         self.by_service.get(self.service_of.get(id)?)?.get(id)
     }
 
-    /// A back end that is listed, or was a while ago.
+    /// A back end that is listed or was recently removed.
     #[must_use]
     pub fn get_including_removed(&self, id: &BackendId) -> Option<&Arc<BackendDescription>> {
         let remembered = || self.removed.get(id).map(|(description, _)| description);
@@ -96,7 +96,7 @@
             .flat_map(BTreeMap::values)
     }
 
-    /// The most statements that a back end of a service runs at once, of those that say so.
+    /// The largest number of concurrent statements that any back end of a service reports; none if no one does.
     #[must_use]
     pub fn slots(&self, service: &ServiceName) -> Option<u32> {
         self.members(service)
@@ -104,7 +104,7 @@
             .max()
     }
 
-    /// How many listed back ends run in a zone.
+    /// Number of listed back ends in a zone.
     #[must_use]
     pub fn count_in_zone(&self, zone: &ZoneName) -> usize {
         let members = self.by_service.values().flat_map(BTreeMap::values);
--- a/crates/stairward-runtime/src/backends.rs
+++ b/crates/stairward-runtime/src/backends.rs
@@ -1,4 +1,4 @@
-//! Connections to back ends: opening, reading and decoding.
+//! Connections to back ends: opening, reading and decoding replies.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,12 +15,12 @@
 use crate::traffic::OpeningKind;
 use crate::wire::Wire;
 
-/// How long a back end may take to accept a connection and to say that it is ready.
+/// Timeout for a back end to accept a connection and report that it is ready.
 const OPEN_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Room made for reading at once.
+/// Buffer space reserved before each read.
 const READ_SIZE: usize = 4 * 1024;
 
-/// An opened connection.
+/// A connection that is ready for commands.
 pub(crate) struct Opened {
     pub reading: OwnedReadHalf,
     pub outgoing: Rc<Outgoing>,
--- a/crates/stairward-runtime/src/callers.rs
+++ b/crates/stairward-runtime/src/callers.rs
@@ -1,4 +1,4 @@
-//! Callers' connections: accepting, reading and decoding.
+//! Client connections: accepting, reading and decoding.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,15 +15,15 @@
 use crate::traffic::OpeningKind;
 use crate::wire::{CallerMessage, Wire};
 
-/// Room made for reading at once.
+/// Buffer space reserved before each read.
 const READ_SIZE: usize = 2 * 1024;
-/// A new connection must say which database it wants within this time.
+/// A new connection must send its connect message within this time.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
-/// Pause after a connection could not be accepted.
+/// Delay after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 impl<W: Wire> Node<W> {
-    /// Accepts callers. Runs for ever; at most `limit` are connected at once.
+    /// Accepts client connections, at most `limit` at once. Never returns.
     pub async fn accept_callers(self: Rc<Self>, listener: TcpListener, limit: usize) {
         loop {
             match listener.accept().await {
@@ -31,7 +31,7 @@
                 Ok(_) => tracing::warn!(
                     event = LogEvent::SessionRefused.number(),
                     code = ResultCode::TooManyClients.number(),
-                    "too many callers"
+                    "connection limit reached; refusing a client"
                 ),
                 Err(error) => {
                     tracing::warn!(event = LogEvent::ListenerFailed.number(), %error);
@@ -81,7 +81,7 @@
         if let Some(outgoing) = outgoing {
             let mut bytes = BytesMut::new();
             W::encode_refusal(code, &mut bytes);
-            // The connection ends in any case.
+            // The connection is closed in any case.
             let _ = outgoing.send(&bytes);
         }
     }
@@ -106,7 +106,7 @@
 }
 
 impl CallerReader {
-    /// The next message; none when the connection has ended or breaks the protocol.
+    /// The next message; none at the end of the connection or after a protocol violation.
     async fn next<W: Wire>(&mut self) -> Option<CallerMessage> {
         loop {
             match W::decode_caller(&mut self.buffer) {
@@ -118,7 +118,7 @@
                 }
             }
             if self.buffer.is_empty() {
-                // An idle session keeps no buffer.
+                // Frees the buffer of an idle session, to keep many idle sessions cheap.
                 self.buffer = BytesMut::new();
                 self.reading.readable().await.ok()?;
             }
--- a/crates/stairward-runtime/src/content_delta.rs
+++ b/crates/stairward-runtime/src/content_delta.rs
@@ -1,10 +1,10 @@
-//! What differs in a long content from the one before it.
+//! Deltas between successive versions of a large text content.
 //!
-//! An operator replaces a whole configuration to change a line of it. Told whole to every node, it takes the links of the
-//! few that tell it for seconds in a large fleet; told as a delta, it is as long as the change.
+//! An operator replaces a whole configuration to change one line of it. Sent whole to every node of a large fleet, it
+//! occupies the links of the few sending nodes for seconds; a delta is only as long as the change.
 //!
-//! A content is text, cut after each closing brace: the entries of lists and tables. A delta names runs of pieces of the
-//! earlier content and holds the text of new ones.
+//! Content is split after each closing brace, that is into the entries of lists and tables. A delta references runs of
+//! pieces of the earlier content and contains the text of new ones.
 
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -16,22 +16,22 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(untagged)]
 enum Part {
-    /// So many pieces of the earlier content, from this one on.
+    /// A run of pieces of the earlier content: index of the first one, and count.
     Kept(usize, usize),
-    /// Text that the earlier content does not have.
+    /// Text that is not in the earlier content.
     New(String),
 }
 
-/// How a later content is made from an earlier one.
+/// Instructions to build a later content from an earlier one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ContentDelta {
     parts: Vec<Part>,
-    /// Of the later content: what is made of another earlier one shows.
+    /// Digest of the later content, which detects that a delta was applied to the wrong earlier content.
     digest: u64,
 }
 
 impl ContentDelta {
-    /// What makes `later` of `earlier`.
+    /// Computes the delta from `earlier` to `later`.
     #[must_use]
     pub fn between(earlier: &str, later: &str) -> Self {
         let known: Vec<&str> = pieces(earlier).collect();
@@ -55,7 +55,7 @@
         delta
     }
 
-    /// The piece that would go on with the last part; none where that is new text.
+    /// Index of the piece that would extend the last part; none if that is new text.
     fn next_kept(&self) -> Option<usize> {
         match self.parts.last() {
             Some(Part::Kept(from, count)) => Some(from + count),
@@ -77,7 +77,7 @@
         }
     }
 
-    /// The later content; none where the earlier one is not that which it was made for.
+    /// Builds the later content; none if `earlier` is not the content that the delta was computed from.
     #[must_use]
     pub fn apply(&self, earlier: &str) -> Option<String> {
         let known: Vec<&str> = pieces(earlier).collect();
--- a/crates/stairward-runtime/src/coordination.rs
+++ b/crates/stairward-runtime/src/coordination.rs
@@ -1,4 +1,4 @@
-//! What the failover duty needs of the world outside the node.
+//! External services that failover depends on.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -9,31 +9,31 @@
 /// A future on the node's own thread.
 pub type CoordinationFuture<T> = Pin<Box<dyn Future<Output = T>>>;
 
-/// How a conditional write of a service's record ended.
+/// Result of a conditional write of a service's failover record.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RecordWrite {
-    /// It was written and has this version now.
+    /// Written; the record now has this version.
     Written(RecordVersion),
-    /// Its version was another one; this is the record as it is.
+    /// The version did not match; carries the current version and record.
     Conflict(RecordVersion, Option<DutyRecord>),
-    /// It was not written, or that is not known, or another copy of the store answered than the one whose version was
-    /// expected: the same version may name another record there.
+    /// Not written, or unknown, or the store was restored from another copy since the expected version was read, so
+    /// that the same version may identify another record.
     Failed,
 }
 
-/// How a conditional write of the number of nodes ended.
+/// Result of a conditional write of the fleet size.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FleetSizeWrite {
-    /// The record has this version and says this now, whoever wrote it.
+    /// The record's current version and number of nodes, whether this write or another one set them.
     Known(RecordVersion, u32),
-    /// It was not written, or that is not known.
+    /// Not written, or unknown.
     Failed,
 }
 
-/// The metadata store and the call that promotes, for the failover duty.
+/// The metadata store and the promotion call.
 pub trait Coordination {
-    /// Writes a service's record if its version is still `expected`. Where that is
-    /// [`RecordVersion::none_in`], creates it.
+    /// Writes a service's failover record if its version is still `expected`; creates it if that is
+    /// [`RecordVersion::none_in`].
     fn write_record(
         &self,
         service: ServiceName,
@@ -41,15 +41,15 @@
         record: DutyRecord,
     ) -> CoordinationFuture<RecordWrite>;
 
-    /// Writes how many nodes there may be, if the version of that record is still `expected`. Where that is
-    /// [`RecordVersion::none_in`], creates it.
+    /// Writes the maximum number of nodes if the record's version is still `expected`; creates it if that is
+    /// [`RecordVersion::none_in`].
     fn write_fleet_size(
         &self,
         expected: RecordVersion,
         nodes: u32,
     ) -> CoordinationFuture<FleetSizeWrite>;
 
-    /// Promotes a back end.
+    /// Promotes a back end to primary.
     fn promote(
         &self,
         service: ServiceName,
--- a/crates/stairward-runtime/src/failover.rs
+++ b/crates/stairward-runtime/src/failover.rs
@@ -1,5 +1,5 @@
-//! Driving the failover duty: its events come from the engine's use of back ends, from discovery and from
-//! the store; its effects are questions, writes and promotions.
+//! Drives the failover state machine: its events come from the engine, from discovery and from the store; its effects
+//! are requests to group members, record writes and promotions.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -17,11 +17,11 @@
 use crate::prometheus;
 use crate::wire::{MemberRequest, Wire};
 
-/// How often the duty is looked at while nothing is due.
+/// Interval between ticks while no deadline is due.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 impl<W: Wire> Node<W> {
-    /// The services' records, as a copy of the store shows them.
+    /// Passes on the failover records of all services, as read from the store in an era.
     pub fn apply_failover_records(
         self: &Rc<Self>,
         era: u64,
@@ -30,7 +30,7 @@
         self.handle_failover_event(Event::Records { era, records });
     }
 
-    /// Gives the duty an event and carries out what it decides.
+    /// Passes an event to the failover state machine and executes the resulting effects.
     pub(crate) fn handle_failover_event(self: &Rc<Self>, event: Event) {
         let now = self.now();
         let effects = self.failover.borrow_mut().handle(now, event);
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Wakes the duty when something is due. Runs for ever.
+    /// Sends the failover state machine a tick whenever a deadline is due, and updates metrics. Never returns.
     pub async fn run_failover(self: Rc<Self>) {
         loop {
             let now = self.now();
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Shows what the links carry; now and then also as a log line.
+    /// Updates the traffic metrics, and logs them at a fixed interval.
     fn show_traffic(&self) {
         let links = self.links.borrow().len();
         prometheus::set_peer_traffic(&self.traffic, links);
@@ -155,7 +155,7 @@
         });
     }
 
-    /// Asks a member by each of these ways.
+    /// Sends a member request directly or through a peer, by each of the given ways.
     fn request_by_ways(
         self: &Rc<Self>,
         backend: &BackendId,
@@ -180,7 +180,7 @@
         }
     }
 
-    /// Where a member stands, for the choice of a leader.
+    /// Properties of a member that decide its rank when a leader is chosen.
     fn placement(&self, description: &BackendDescription) -> Placement {
         let region = self.zone_regions.get(&description.zone);
         let allowed = self.allowed_work.borrow();
@@ -195,7 +195,7 @@
         }
     }
 
-    /// Tells the duty of all services, their members and their state.
+    /// Passes the members of all services to the failover state machine.
     pub(crate) fn update_all_failover_groups(self: &Rc<Self>) {
         let Some(table) = self.routing_table() else {
             return;
@@ -204,7 +204,7 @@
         self.handle_failover_event(Event::Groups(groups));
     }
 
-    /// Tells the duty of these services, as far as they are configured.
+    /// Passes the members of the given services, if configured, to the failover state machine.
     pub(crate) fn update_failover_groups(self: &Rc<Self>, services: &BTreeSet<ServiceName>) {
         let Some(table) = self.routing_table() else {
             return;
--- a/crates/stairward-runtime/src/failover_peers.rs
+++ b/crates/stairward-runtime/src/failover_peers.rs
@@ -1,5 +1,5 @@
-//! What a holder of the failover duty needs other nodes for: questions to members that they pass on, and their
-//! word that they believe an old leader no more.
+//! Cooperation of nodes during a failover: relaying member requests, confirming that a back end is silent, and
+//! revoking an old leader on every node that may still use it.
 
 use std::collections::BTreeSet;
 use std::net::{IpAddr, SocketAddr};
@@ -19,16 +19,16 @@
 use crate::traffic::OpeningKind;
 use crate::wire::{MemberRequest, Wire};
 
-/// How long a peer may take to pass a question on and to answer.
+/// Timeout for a request to a peer, including one that it relays to a member.
 const RELAY_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Peers that are asked to pass a question on: enough that a cut of some of the nodes leaves one that reaches
+/// Number of peers chosen to relay requests: enough that a partition of some of the nodes leaves one that can reach
 /// the member.
 const RELAY_PEERS: usize = 8;
 
-/// How long a node that is no longer seen counts as one that may use a leader.
+/// How long a node counts as a possible user of a leader after it was last seen.
 const LEADER_USER_RETENTION: Duration = Duration::from_secs(30);
 
-/// Another node that may use a leader.
+/// Another node that may send statements to a leader.
 #[derive(Debug)]
 pub(crate) struct LeaderUser {
     address: SocketAddr,
@@ -36,7 +36,7 @@
 }
 
 impl<W: Wire> Node<W> {
-    /// Chooses anew the peers that may pass questions on, and tells the duty.
+    /// Chooses random peers as relays and passes them to the failover state machine.
     pub(crate) fn choose_relay_peers(self: &Rc<Self>) {
         let peers: Vec<NodeId> = {
             let members = self.members.borrow();
@@ -50,7 +50,7 @@
         self.handle_failover_event(stairward_failover::Event::Peers(peers));
     }
 
-    /// Notes which nodes live: whoever lived a while ago may still use a leader.
+    /// Updates the nodes that may use a leader: current members and those seen recently.
     pub(crate) fn update_leader_users(self: &Rc<Self>) {
         let now = self.now();
         let users: BTreeSet<NodeId> = {
@@ -72,7 +72,7 @@
         self.handle_failover_event(stairward_failover::Event::Users(users));
     }
 
-    /// Has these nodes, and this one, believe no leader of a lower term any more.
+    /// Makes the given nodes, and this one, reject leaders of lower terms.
     pub(crate) fn revoke(
         self: &Rc<Self>,
         service: &ServiceName,
@@ -100,14 +100,14 @@
         }
     }
 
-    /// Tells these nodes, and this one, that no promotion that they were told of is under way any more.
+    /// Tells the given nodes, and this one, that the promotion announced to them is no longer in progress.
     pub(crate) fn send_lead_settled(
         self: &Rc<Self>,
         service: &ServiceName,
         users: BTreeSet<NodeId>,
     ) {
         self.handle(Event::LeadSettled(service.clone()));
-        // A node that misses it believes the new leader a little later.
+        // A node that misses the message accepts the new leader a little later.
         self.send_once(
             users,
             &NeighbourMessage::SettleLead {
@@ -116,7 +116,7 @@
         );
     }
 
-    /// Tells some other nodes which back ends this one finds silent.
+    /// Reports the back ends that are silent to this node to the relay peers.
     pub(crate) fn report_silent_backends(self: &Rc<Self>, silent: &BTreeSet<BackendId>) {
         let backends: Vec<_> = silent.iter().map(|id| Text::new(id.as_str())).collect();
         let message = NeighbourMessage::Silent {
@@ -124,12 +124,12 @@
             count: u16::try_from(backends.len()).unwrap_or(u16::MAX),
             backends,
         };
-        // One that misses it hears of it again while it holds.
+        // A lost report is repeated while the back ends stay silent.
         self.send_once(self.relay_peers.borrow().iter().copied(), &message);
     }
 
-    /// Looks whether a back end that another node finds silent accepts connections, and tells that node if it does
-    /// not. One that is full or busy gives a sign of life.
+    /// Tries to connect to a back end that another node reports as silent, and confirms the silence to that node. A
+    /// back end that refuses because it is full or busy is alive.
     pub(crate) fn verify_silence(self: &Rc<Self>, backend: BackendId, asker: NodeId) {
         let Some(target) = self.open_target(&backend) else {
             return;
@@ -155,7 +155,7 @@
         });
     }
 
-    /// Tells nodes something that needs no answer, each on a connection of its own.
+    /// Sends nodes a message that needs no reply, each over a new connection.
     fn send_once(&self, nodes: impl IntoIterator<Item = NodeId>, message: &NeighbourMessage) {
         let message = frame(message);
         for node in nodes {
@@ -178,13 +178,13 @@
         }
     }
 
-    /// Believes no leader of a lower term any more; returns the newest term known to have begun.
+    /// Rejects leaders of lower terms from now on. Returns the newest term known to have begun.
     pub(crate) fn revoke_older_terms(self: &Rc<Self>, service: &ServiceName, term: Term) -> Term {
         self.handle(Event::LeadRevoked(service.clone(), term));
         self.newest_term(service)
     }
 
-    /// Tells a node that a term may begin; returns the newest term that it knows to have begun, if it answers.
+    /// Tells a node to reject leaders of lower terms. Returns the newest term that it knows to have begun, if it replies.
     async fn send_revocation(
         &self,
         user: NodeId,
@@ -212,7 +212,7 @@
         }
     }
 
-    /// Has a peer ask a member.
+    /// Sends a member request through a peer.
     pub(crate) async fn request_through_peer(
         self: &Rc<Self>,
         peer: NodeId,
@@ -244,7 +244,7 @@
             .unwrap_or(Reach::Silent)
     }
 
-    /// Asks a member for a peer; none when the question is not understood.
+    /// Sends a member request on behalf of a peer; none if the message is malformed.
     pub(crate) async fn answer_relayed_request(
         self: &Rc<Self>,
         message: &MemberQuestionMessage,
@@ -255,7 +255,7 @@
     }
 }
 
-/// A question as a message; none for one that is not passed on.
+/// Converts a member request to a message; none for a kind that is not relayed.
 fn request_message(target: &OpenTarget, request: MemberRequest) -> Option<MemberQuestionMessage> {
     let (question, term) = match request {
         MemberRequest::StepDown(term) => (MemberQuestionMessage::STEP_DOWN, term),
@@ -311,7 +311,7 @@
     }
 }
 
-/// A message as what came of a question. What is not understood counts as no answer.
+/// Converts a message to the result of a member request. A malformed message counts as no reply.
 fn reach_of(message: &MemberReachMessage) -> Reach {
     let role = match message.kind {
         MemberReachMessage::REFUSED => return Reach::Refused,
--- a/crates/stairward-runtime/src/feeds.rs
+++ b/crates/stairward-runtime/src/feeds.rs
@@ -1,4 +1,4 @@
-//! Driving the feeds: the store's objects by kind, read here or heard from watchers among the nodes.
+//! Drives the feeds: one stream of store objects per kind, read from the store or received from nodes that watch it.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -23,62 +23,66 @@
 use crate::traffic::TrafficKind;
 use crate::wire::Wire;
 
-/// Shortest pause between two showings of a feed's objects: in a fleet that starts, hundreds change one by one.
-/// A change after a quiet time is shown at once.
+/// Minimum interval between publications of a feed's objects, since hundreds of them change one by one while a fleet
+/// starts. The first change after a quiet time is published at once.
 pub const PUBLISH_INTERVAL: Duration = Duration::from_millis(100);
-/// How long a node that starts waits for the store's stale listing before it asks others for all objects. Two pages
-/// over 20 ms between regions and an eighth of a core take up to 300 ms (`fleetbench run`, 300 nodes, 900 objects).
+/// How long a starting node waits for a stale listing from the store before it requests all objects from peers. Two
+/// pages, with 20 ms between regions and an eighth of a core, take up to 300 ms (`fleetbench run`, 300 nodes, 900
+/// objects).
 const LISTING_TIMEOUT: Duration = Duration::from_millis(600);
-/// How often deadlines are looked at when none is known.
+/// Interval between checks while no deadline is set.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// When a node reads the store for a feed, and when it believes it.
+/// Timeouts that decide when a node reads the store for a feed itself.
 #[derive(Debug, Clone, Copy)]
 pub struct FeedTimeouts {
-    /// How long after the last word of its watchers a follower reads the store itself.
+    /// A follower reads the store after its watchers have been silent for this long.
     pub reads_after: Duration,
-    /// How long after the store's last answer a watcher follows others.
+    /// A watcher follows other watchers after the store has not answered for this long.
     pub follows_after: Duration,
-    /// How long whoever wrote what the store lost, when it came back from an older copy, is given to write it again.
+    /// Grace period after the store was restored from an older copy, in which the writers of lost objects can write
+    /// them again.
     pub settles_after: Duration,
 }
 
-/// The objects of one feed, in the form that the embedder gives them.
+/// Storage for the objects of one feed, implemented by the embedding program.
 pub trait FeedObjects {
-    /// Replaces all objects, or changes some, so that they are those of a revision; none for a peer's document. Returns
-    /// whether the objects are now those that the content is about.
+    /// Replaces or changes objects to bring them to a revision; none for a document of a peer. Returns false if the
+    /// content does not lead to the objects it describes, for example because the digests differ.
     fn apply(&self, at: Option<StoreRevision>, content: &FeedContent) -> bool;
-    /// The store came back from an older copy, and whoever wrote what it lost has had the time to write it again.
+    /// Ends the grace period after the store was restored from an older copy: objects that were not written again are
+    /// lost.
     fn end_restore_grace(&self);
-    /// Acts on the objects as they are. Called after `take`, once for all that came within [`PUBLISH_INTERVAL`]. What differs
-    /// from the last showing came about after `since`, or at any time where that is not known.
+    /// Makes the current objects take effect. Called after `apply`, once for all changes within [`PUBLISH_INTERVAL`].
+    /// Changes since the last call happened after `since`, or at an unknown time if that is none.
     fn publish(&self, since: Option<Time>);
-    /// All objects; empty while there are none.
+    /// All objects, serialized; empty before the first listing.
     fn snapshot(&self) -> Vec<u8>;
-    /// What has changed after a revision, in the form of changes.
+    /// Changes after a revision, serialized.
     fn changes_since(&self, revision: StoreRevision) -> Vec<u8>;
-    /// A digest of all objects: where two are equal, the objects are.
+    /// A digest of all objects, to compare them between nodes.
     fn digest(&self) -> u64;
 }
 
-/// A feed and what belongs to it.
+/// An open feed with its objects and caches.
 struct OpenFeed {
     feed: RefCell<Feed>,
     objects: Rc<dyn FeedObjects>,
-    /// What has changed after a revision, compressed, until the objects change.
+    /// Cache of the compressed changes after a revision; cleared when the objects change.
     changes_cache: RefCell<Option<(StoreRevision, Vec<u8>)>>,
-    /// All objects, compressed, until they change: hundreds of nodes that start ask for them within a second, and
-    /// making them anew each time took a watcher on 0.12 of a core 80 ms a follower (300 nodes, 900 objects).
+    /// Cache of all objects, compressed; cleared when they change. Hundreds of starting nodes request them within a
+    /// second, and without the cache each request cost a watcher on 0.12 of a core 80 ms (300 nodes, 900 objects).
     snapshot_cache: RefCell<Option<Vec<u8>>>,
     reading: watch::Sender<bool>,
-    /// When the objects were last shown, or will be.
+    /// When the objects were last published, or are scheduled to be.
     published_at: Cell<Option<Time>>,
-    /// After which moment what has not been shown yet came about; the outer none where all has been shown.
+    /// Lower bound on the time of the unpublished changes: the outer none when all are published, the inner none when
+    /// the time is unknown.
     unpublished_since: Cell<Option<Option<Time>>>,
 }
 
 impl OpenFeed {
-    /// Replaces all objects, or changes some. The change came about after `since`.
+    /// Replaces or changes objects. The change happened after `since`.
     fn apply(&self, at: Option<StoreRevision>, content: &FeedContent, since: Option<Time>) -> bool {
         self.mark_unpublished(since);
         *self.snapshot_cache.borrow_mut() = None;
@@ -86,9 +90,9 @@
         self.objects.apply(at, content)
     }
 
-    /// Something has changed after a moment, or at any time, and has not been shown yet.
+    /// Records that there are unpublished changes, which happened after `since` or at an unknown time.
     fn mark_unpublished(&self, since: Option<Time>) {
-        // Not known is before all that is.
+        // `None`, an unknown time, sorts before every known time.
         let earliest = self
             .unpublished_since
             .get()
@@ -101,7 +105,7 @@
             .publish(self.unpublished_since.take().flatten());
     }
 
-    /// What has changed after a revision, compressed.
+    /// Changes after a revision, compressed.
     fn compressed_changes(&self, revision: StoreRevision) -> Vec<u8> {
         let mut cache = self.changes_cache.borrow_mut();
         match cache.as_ref() {
@@ -114,7 +118,7 @@
         }
     }
 
-    /// All objects, compressed; empty while there are none.
+    /// All objects, compressed; empty before the first listing.
     fn compressed_snapshot(&self) -> Vec<u8> {
         let mut cache = self.snapshot_cache.borrow_mut();
         let known = cache.get_or_insert_with(|| {
@@ -129,7 +133,7 @@
     }
 }
 
-/// The state of a feed that followers are told.
+/// The state of a feed as sent to followers.
 #[derive(Clone, Copy)]
 struct FeedState {
     at: StoreRevision,
@@ -137,12 +141,12 @@
     current_at: Option<Time>,
 }
 
-/// The feeds of a node, and the links over which other nodes follow them.
+/// The feeds of a node and the links of their followers.
 #[derive(Default)]
 pub(crate) struct Feeds {
     by_name: RefCell<BTreeMap<&'static str, Rc<OpenFeed>>>,
     follower_links: RefCell<BTreeMap<FollowerId, Rc<Outgoing>>>,
-    /// Clocks of the watchers that are followed.
+    /// Clock offsets of the followed watchers.
     source_clocks: RefCell<BTreeMap<NodeId, PeerClock>>,
     rescheduled: Notify,
 }
@@ -160,17 +164,17 @@
             .collect()
     }
 
-    /// All objects of a feed, compressed; none where it isn't followed here.
+    /// All objects of a feed, compressed; none if the feed is not open on this node.
     pub(crate) fn compressed_snapshot(&self, name: &str) -> Option<Vec<u8>> {
         self.get(name).map(|feed| feed.compressed_snapshot())
     }
 
-    /// A watcher told what its clock says.
+    /// Stores a clock reading of a watcher.
     pub(crate) fn set_source_clock(&self, source: NodeId, clock: PeerClock) {
         self.source_clocks.borrow_mut().insert(source, clock);
     }
 
-    /// A moment of this node's clock that is no later than one of a watcher's; none where its clock is not known yet.
+    /// Converts a watcher's time to a lower bound on this node's clock; none while the watcher's clock is unknown.
     fn to_local_time(&self, source: NodeId, theirs: Time) -> Option<Time> {
         let clocks = self.source_clocks.borrow();
         clocks.get(&source)?.no_later_than(theirs)
@@ -186,7 +190,7 @@
 }
 
 impl<W: Wire> Node<W> {
-    /// Opens a feed. What is returned says whether this node is to read the store for it.
+    /// Opens a feed. The returned channel tells whether this node has to read the store for it.
     pub fn open_feed(
         self: &Rc<Self>,
         name: &'static str,
@@ -216,8 +220,8 @@
         is_reading
     }
 
-    /// The store answered for a feed: its state at a revision, a moment at which that was certainly the newest, and what
-    /// came with it.
+    /// Applies an answer of the store for a feed: the revision, a time at which that was certainly the newest one, and
+    /// the content.
     pub fn apply_store_answer(
         self: &Rc<Self>,
         name: &'static str,
@@ -233,7 +237,7 @@
         self.handle_feed_event(name, answered);
     }
 
-    /// The store listed a feed's objects as they were a while ago.
+    /// Applies a listing of the store that may be stale.
     pub fn apply_stale_listing(
         self: &Rc<Self>,
         name: &'static str,
@@ -243,32 +247,32 @@
         self.handle_feed_event(name, Event::StaleListing { at, objects });
     }
 
-    /// Takes over what a peer last read, until the store or a watcher answers.
+    /// Applies a document that a peer last read, used until the store or a watcher answers.
     pub fn apply_peer_document(self: &Rc<Self>, name: &'static str, content: Vec<u8>) {
         self.handle_feed_event(name, Event::PeerDocument(content));
     }
 
-    /// Whether other nodes hear of a feed's changes from this one.
+    /// Whether other nodes follow a feed through this node.
     #[must_use]
     pub fn has_feed_followers(&self, name: &str) -> bool {
         let feed = self.feeds.get(name);
         feed.is_some_and(|feed| feed.feed.borrow().has_followers())
     }
 
-    /// The revision of a feed's objects that this node holds; none before the first.
+    /// The revision of a feed's objects on this node; none before the first content.
     #[must_use]
     pub fn held_feed_revision(&self, name: &str) -> Option<StoreRevision> {
         self.feeds.get(name)?.feed.borrow().held()
     }
 
-    /// Whether this node ranks as a watcher of a feed, from which others hear of changes.
+    /// Whether this node is ranked as a watcher of a feed, which reads the store and serves followers.
     #[must_use]
     pub fn is_feed_watcher(&self, name: &str) -> bool {
         let feed = self.feeds.get(name);
         feed.is_some_and(|feed| feed.feed.borrow().is_watcher())
     }
 
-    /// Wakes the feeds when something is due. Runs for ever.
+    /// Sends the feeds a tick whenever a deadline is due. Never returns.
     pub async fn run_feeds(self: Rc<Self>) {
         loop {
             let now = self.now();
@@ -284,7 +288,7 @@
         }
     }
 
-    /// Tells the feeds of the membership view.
+    /// Passes the membership view to the feeds.
     pub(crate) fn update_feed_members(self: &Rc<Self>) {
         let places: Vec<_> = {
             let members = self.members.borrow();
@@ -300,7 +304,7 @@
         }
     }
 
-    /// A link over which watchers may have been followed has ended.
+    /// Handles the loss of a link to a node that may be a followed watcher.
     pub(crate) fn source_lost(self: &Rc<Self>, source: NodeId) {
         self.feeds.source_clocks.borrow_mut().remove(&source);
         for (name, _) in self.feeds.all() {
@@ -309,7 +313,7 @@
         self.feeds.rescheduled.notify_one();
     }
 
-    /// Another node wants to follow a feed over its link.
+    /// Adds a follower of a feed.
     pub(crate) fn follower_asked(
         self: &Rc<Self>,
         link: u64,
@@ -325,12 +329,12 @@
         self.handle_feed_event(name.as_str(), Event::FollowerAsked { follower, known });
     }
 
-    /// Another node no longer follows a feed.
+    /// Removes a follower of a feed.
     pub(crate) fn follower_left(self: &Rc<Self>, link: u64, name: &Text) {
         self.handle_feed_event(name.as_str(), Event::FollowerLeft(FollowerId(link)));
     }
 
-    /// Another node has taken over what it lacked of a feed.
+    /// Records that a follower has applied content up to a revision.
     pub(crate) fn follower_took(self: &Rc<Self>, link: u64, name: &Text, held: u64) {
         let took = Event::FollowerTook {
             follower: FollowerId(link),
@@ -339,8 +343,8 @@
         self.handle_feed_event(name.as_str(), took);
     }
 
-    /// Tells the watchers of a feed which revision is held here now: who sent something long can go on with the next
-    /// node, and the other need not send the same.
+    /// Reports the held revision to the watchers of a feed: the sender of a large content can serve its next follower,
+    /// and the other watchers need not send the same content.
     fn report_held_revision(self: &Rc<Self>, name: &Text) {
         let Some(open) = self.feeds.get(name.as_str()) else {
             return;
@@ -358,7 +362,7 @@
         }
     }
 
-    /// The link of another node has ended.
+    /// Removes a follower whose link has ended.
     pub(crate) fn follower_link_lost(self: &Rc<Self>, link: u64) {
         let follower = FollowerId(link);
         let removed = self.feeds.follower_links.borrow_mut().remove(&follower);
@@ -369,7 +373,7 @@
         }
     }
 
-    /// A watcher told of its state.
+    /// Applies a state message of a watcher.
     pub(crate) fn handle_source_answer(self: &Rc<Self>, source: NodeId, message: FeedStateMessage) {
         let Some(content) = decode_content(&message) else {
             tracing::warn!(
@@ -407,7 +411,7 @@
         self.send_to_peer(source, &question);
     }
 
-    /// Asks a watcher for its clock again where that is due.
+    /// Requests a watcher's clock again when the last reading is too old.
     fn refresh_clock(self: &Rc<Self>, source: NodeId) {
         let now = self.now();
         let clock = self.feeds.source_clocks.borrow().get(&source).copied();
@@ -432,11 +436,11 @@
         }
     }
 
-    /// Shows a feed's objects at once, or with what else comes until the pause is over.
+    /// Publishes a feed's objects at once, or at the end of the publish interval.
     fn publish_feed(&self, open: &Rc<OpenFeed>) {
         let now = self.now();
         match open.published_at.get() {
-            // It waits already.
+            // A publication is already scheduled.
             Some(at) if at > now => {}
             Some(at) if now.since(at) < PUBLISH_INTERVAL => {
                 let due = at + PUBLISH_INTERVAL;
@@ -466,7 +470,7 @@
                 open.reading.send_replace(is_reading);
             }
             Effect::Follow { source, known } => {
-                // Its answer comes before the watcher's first word.
+                // Sent first, so that the clock is known when the first state message arrives.
                 self.ask_clock(source);
                 let message = NeighbourMessage::FollowFeed {
                     name: Text::new(name),
@@ -491,7 +495,7 @@
             }
             Effect::Settled => {
                 open.objects.end_restore_grace();
-                // What is shown from now on was known to the store when it came back, or has gone since.
+                // Lost objects disappear now; the time of that change is unknown.
                 open.mark_unpublished(None);
                 self.publish_feed(open);
             }
@@ -561,7 +565,7 @@
         let links = self.feeds.follower_links.borrow();
         for outgoing in followers.iter().filter_map(|follower| links.get(follower)) {
             self.traffic.sent(TrafficKind::Feed, bytes.len());
-            // A link that has failed ends in its watcher.
+            // A failed link is cleaned up by the task that reads it.
             let _ = outgoing.send(&bytes);
         }
     }
--- a/crates/stairward-runtime/src/health.rs
+++ b/crates/stairward-runtime/src/health.rs
@@ -1,4 +1,4 @@
-//! The readiness answer, for whoever sends callers to the node, and the node's metrics.
+//! HTTP endpoint for readiness checks of load balancers and for metrics.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -17,7 +17,7 @@
 }
 
 impl Readiness {
-    /// Says whether the node is ready.
+    /// Sets whether the node is ready.
     pub fn set(&self, is_ready: bool) {
         self.is_ready.store(is_ready, Ordering::Relaxed);
     }
@@ -29,10 +29,10 @@
     }
 }
 
-/// The path of the metrics; every other one is a question for readiness.
+/// Path of the metrics; every other path is a readiness check.
 const METRICS_PATH: &str = "/metrics";
 
-/// Answers over HTTP: the metrics on their path; on any other 200 when the node is ready, 503 when not.
+/// HTTP service: serves the metrics on their path, and on any other path 200 if the node is ready and 503 if not.
 pub struct HealthService;
 
 #[derive(Clone)]
@@ -68,7 +68,7 @@
 }
 
 impl HealthService {
-    /// Serves on a listener. Runs for ever.
+    /// Serves on a listener. Never returns.
     pub async fn serve(
         listener: TcpListener,
         readiness: Arc<Readiness>,
--- a/crates/stairward-runtime/src/holders.rs
+++ b/crates/stairward-runtime/src/holders.rs
@@ -1,5 +1,5 @@
-//! Which nodes hold the connections to each service's back ends, as this node sees it. Only services whose holders
-//! change with the membership view are worked out anew.
+//! Assigns, for each service, the nodes that hold connections to its back ends, from this node's membership view.
+//! Only services whose holders change with the view are recomputed.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,10 +7,10 @@
 use stairward_membership::{Candidate, HolderRanking, Profile};
 use stairward_types::{NodeId, RegionName, ServiceName, ZoneName};
 
-/// This node and where it is.
+/// Identity and location of this node.
 #[derive(Debug, Clone)]
 pub struct LocalNode {
-    /// Its number.
+    /// Node id.
     pub node: NodeId,
     /// Its region.
     pub region: RegionName,
@@ -18,7 +18,7 @@
     pub zone: ZoneName,
 }
 
-/// How far a node is from this one.
+/// Network distance of a node from this one, nearest first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Distance {
     Zone,
@@ -38,21 +38,21 @@
     }
 }
 
-/// What is worked out anew of some services.
+/// Recomputed holders, by service.
 type Changes = BTreeMap<ServiceName, ServiceHolders>;
 
-/// Works out the holders of every service. What follows for a service is handed on when it changes, and not kept.
+/// Computes the holders of every service. Results are returned when they change and are not stored.
 #[derive(Debug, Default)]
 pub struct HolderAssignments {
     ranking: HolderRanking,
     counts: BTreeMap<ServiceName, usize>,
-    /// How many members the view last had.
+    /// Number of members in the last view.
     members: usize,
 }
 
 impl HolderAssignments {
-    /// Takes the services in, each with the number of nodes that hold connections to it at most. Returns what has
-    /// changed; a service that is gone has no holders.
+    /// Replaces the services, each with its maximum number of holders. Returns what changed; a removed service is
+    /// returned without holders.
     pub fn set_services(
         &mut self,
         own: &LocalNode,
@@ -69,7 +69,7 @@
         changes
     }
 
-    /// Takes in how many nodes hold connections to these services at most. Returns what has changed.
+    /// Updates the maximum number of holders of some services. Returns what changed.
     pub fn update_holder_counts(
         &mut self,
         own: &LocalNode,
@@ -86,11 +86,11 @@
         self.compute(own, members, changed)
     }
 
-    /// Takes the membership view in. Returns what has changed.
+    /// Replaces the membership view. Returns what changed.
     pub fn set_members(&mut self, own: &LocalNode, members: &[Profile]) -> Changes {
         let mut changed = self.ranking.set_members(members.iter().map(candidate));
         let before = std::mem::replace(&mut self.members, members.len());
-        // Where there are no more nodes than may hold connections, all do.
+        // While a service's maximum is not below the number of nodes, every node is a holder.
         let crosses_threshold = |count: usize| (before > count) != (members.len() > count);
         let turned = self
             .counts
@@ -153,7 +153,8 @@
     }
 }
 
-/// Holders of the own zone first, then of the own region; each node begins elsewhere among them.
+/// Orders holders by distance: own zone, own region, others. Holders at the same distance are ordered by XOR with the
+/// node id, so that nodes spread their load over them.
 fn by_nearness(own: &LocalNode, holders: &[&Profile]) -> Vec<NodeId> {
     let rank = |holder: &&Profile| {
         (
--- a/crates/stairward-runtime/src/lib.rs
+++ b/crates/stairward-runtime/src/lib.rs
@@ -1,7 +1,7 @@
-//! Drives the statement engine and the failover duty of one node over real sockets.
+//! Runs the statement engine and the failover state machine of one node over real sockets.
 //!
-//! The statement protocol is a [`Wire`], the metadata store and the promotion call are a
-//! [`Coordination`]; both are given by whoever embeds the node. Everything runs on one thread, in a
+//! The embedding program supplies the statement protocol as a [`Wire`] and the metadata store and
+//! promotion call as a [`Coordination`]. Everything runs on one thread, in a
 //! `tokio::task::LocalSet`.
 
 #![forbid(unsafe_code)]
--- a/crates/stairward-runtime/src/limit_messages.rs
+++ b/crates/stairward-runtime/src/limit_messages.rs
@@ -1,4 +1,4 @@
-//! Questions about tenants' limits as messages between nodes, and back.
+//! Conversion of tenant limit requests and grants between limiter types and peer messages.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use stairward_protocol::neighbour::{LimitAsk, LimitGrant, LimitGranted, LimitWant};
 use stairward_types::{NodeId, TenantName, Time};
 
-/// Tenants in one message at most; what is left out is asked for with the next.
+/// Maximum tenants in one message; the others are requested with the next one.
 const MAXIMUM_TENANTS: usize = 1_000;
 
 fn milliseconds(duration: Duration) -> u32 {
@@ -23,7 +23,7 @@
     u16::try_from(entries).unwrap_or(u16::MAX)
 }
 
-/// A question as a message.
+/// Converts a limit request to a message.
 pub(crate) fn ask_message(node: NodeId, ask: Ask) -> LimitAsk {
     let wants: Vec<LimitWant> = ask
         .wants
@@ -49,7 +49,7 @@
     }
 }
 
-/// A message as a question; none when it is not understood.
+/// Converts a message to a limit request; none if it is malformed.
 pub(crate) fn ask_of(message: &LimitAsk) -> Option<(NodeId, Ask)> {
     let loan = (message.lends != 0).then_some(Echo {
         life: message.life,
@@ -73,7 +73,7 @@
     Some((NodeId(message.node), ask))
 }
 
-/// An answer as a message.
+/// Converts a grant to a message.
 pub(crate) fn grant_message(grant: Grant) -> LimitGrant {
     let granted: Vec<LimitGranted> = grant
         .granted
@@ -97,7 +97,7 @@
     }
 }
 
-/// A message as an answer; none when it is not understood.
+/// Converts a message to a grant; none if it is malformed.
 pub(crate) fn grant_of(message: &LimitGrant) -> Option<Grant> {
     let mut granted = Vec::new();
     for tenant in &message.granted {
--- a/crates/stairward-runtime/src/log.rs
+++ b/crates/stairward-runtime/src/log.rs
@@ -1,4 +1,4 @@
-//! Log lines for what the engine and the duty decide, bounded a second by kind.
+//! Log lines for decisions of the engine and of failover, rate-limited by event kind.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -15,9 +15,9 @@
 
 use crate::traffic::Traffic;
 
-/// Lines of one kind a second; the rest are counted and the count is told with the next line.
+/// Maximum lines of one kind per second. Suppressed lines are counted and the count is logged with the next one.
 const LINES_PER_SECOND: u32 = 100;
-/// Lines a second about nodes that join: a whole fleet does within a moment, and each node would tell of each other.
+/// Maximum lines per second for joining nodes: when a fleet starts, every node sees every other one join at once.
 const JOIN_LINES_PER_SECOND: u32 = 10;
 
 #[derive(Debug, Default)]
@@ -27,7 +27,7 @@
     left_out: u64,
 }
 
-/// A change of what is believed of a service's lead, as the engine tells it.
+/// Fields of a log line for a change of a service's leadership.
 pub(crate) struct LeadLine<'a> {
     pub service: &'a ServiceName,
     pub leader: &'a BackendId,
@@ -37,24 +37,24 @@
     pub age: Option<Duration>,
 }
 
-/// An evacuation that was heard of, or its end.
+/// Fields of a log line for the start or end of an evacuation.
 pub(crate) struct EvacuationLine<'a> {
     pub zone: &'a ZoneName,
     pub is_evacuated: bool,
-    /// Back ends that stand there.
+    /// Number of back ends in the zone.
     pub backends: usize,
-    /// Whether the node's settings name the zone.
+    /// Whether the zone is in the node's settings.
     pub is_known: bool,
 }
 
-/// Writes log lines.
+/// Writes rate-limited log lines.
 #[derive(Debug, Default)]
 pub(crate) struct DecisionLog {
     windows: RefCell<BTreeMap<LogEvent, Window>>,
 }
 
 impl DecisionLog {
-    /// Whether another line of this kind may be written, and how many were left out before it.
+    /// Returns the number of lines suppressed before this one, or none if this one must be suppressed as well.
     fn admit(&self, now: Time, event: LogEvent) -> Option<u64> {
         let mut windows = self.windows.borrow_mut();
         let window = windows.entry(event).or_default();
@@ -75,7 +75,7 @@
         Some(std::mem::take(&mut window.left_out))
     }
 
-    /// A decision that touched a request.
+    /// Logs a decision about a request.
     pub fn request(&self, now: Time, record: &RequestRecord) {
         let event = match record.decision {
             Decision::Retried => LogEvent::RequestRetried,
@@ -109,7 +109,7 @@
         );
     }
 
-    /// A client's session was refused before it began. The client's key is a secret and is not told.
+    /// Logs the refusal of a session. The client's key is a secret and is not logged.
     pub fn session_refused(&self, now: Time, session: SessionId, code: ResultCode) {
         let event = match code {
             ResultCode::NotAuthenticated => LogEvent::KeyRefused,
@@ -121,7 +121,7 @@
         }
     }
 
-    /// A zone is evacuated, or is no longer.
+    /// Logs the start or end of an evacuation.
     pub fn evacuation(&self, now: Time, line: &EvacuationLine<'_>) {
         let event = LogEvent::EvacuationChanged;
         if let Some(left_out) = self.admit(now, event) {
@@ -137,7 +137,7 @@
         }
     }
 
-    /// What is known of a back end that leaves.
+    /// Logs a change in the shutdown of a back end.
     pub fn leaving(&self, now: Time, backend: &BackendId, change: LeavingChange) {
         let event = match change {
             LeavingChange::Began { .. } => LogEvent::BackendLeaving,
@@ -164,7 +164,7 @@
         }
     }
 
-    /// A back end is cold, or has warmed up.
+    /// Logs that a back end is cold or has warmed up.
     pub fn warm_up(&self, now: Time, backend: &BackendId, left: Option<Duration>) {
         let event = LogEvent::WarmUpChanged;
         if let Some(left_out) = self.admit(now, event) {
@@ -175,7 +175,7 @@
         }
     }
 
-    /// A back end that another node finds silent was looked at.
+    /// Logs the check of a back end that another node reported as silent.
     pub fn verified(&self, now: Time, backend: &BackendId, asker: NodeId, is_silent: bool) {
         let event = LogEvent::SilenceVerified;
         if let Some(left_out) = self.admit(now, event) {
@@ -185,7 +185,7 @@
         }
     }
 
-    /// What the node's links carried since it began.
+    /// Logs the traffic counters since the node started.
     pub fn traffic(
         &self,
         now: Time,
@@ -209,7 +209,7 @@
         }
     }
 
-    /// A coordinator of tenants' limits did not answer, and another is asked.
+    /// Logs that a limit coordinator did not reply and another one is used.
     pub fn coordinator(&self, now: Time, shard: Shard, silent: NodeId, next: Option<NodeId>) {
         let event = LogEvent::LimitCoordinatorSilent;
         if let Some(left_out) = self.admit(now, event) {
@@ -226,7 +226,7 @@
         }
     }
 
-    /// A step of the failover duty.
+    /// Logs a step of a failover.
     pub fn failover_action(&self, now: Time, service: &ServiceName, action: &Action) {
         let event = match action {
             Action::Began { .. } => LogEvent::FailoverBegan,
@@ -248,7 +248,7 @@
         }
     }
 
-    /// A holder gives no sign of life, or gives one again.
+    /// Logs that a connection holder has gone silent or replies again.
     pub fn holder(&self, now: Time, holder: NodeId, is_silent: bool) {
         let event = if is_silent {
             LogEvent::HolderSilent
@@ -261,7 +261,7 @@
         }
     }
 
-    /// A change of what is believed of a service's lead.
+    /// Logs a change of a service's leadership.
     pub fn lead(&self, now: Time, lead: &LeadLine<'_>) {
         let event = match lead.change {
             LeadChange::Confirmed => LogEvent::LeadConfirmed,
@@ -282,7 +282,7 @@
         }
     }
 
-    /// What came of asking a member to step down or to hold.
+    /// Logs the result of a step-down or hold request.
     pub fn reach(&self, now: Time, backend: &BackendId, via: &Via, reach: Reach) {
         let event = LogEvent::MemberAsked;
         if let Some(left_out) = self.admit(now, event) {
@@ -292,7 +292,7 @@
         }
     }
 
-    /// A change of what is believed of a back end.
+    /// Logs a change in the state of a back end or node.
     pub fn backend(&self, now: Time, event: LogEvent, backend: &str) {
         if let Some(left_out) = self.admit(now, event) {
             tracing::info!(
--- a/crates/stairward-runtime/src/member_requests.rs
+++ b/crates/stairward-runtime/src/member_requests.rs
@@ -1,5 +1,5 @@
-//! Questions to members of a group, outside any session: on connections that are kept for a moment, since an
-//! attempt to replace a primary asks several times.
+//! Requests to group members outside any session. Connections are reused for a short time, since a failover sends
+//! several requests to each member.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -15,21 +15,21 @@
 use crate::node::Node;
 use crate::wire::{MemberRequest, Wire};
 
-/// How long a member may take to answer.
+/// Timeout for a member request.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(800);
-/// Pause before a member that was busy, or has not received enough, is asked again.
+/// Delay before a request is repeated to a member that was at its connection limit or had not received enough log.
 const RETRY_DELAY: Duration = Duration::from_millis(15);
-/// How long a connection is kept after a question.
+/// How long a connection is kept after a request.
 const CONNECTION_RETENTION: Duration = Duration::from_millis(1_500);
 
-/// Connections to members that were asked a moment ago.
+/// Connections to members that were sent a request recently.
 #[derive(Default)]
 pub(crate) struct MemberConnections {
     by_member: BTreeMap<BackendId, Opened>,
 }
 
 impl<W: Wire> Node<W> {
-    /// Asks a member.
+    /// Sends a request to a member and waits for its reply.
     pub(crate) async fn ask_member(
         self: &Rc<Self>,
         target: OpenTarget,
@@ -57,11 +57,11 @@
             self.cache_connection(target, opened);
             return reach;
         }
-        // None was kept, or it has ended since.
+        // No connection was kept, or it has failed.
         let mut opened = loop {
             match open_connection::<W>(target).await {
                 Ok(opened) => break opened,
-                // Callers' connections come and go.
+                // Connections of callers are closed soon, so a free one is likely.
                 Err(OpenFailure::ConnectionLimit) => Self::pause(RETRY_DELAY).await,
                 Err(OpenFailure::Refused) => return Reach::Refused,
                 Err(_) => return Reach::Silent,
@@ -102,8 +102,8 @@
     }
 }
 
-/// Asks on a connection. A member that is to step down is first asked whether it leads: only then does its
-/// answer show that its lead has ended.
+/// Sends a request on a connection. Before a step-down the member's role is queried: only a member that was primary
+/// before proves by its reply that its leadership has ended.
 async fn request_on_connection<W: Wire>(
     opened: &mut Opened,
     request: MemberRequest,
@@ -122,7 +122,8 @@
     })
 }
 
-/// Asks on a connection until there is an answer that says enough; none when the connection fails.
+/// Repeats a request on a connection until the reply is sufficient or half of the timeout has passed; none if the
+/// connection fails.
 async fn request_until_sufficient<W: Wire>(
     opened: &mut Opened,
     request: MemberRequest,
--- a/crates/stairward-runtime/src/membership.rs
+++ b/crates/stairward-runtime/src/membership.rs
@@ -1,5 +1,5 @@
-//! Driving the membership state machine over UDP, and what follows from the view: how many nodes share the
-//! back ends, and which of them hold a service's connections.
+//! Runs the membership protocol over UDP and derives from its view how many nodes share the back ends and which of
+//! them hold each service's connections.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -21,34 +21,34 @@
 use crate::traffic::TrafficKind;
 use crate::wire::Wire;
 
-/// Time between the starts of two probes. Losses of nodes only change shares here, so it need not be short.
+/// Interval between probes. A node failure only changes connection shares, so detection need not be fast.
 const PROBE_INTERVAL: Duration = Duration::from_millis(500);
-/// Shortest time between two lookings at the view, so that many changes at once cost little.
+/// Minimum interval between updates from the view, so that a burst of changes is applied at once.
 const VIEW_INTERVAL: Duration = Duration::from_millis(500);
-/// The first view is looked at once it has not changed for this long: a fleet that starts fills it within 0.3 s
-/// (`fleetbench run`, 295 nodes), and until then a node does not know what is for others to do.
+/// The first view is applied once it has not changed for this long. A starting fleet fills it within 0.3 s
+/// (`fleetbench run`, 295 nodes); with an incomplete view a node would take on work that belongs to others.
 const FIRST_VIEW_SETTLE_TIME: Duration = Duration::from_millis(100);
-/// Pause between two tellings of the number of nodes, so that a larger one is forgotten in time.
+/// Interval at which the number of nodes is reported even if unchanged, so that a larger earlier number expires.
 const COUNT_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Who a node is among its peers.
+/// Identity and address of a node among its peers.
 #[derive(Debug, Clone)]
 pub struct PeerIdentity {
-    /// Its number, the same in each life of its process.
+    /// Node id, stable across restarts of the process.
     pub node: NodeId,
-    /// Where it listens for peers, by TCP and UDP.
+    /// Listen address for peers, for both TCP and UDP.
     pub address: SocketAddr,
     /// Its region.
     pub region: RegionName,
     /// Its zone.
     pub zone: ZoneName,
-    /// Addresses of peers, which may be stale.
+    /// Addresses of peers to join through; some may be stale.
     pub seeds: Vec<SocketAddr>,
-    /// Shared by all nodes; packets and links without it are refused.
+    /// Secret shared by all nodes; packets and links without it are refused.
     pub key: ClusterKey,
 }
 
-/// The number of the process's present life: later lives have higher ones, as far as the clock allows.
+/// Incarnation of this process, from the wall clock: it rises with every restart unless the clock is set back.
 fn incarnation() -> Incarnation {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
     let milliseconds = since_epoch.map_or(0, |elapsed| elapsed.as_millis());
@@ -56,7 +56,7 @@
 }
 
 impl<W: Wire> Node<W> {
-    /// Takes part in membership. Runs for ever.
+    /// Runs the membership protocol on a socket. Never returns.
     pub async fn run_membership(self: Rc<Self>, socket: UdpSocket) {
         let mut random: StdRng = rand::make_rng();
         let identity = &self.peer;
@@ -109,7 +109,7 @@
                     Effect::Send { to, packet } => {
                         if let Ok(bytes) = encode(&packet, &identity.key) {
                             self.traffic.sent(TrafficKind::Membership, bytes.len());
-                            // A datagram that can't be sent counts as lost on the way.
+                            // A send error is treated like a lost datagram.
                             let _ = socket.try_send_to(&bytes, to);
                         }
                     }
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Whether a node is believed to live.
+    /// Whether a node is in the membership view.
     #[must_use]
     pub fn is_member(&self, node: NodeId) -> bool {
         self.members
@@ -146,7 +146,7 @@
             .any(|member| member.node == node)
     }
 
-    /// Takes the membership view in.
+    /// Applies a new membership view.
     fn set_members(self: &Rc<Self>, members: Vec<Profile>) {
         let count = members.iter().filter(|member| !member.leaving).count();
         let (leaving, live): (Vec<_>, Vec<_>) = members.iter().partition(|member| member.leaving);
@@ -167,7 +167,7 @@
         self.update_leader_users();
     }
 
-    /// Takes a configuration's services in: how many nodes hold connections to each.
+    /// Updates the maximum number of holders of every configured service.
     pub(crate) fn set_services(self: &Rc<Self>, table: &RoutingTable) {
         let counts = table.services.iter().map(|(service, limits)| {
             let count = self.holder_demand(service, limits).holders();
@@ -185,7 +185,7 @@
         self.apply_holder_changes(changes);
     }
 
-    /// Takes in what has been learnt of the back ends of these services: how many nodes hold connections to each.
+    /// Updates the maximum number of holders of services whose back ends changed.
     pub(crate) fn update_services(self: &Rc<Self>, services: &BTreeSet<ServiceName>) {
         let Some(table) = self.routing_table() else {
             return;
@@ -218,7 +218,7 @@
         }
     }
 
-    /// Takes the membership view in: who of them holds connections to which services.
+    /// Recomputes the holders of each service from the membership view.
     fn update_holders(self: &Rc<Self>) {
         let (regions, changes) = {
             let members = self.members.borrow();
@@ -239,7 +239,7 @@
         }
     }
 
-    /// Shows the engine whose holders have changed.
+    /// Passes changed holders to the engine.
     fn apply_holder_changes(self: &Rc<Self>, changes: BTreeMap<ServiceName, ServiceHolders>) {
         if !changes.is_empty() {
             self.handle(stairward_engine::Event::HoldersChanged(changes));
--- a/crates/stairward-runtime/src/node.rs
+++ b/crates/stairward-runtime/src/node.rs
@@ -1,4 +1,4 @@
-//! The node: engine and duty, and the carrying out of what they decide.
+//! The node: owns the engine and the failover state machine and executes their effects.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -38,24 +38,24 @@
 use crate::traffic::Traffic;
 use crate::wire::Wire;
 
-/// How a node is set up.
+/// Configuration and dependencies of a [`Node`].
 pub struct NodeOptions {
-    /// For the engine.
+    /// Options of the statement engine.
     pub engine: EngineOptions,
-    /// For the failover duty.
+    /// Options of the failover state machine.
     pub failover: FailoverOptions,
-    /// How long a leader counts as confirmed after a replica was asked, and how long whoever replaces it waits
-    /// therefore. None where a leader that was replaced accepts nothing any more.
+    /// How long a leader stays confirmed after a replica was queried, and therefore how long a failover waits before
+    /// it promotes another. None when a replaced leader accepts no more statements.
     pub leadership_lease: Option<Duration>,
-    /// The store and the promotion call.
+    /// The metadata store and the promotion call.
     pub coordination: Rc<dyn Coordination>,
-    /// Who the node is among its peers.
+    /// The node's identity and address among its peers.
     pub peer: PeerIdentity,
-    /// Told whether the node is ready.
+    /// Updated whenever the node becomes ready or unready.
     pub readiness: Arc<Readiness>,
 }
 
-/// One node. Use it within a `LocalSet`.
+/// One node. Must be used within a `LocalSet`.
 pub struct Node<W: Wire> {
     pub(crate) engine: RefCell<Engine>,
     pub(crate) failover: RefCell<FailoverDuty>,
@@ -67,28 +67,28 @@
     pub(crate) discovered: RefCell<BackendRegistry>,
     pub(crate) leader_memory: RefCell<LeaderMemory>,
     pub(crate) peer: PeerIdentity,
-    /// The membership view.
+    /// The members of the current membership view.
     pub(crate) members: RefCell<Vec<Profile>>,
-    /// Which nodes hold connections to which services.
+    /// Which nodes hold connections to the back ends of each service.
     pub(crate) holders: RefCell<HolderAssignments>,
     pub(crate) links: RefCell<BTreeMap<NodeId, Link>>,
     pub(crate) remote_sessions: RefCell<RemoteSessions>,
     pub(crate) member_connections: RefCell<MemberConnections>,
-    /// The peers that pass questions on, and hear of silent back ends.
+    /// Peers that relay member requests and receive reports of silent back ends.
     pub(crate) relay_peers: RefCell<Vec<NodeId>>,
-    /// Other nodes that live or lived a while ago.
+    /// Other nodes that are members or were recently, and so may still use a leader.
     pub(crate) leader_users: RefCell<BTreeMap<NodeId, LeaderUser>>,
-    /// The version of the record of the number of nodes.
+    /// Version of the fleet size record.
     fleet_version: Cell<RecordVersion>,
-    /// The zones to whose back ends nothing is to be sent.
+    /// Evacuated zones: their back ends receive no statements.
     pub(crate) evacuated: RefCell<BTreeSet<ZoneName>>,
     /// The region of each zone.
     pub(crate) zone_regions: BTreeMap<ZoneName, RegionName>,
-    /// The weight of each service's work that is allowed in each region; empty where none is bound to regions.
+    /// For each service, the weight of the work allowed in each region; empty for services without region limits.
     pub(crate) allowed_work: RefCell<BTreeMap<ServiceName, BTreeMap<RegionName, u64>>>,
     pub(crate) feeds: Feeds,
     pub(crate) log: DecisionLog,
-    /// What the links carry, by kind.
+    /// Traffic counters of the peer links, by message kind.
     pub(crate) traffic: Traffic,
     last_session: Cell<u64>,
     rescheduled: Notify,
@@ -99,7 +99,7 @@
     wire: std::marker::PhantomData<W>,
 }
 
-/// Bytes on their way out, by where they go, so that each connection is written to once a turn.
+/// Encoded output per connection, so that each connection is written to once per engine event.
 #[derive(Default)]
 struct PendingWrites {
     to_sessions: BTreeMap<SessionId, BytesMut>,
@@ -107,7 +107,7 @@
 }
 
 impl<W: Wire> Node<W> {
-    /// A node that knows nothing yet.
+    /// Creates a node without configuration, back ends or peers.
     #[must_use]
     pub fn new(options: NodeOptions) -> Rc<Self> {
         let zone_regions = options.engine.regions.clone();
@@ -158,33 +158,32 @@
         })
     }
 
-    /// The present moment on the node's own steady clock.
+    /// The current time of the node's monotonic clock.
     #[must_use]
     pub fn now(&self) -> Time {
         Time::ZERO + self.started.elapsed()
     }
 
-    /// Puts a configuration in force, unless a newer one is.
+    /// Applies a configuration, unless the current one is as new or newer.
     pub fn apply_configuration(self: &Rc<Self>, table: RoutingTable) {
         let revision = table.revision;
         let known = self.routing_table().map(|known| known.revision);
         if known.is_some_and(|known| revision <= known) {
             return;
         }
-        // Before the engine opens connections: other nodes may hold them.
+        // Must precede the engine event, which opens connections that other nodes may be assigned to hold.
         self.set_services(&table);
         *self.allowed_work.borrow_mut() = table.allowed_work(self.zone_regions.values());
         self.handle(Event::Configured(Arc::new(table)));
         tracing::info!(
             event = LogEvent::ConfigurationApplied.number(),
             revision = revision.0,
-            "a configuration is known"
+            "configuration applied"
         );
         self.update_all_failover_groups();
     }
 
-    /// Takes in the zones to whose back ends nothing is to be sent, whole. What is new in them came about after
-    /// `since`, or at any time where that is not known.
+    /// Replaces the set of evacuated zones. The change happened after `since`, or at an unknown time if that is none.
     pub fn set_evacuated_zones(self: &Rc<Self>, zones: BTreeSet<ZoneName>, since: Option<Time>) {
         if *self.evacuated.borrow() == zones {
             return;
@@ -194,16 +193,17 @@
         self.update_all_failover_groups();
     }
 
-    /// Takes in what differs in discovery's list. It came about after `since`, or at any time where that is not known.
+    /// Applies a change of the discovered back ends. The change happened after `since`, or at an unknown time if that
+    /// is none.
     pub fn apply_discovery(self: &Rc<Self>, change: DiscoveryChange, since: Option<Time>) {
         let touched = self.discovered.borrow_mut().apply(self.now(), &change);
-        // Before the engine opens connections: how many nodes hold them follows from what the back ends can use.
+        // Must precede the engine event, which opens connections: the number of holders depends on the back ends' slots.
         self.update_services(&touched);
         self.handle(Event::BackendsChanged { change, since });
         self.update_failover_groups(&touched);
     }
 
-    /// The number of nodes on record, as the store shows it; 0 where it shows no record.
+    /// Sets the fleet size recorded in the store; 0 if there is no record.
     pub fn apply_fleet_size(self: &Rc<Self>, version: RecordVersion, nodes: u32) {
         self.fleet_version.set(version);
         self.handle(Event::FleetRecorded(nodes));
@@ -221,34 +221,34 @@
                 FleetSizeWrite::Failed => tracing::warn!(
                     event = LogEvent::StoreUnreachable.number(),
                     nodes,
-                    "the number of nodes could not be recorded; it is tried again"
+                    "could not write the number of nodes to the store; the write is retried"
                 ),
             }
         });
     }
 
-    /// How many nodes share the back ends.
+    /// Sets how many nodes share the back ends.
     pub(crate) fn set_nodes(self: &Rc<Self>, nodes: u32) {
         self.handle(Event::Nodes(nodes));
         self.handle_failover_event(stairward_failover::Event::Nodes(nodes));
     }
 
-    /// Begins a planned stop.
+    /// Begins a graceful shutdown.
     pub fn stop(self: &Rc<Self>) {
         tracing::info!(
             event = LogEvent::DrainStarted.number(),
-            "a planned stop begins"
+            "graceful shutdown started"
         );
         self.is_stop_requested.set(true);
         self.handle(Event::StopRequested);
     }
 
-    /// Whether a planned stop is under way.
+    /// Whether a graceful shutdown has begun.
     pub(crate) fn is_stopping(&self) -> bool {
         self.is_stop_requested.get()
     }
 
-    /// Waits until a planned stop is complete.
+    /// Waits until the graceful shutdown is complete.
     pub async fn stopped(&self) {
         while !self.is_stopped.get() {
             self.stopped.notified().await;
@@ -261,30 +261,30 @@
         self.engine.borrow().routing_table().cloned()
     }
 
-    /// The newest proved position of a service's leader, and its age.
+    /// The newest proved log position of a service's leader, and the age of the proof.
     pub(crate) fn proved_position(&self, service: &ServiceName) -> Option<(Freshness, Duration)> {
         let now = self.now();
         self.engine.borrow().proved_position(now, service)
     }
 
-    /// What is known of a service's lead: the newest term that may have begun, and the age of that.
+    /// The newest term of a service that may have begun, and the age of that information.
     pub(crate) fn known_lead(&self, service: &ServiceName) -> Option<(Term, Duration)> {
         let now = self.now();
         self.engine.borrow().known_lead(now, service)
     }
 
-    /// The newest term of a service that was seen in any answer.
+    /// The newest term of a service seen in any reply.
     pub(crate) fn newest_term(&self, service: &ServiceName) -> Term {
         self.engine.borrow().newest_term(service)
     }
 
-    /// Answers another node's question about tenants' limits.
+    /// Grants tenant limits to another node, as their coordinator.
     pub(crate) fn grant_limit(&self, node: NodeId, ask: &Ask) -> Grant {
         let now = self.now();
         self.engine.borrow_mut().answer_limit(now, node, ask)
     }
 
-    /// Figures for metrics.
+    /// Counters of the engine, for metrics.
     #[must_use]
     pub fn statistics(&self) -> EngineStatistics {
         self.engine.borrow().statistics()
@@ -295,7 +295,7 @@
         SessionId(self.last_session.get())
     }
 
-    /// Gives the engine an event and carries out what it decides.
+    /// Passes an event to the engine and executes the resulting effects.
     pub(crate) fn handle(self: &Rc<Self>, event: Event) {
         let now = self.now();
         let (effects, wake_at, is_ready) = {
@@ -321,7 +321,7 @@
         }
     }
 
-    /// Wakes the engine when something is due. Runs for ever.
+    /// Sends the engine a tick whenever one of its deadlines is due. Never returns.
     pub async fn run_timers(self: Rc<Self>) {
         loop {
             let wake_at = self.engine.borrow().next_wake();
@@ -481,7 +481,7 @@
         }
     }
 
-    /// A session's socket failed while it was written to: the engine hears of it in a turn of its own.
+    /// Ends a session whose socket failed on write. Deferred to a new task, since effects are still being executed.
     fn defer_session_end(self: &Rc<Self>, session: SessionId) {
         let node = Rc::clone(self);
         tokio::task::spawn_local(async move { node.session_ended(session) });
@@ -542,7 +542,7 @@
         }
     }
 
-    /// A pause for tasks that wait for something to change.
+    /// Sleeps for a while.
     pub(crate) async fn pause(duration: Duration) {
         tokio::time::sleep(duration).await;
     }
--- a/crates/stairward-runtime/src/peer_link.rs
+++ b/crates/stairward-runtime/src/peer_link.rs
@@ -1,4 +1,4 @@
-//! Connections between nodes, message by message, and asking a peer for a document over one of its own.
+//! Framed connections between nodes, and fetching a document from a peer over a separate connection.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -14,14 +14,14 @@
 use crate::compression::decompress;
 use crate::socket::Outgoing;
 
-/// How long a link may take to be made.
+/// Timeout for connecting to a node.
 const LINK_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long a peer may take to answer with a document.
+/// Timeout for fetching a document from one peer.
 const DOCUMENT_TIMEOUT: Duration = Duration::from_millis(800);
-/// Room made for reading at once.
+/// Buffer space reserved before each read.
 const READ_SIZE: usize = 8 * 1024;
 
-/// A connection from or to another node, read message by message.
+/// Reads messages from a connection to another node.
 pub(crate) struct MessageReader {
     reading: OwnedReadHalf,
     buffer: BytesMut,
@@ -29,7 +29,7 @@
 }
 
 impl MessageReader {
-    /// Reads from a connection that another node made.
+    /// Wraps the reading half of a connection.
     pub(crate) fn new(reading: OwnedReadHalf) -> Self {
         Self {
             reading,
@@ -38,12 +38,12 @@
         }
     }
 
-    /// The bytes of the message that came last.
+    /// Length in bytes of the last message.
     pub(crate) fn last_length(&self) -> usize {
         self.last_length
     }
 
-    /// The next message; none when the connection has ended or breaks the protocol.
+    /// The next message; none at the end of the connection or after a protocol violation.
     pub(crate) async fn next(&mut self) -> Option<NeighbourMessage> {
         loop {
             let held = self.buffer.len();
@@ -59,15 +59,15 @@
     }
 }
 
-/// A message as bytes.
+/// Encodes a message as a frame.
 pub(crate) fn frame(message: &NeighbourMessage) -> BytesMut {
     let mut bytes = BytesMut::new();
-    // Only a message over the limit can't be encoded, and none is made that long.
+    // Encoding fails only for a message over the size limit, and none is built that long.
     let _ = encode_frame(message, &mut bytes);
     bytes
 }
 
-/// Connects to a node.
+/// Connects to a node within [`LINK_TIMEOUT`].
 pub(crate) async fn connect(address: SocketAddr) -> Option<(MessageReader, Rc<Outgoing>)> {
     let connecting = TcpStream::connect(address);
     let stream = tokio::time::timeout(LINK_TIMEOUT, connecting)
@@ -78,7 +78,7 @@
     Some((MessageReader::new(reading), outgoing))
 }
 
-/// Asks peers, one after the other, for a document that the store holds.
+/// Fetches a document of the store from the first of these peers that has it, tried in order.
 pub async fn fetch_document(peers: &[SocketAddr], name: &str) -> Option<Vec<u8>> {
     for peer in peers {
         let asking = async {
--- a/crates/stairward-runtime/src/peers.rs
+++ b/crates/stairward-runtime/src/peers.rs
@@ -1,5 +1,5 @@
-//! Links between nodes: statements forwarded to holders of connections, and documents for a node that
-//! can't read the store or leaves that to others.
+//! Links between nodes: they carry statements forwarded to connection holders, feeds, documents for nodes that do not
+//! read the store, and requests of the failover and limit protocols.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -22,27 +22,27 @@
 use crate::traffic::{OpeningKind, TrafficKind};
 use crate::wire::Wire;
 
-/// Peers asked at once for a position.
+/// Number of peers queried at once for a leader's log position.
 const POSITION_PEERS: usize = 2;
-/// Pause after a link could not be accepted.
+/// Delay after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// A link to a holder.
+/// An outgoing link to another node.
 pub(crate) enum Link {
-    /// It is being made; these bytes wait.
+    /// Being connected; holds the bytes to send once it is open.
     Opening(BytesMut),
-    /// It can be written to.
+    /// Connected.
     Open(Rc<Outgoing>),
 }
 
-/// A session of another node whose statements run here.
+/// A session of another node that forwards statements to this one, with its latest request.
 pub(crate) struct RemoteSession {
     outgoing: Rc<Outgoing>,
     session: u64,
     request: u64,
 }
 
-/// Sessions of other nodes, by both numbers.
+/// Sessions of other nodes, by local session id and by link and remote session id.
 #[derive(Default)]
 pub(crate) struct RemoteSessions {
     by_local_id: BTreeMap<SessionId, RemoteSession>,
@@ -51,7 +51,7 @@
 }
 
 impl<W: Wire> Node<W> {
-    /// Accepts links of other nodes. Runs for ever.
+    /// Accepts links from other nodes. Never returns.
     pub async fn accept_peers(self: Rc<Self>, listener: TcpListener) {
         loop {
             match listener.accept().await {
@@ -87,7 +87,7 @@
         self.follower_link_lost(link);
     }
 
-    /// Takes a message of another node in, and answers it where it is a question. False when the link is to end.
+    /// Handles a message of another node and sends the reply, if any. Returns false if the link must be closed.
     async fn handle_peer_message(
         self: &Rc<Self>,
         link: u64,
@@ -183,7 +183,7 @@
         answer.is_none_or(|answer| self.send_message(outgoing, &answer))
     }
 
-    /// Sends a message over a link; false when the link has failed.
+    /// Sends a message over a link. Returns false if the link has failed.
     pub(crate) fn send_message(&self, outgoing: &Rc<Outgoing>, message: &NeighbourMessage) -> bool {
         let bytes = frame(message);
         self.traffic.sent(TrafficKind::of(message), bytes.len());
@@ -201,7 +201,7 @@
         }
     }
 
-    /// Runs a statement for a session of another node. False when it is not understood.
+    /// Runs a statement for a session of another node. Returns false if the message is malformed.
     fn handle_forwarded(
         self: &Rc<Self>,
         link: u64,
@@ -219,7 +219,7 @@
         true
     }
 
-    /// The own number of another node's session, with its request under way.
+    /// Returns the local id of another node's session and records its current request.
     fn remote_session(
         &self,
         link: u64,
@@ -267,7 +267,7 @@
         }
     }
 
-    /// Sends an answer to the node whose session it is for; gives it back when the session is this node's.
+    /// Sends a response to the node that forwarded the statement. Returns it unsent if the session is local.
     pub(crate) fn answer_remote_session(
         &self,
         session: SessionId,
@@ -278,12 +278,12 @@
             return Some(response);
         };
         let answer = answer_message(guest.session, guest.request, response);
-        // A link that has failed ends in its reader.
+        // A failed link is cleaned up by the task that reads it.
         let _ = self.send_message(&guest.outgoing, &NeighbourMessage::Answer(answer));
         None
     }
 
-    /// The engine has ended another node's session, which was at rest.
+    /// Removes another node's idle session after the engine has closed it.
     pub(crate) fn forget_remote_session(&self, session: SessionId) {
         let mut remote_sessions = self.remote_sessions.borrow_mut();
         if remote_sessions.by_local_id.remove(&session).is_some() {
@@ -293,7 +293,7 @@
         }
     }
 
-    /// Forwards a statement to a holder.
+    /// Forwards a statement to a connection holder.
     pub(crate) fn forward(
         self: &Rc<Self>,
         holder: NodeId,
@@ -306,7 +306,7 @@
         }
     }
 
-    /// Tells a holder that a session has ended.
+    /// Tells a connection holder that a session has ended.
     pub(crate) fn close_forwarded(self: &Rc<Self>, holder: NodeId, session: SessionId) {
         if self.links.borrow().contains_key(&holder) {
             let message = NeighbourMessage::CloseSession { session: session.0 };
@@ -416,7 +416,7 @@
         self.link_lost(holder);
     }
 
-    /// Asks two peers, chosen anew each time, how far a leader's log had come.
+    /// Queries randomly chosen peers for the proved log position of a service's leader.
     pub(crate) fn ask_peers_for_position(self: &Rc<Self>, service: &ServiceName) {
         let others: Vec<NodeId> = {
             let members = self.members.borrow();
@@ -445,7 +445,7 @@
         }
     }
 
-    /// Asks another node what it knows of a service's lead.
+    /// Queries another node for the newest term of a service that it knows may have begun.
     pub(crate) fn ask_lead(self: &Rc<Self>, holder: NodeId, service: &ServiceName) {
         let message = NeighbourMessage::AskLead {
             service: Text::new(service.as_str()),
@@ -454,14 +454,14 @@
         self.send_to_peer(holder, &message);
     }
 
-    /// Answers a question about tenants' limits, as coordinator; none when it is not understood.
+    /// Answers a request for tenant limits, as coordinator; none if the message is malformed.
     fn limit_answer(&self, message: &LimitAsk) -> Option<NeighbourMessage> {
         let (node, ask) = ask_of(message)?;
         let grant = self.grant_limit(node, &ask);
         Some(NeighbourMessage::GrantLimit(grant_message(grant)))
     }
 
-    /// What is known of a lead; none where nothing is. It is kept known from now on.
+    /// The newest term of a service that may have begun; none if unknown. The engine keeps it up to date from now on.
     fn lead_answer(
         self: &Rc<Self>,
         service: Text,
--- a/crates/stairward-runtime/src/prometheus.rs
+++ b/crates/stairward-runtime/src/prometheus.rs
@@ -1,4 +1,4 @@
-//! The node's figures: counters and latency histograms, shown as text for Prometheus.
+//! The node's Prometheus metrics: counters, gauges and latency histograms.
 
 use metrics_exporter_prometheus::{BuildError, PrometheusBuilder, PrometheusHandle};
 use stairward_engine::{Consistency, EngineStatistics, RequestMeasure, ZoneWork};
@@ -9,13 +9,13 @@
 
 use crate::traffic::Traffic;
 
-/// Requests that ended, by what their reads must see, access and outcome.
+/// Finished requests, by consistency, access and outcome.
 const REQUESTS: &str = "stairward_requests_total";
-/// Time from a request's arrival to its answer, in seconds, by the same.
+/// Time from arrival to response in seconds, by the same labels.
 const LATENCY: &str = "stairward_request_seconds";
-/// Reads that a back end answered, by its role.
+/// Reads answered by a back end, by its role.
 const READS: &str = "stairward_reads_total";
-/// Steps of the failover duty, by kind.
+/// Failover steps, by kind.
 const FAILOVER_STEPS: &str = "stairward_failover_steps_total";
 /// Open sessions.
 const SESSIONS: &str = "stairward_sessions";
@@ -23,37 +23,37 @@
 const CONNECTIONS: &str = "stairward_backend_connections";
 /// Connections to back ends of an evacuated zone, by zone.
 const EVACUATED_CONNECTIONS: &str = "stairward_evacuated_connections";
-/// Statements under way at back ends of an evacuated zone, by zone.
+/// Statements in progress at back ends of an evacuated zone, by zone.
 const EVACUATED_STATEMENTS: &str = "stairward_evacuated_statements";
-/// Statements sent to back ends that were leaving, counted when their time was over.
+/// Statements sent to leaving back ends, added once the back end no longer gets work.
 const SENT_TO_LEAVING: &str = "stairward_statements_to_leaving_total";
-/// Starts of back ends under an id that they had before, by service.
+/// Restarts of back ends under the same id, by service.
 const BACKEND_STARTS: &str = "stairward_backend_starts_total";
-/// Entries of back ends that were left out, by reason.
+/// Ignored discovery entries of back ends, by reason.
 const ENTRIES_REFUSED: &str = "stairward_entries_refused_total";
-/// The copy of the store that answers: it rises each time that the store comes back from an older copy.
+/// Era of the store, which rises each time the store is restored from an older copy.
 const STORE_ERA: &str = "stairward_store_era";
-/// The store's revision that a feed holds, as the copy of the store counts that it follows, by feed.
+/// Store revision of a feed's objects within the store's current era, by feed.
 const FEED_REVISION: &str = "stairward_feed_revision";
-/// Requests that wait.
+/// Queued requests.
 const WAITING: &str = "stairward_requests_waiting";
 /// Messages between nodes, by kind and direction.
 const PEER_MESSAGES: &str = "stairward_peer_messages_total";
 /// Bytes of messages between nodes, by kind and direction.
 const PEER_BYTES: &str = "stairward_peer_bytes_total";
-/// Connections opened, by what for.
+/// Opened connections, by purpose.
 const OPENINGS: &str = "stairward_openings_total";
-/// Links to other nodes that are open or being opened.
+/// Outgoing links to other nodes, open or being opened.
 const LINKS: &str = "stairward_peer_links";
-/// Open connections that other nodes made.
+/// Open connections accepted from other nodes.
 const ACCEPTED: &str = "stairward_peer_connections_accepted";
-/// Upper ends of the histogram's buckets, in seconds.
+/// Upper bounds of the latency histogram's buckets, in seconds.
 const BUCKETS: [f64; 10] = [0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0];
 
-/// Starts counting in this process; a second start fails.
+/// Installs the process-wide metrics recorder.
 ///
 /// # Errors
-/// When counting was started before.
+/// When a recorder is already installed.
 pub fn install_recorder() -> Result<PrometheusHandle, BuildError> {
     PrometheusBuilder::new()
         .set_buckets(&BUCKETS)?
@@ -83,32 +83,32 @@
     }
 }
 
-/// Counts what was sent to a back end from when it was heard that it leaves.
+/// Adds the statements sent to a back end while it was leaving.
 pub(crate) fn count_sent_to_leaving(statements: u64) {
     metrics::counter!(SENT_TO_LEAVING).increment(statements);
 }
 
-/// Counts a start of a back end under the id that it had.
+/// Counts a restart of a back end under the same id.
 pub(crate) fn count_backend_start(service: &ServiceName) {
     metrics::counter!(BACKEND_STARTS, "service" => service.to_string()).increment(1);
 }
 
-/// Counts an entry of discovery that can't be used.
+/// Counts an ignored discovery entry.
 pub fn count_refused_entry(reason: &'static str) {
     metrics::counter!(ENTRIES_REFUSED, "reason" => reason).increment(1);
 }
 
-/// Shows which copy of the store answers.
+/// Sets the era of the store.
 pub fn set_store_era(era: u64) {
     metrics::gauge!(STORE_ERA).set(gauge_of_number(era));
 }
 
-/// Shows which revision of the store's a feed holds.
+/// Sets the store revision of a feed's objects.
 pub(crate) fn set_feed_revision(feed: &str, held: StoreRevision) {
     metrics::gauge!(FEED_REVISION, "feed" => feed.to_owned()).set(gauge_of_number(held.revision()));
 }
 
-/// Counts a request that ended.
+/// Counts a finished request.
 pub(crate) fn count_request(measure: &RequestMeasure) {
     let consistency = consistency_name(measure.consistency);
     let access = access_name(measure.access);
@@ -127,7 +127,7 @@
     }
 }
 
-/// Counts a step of the failover duty.
+/// Counts a failover step.
 pub(crate) fn count_failover_step(action: &Action) {
     let step = match action {
         Action::Began { .. } => "began",
@@ -143,7 +143,7 @@
 
 #[allow(
     clippy::cast_precision_loss,
-    reason = "a figure beyond 2^53 is shown rounded"
+    reason = "a value beyond 2^53 is exported rounded"
 )]
 const fn gauge_of_number(number: u64) -> f64 {
     number as f64
@@ -153,14 +153,14 @@
     f64::from(u32::try_from(count).unwrap_or(u32::MAX))
 }
 
-/// Shows what still goes on in an evacuated zone; nothing once it is taken back.
+/// Sets the remaining work in an evacuated zone; zero once the evacuation has ended.
 pub(crate) fn set_evacuated_zone_work(zone: &ZoneName, work: ZoneWork) {
     let zone = zone.as_str().to_owned();
     metrics::gauge!(EVACUATED_CONNECTIONS, "zone" => zone.clone()).set(gauge(work.connections));
     metrics::gauge!(EVACUATED_STATEMENTS, "zone" => zone).set(gauge(work.statements));
 }
 
-/// Shows what the links to other nodes carry.
+/// Sets the traffic counters of the peer links.
 pub(crate) fn set_peer_traffic(traffic: &Traffic, links: usize) {
     traffic.for_each_message_count(|kind, direction, messages, bytes| {
         metrics::counter!(PEER_MESSAGES, "kind" => kind, "direction" => direction)
@@ -174,7 +174,7 @@
     metrics::gauge!(ACCEPTED).set(gauge(traffic.accepted_open()));
 }
 
-/// Shows how much is open.
+/// Sets the numbers of sessions, connections and queued requests.
 pub(crate) fn set_engine_statistics(statistics: EngineStatistics) {
     metrics::gauge!(SESSIONS).set(gauge(statistics.sessions));
     metrics::gauge!(CONNECTIONS).set(gauge(statistics.connections));
--- a/crates/stairward-runtime/src/socket.rs
+++ b/crates/stairward-runtime/src/socket.rs
@@ -1,5 +1,5 @@
-//! The writing side of a connection: bytes go out at once where they can, and wait in a bounded buffer
-//! where the peer does not read.
+//! The writing half of a connection: bytes are written immediately if possible, and otherwise queued in a bounded
+//! buffer until the peer reads.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -12,20 +12,20 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::task::AbortHandle;
 
-/// Bytes that may wait for a peer that does not read.
+/// Maximum bytes queued for a peer that does not read.
 const PENDING_LIMIT: usize = 4 * 1024 * 1024;
-/// Unacknowledged bytes for this long end a connection.
+/// A connection is closed when sent bytes stay unacknowledged for this long.
 const USER_TIMEOUT: Duration = Duration::from_secs(4);
-/// A connection that carries nothing for this long is probed: one that has gone silent for good shows neither an end
-/// nor an error, and would be kept for ever.
+/// An idle connection is probed after this time: a peer that vanished causes neither an end of stream nor an error, and
+/// its connection would stay open forever.
 const KEEPALIVE_AFTER: Duration = Duration::from_secs(5);
-/// Pause between two probes, and how many without an answer end the connection.
+/// Interval between probes, and how many unanswered ones close the connection.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 const KEEPALIVE_PROBES: u32 = 3;
-/// How long a closing connection is given to take its last bytes.
+/// How long a closing connection may take to write its queued bytes.
 const FLUSH_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The writing side of a connection.
+/// The writing half of a connection.
 #[derive(Debug)]
 pub(crate) struct Outgoing {
     stream: OwnedWriteHalf,
@@ -35,9 +35,9 @@
 }
 
 impl Outgoing {
-    /// Splits a stream, with the options that every connection has.
+    /// Splits a stream and sets the socket options common to all connections.
     pub fn split(stream: TcpStream) -> (OwnedReadHalf, Rc<Self>) {
-        // Without these the connection works, only less promptly.
+        // Errors are ignored: without these options the connection works, but reacts later.
         let _ = stream.set_nodelay(true);
         let socket = SockRef::from(&stream);
         let _ = socket.set_tcp_user_timeout(Some(USER_TIMEOUT));
@@ -56,15 +56,15 @@
         (reading, Rc::new(outgoing))
     }
 
-    /// The task to end when the connection is closed from this side.
+    /// Sets the reading task, which is aborted when this side closes the connection.
     pub fn set_reader(&self, reader: AbortHandle) {
         *self.reader.borrow_mut() = Some(reader);
     }
 
-    /// Sends bytes, or keeps them until the peer reads.
+    /// Writes bytes, or queues them until the peer reads.
     ///
     /// # Errors
-    /// When the connection has ended, or too much waits.
+    /// When the connection has failed or the queue is full.
     pub fn send(self: &Rc<Self>, bytes: &[u8]) -> io::Result<()> {
         let mut pending = self.pending.borrow_mut();
         if !pending.is_empty() {
@@ -87,7 +87,7 @@
 
     fn check(pending: usize) -> io::Result<()> {
         if pending > PENDING_LIMIT {
-            return Err(io::Error::other("the peer does not read"));
+            return Err(io::Error::other("write queue full: the peer does not read"));
         }
         Ok(())
     }
@@ -116,7 +116,7 @@
         Ok(())
     }
 
-    /// Ends the connection once what waits has gone out.
+    /// Closes the connection after writing the queued bytes.
     pub fn close(self: &Rc<Self>) {
         if let Some(reader) = self.reader.borrow_mut().take() {
             reader.abort();
--- a/crates/stairward-runtime/src/statement_messages.rs
+++ b/crates/stairward-runtime/src/statement_messages.rs
@@ -1,4 +1,4 @@
-//! The engine's forwarded statements and answers as messages between nodes, and back.
+//! Conversion of forwarded statements and their responses between engine types and peer messages.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,13 +14,13 @@
 use stairward_protocol::{ByteString, OptionalFreshness};
 use stairward_types::{AccessClass, Freshness, GroupId, ResultCode, Revision, TenantName};
 
-/// How an answer ends, by number.
+/// Codes of a response's result on the wire.
 const COMPLETED: u8 = 0;
 const SIGNED: u8 = 1;
 const REFUSED: u8 = 2;
 const FAILED: u8 = 3;
 
-/// Back ends' errors in the order of their numbers.
+/// Back end errors, indexed by their code on the wire.
 const ERROR_CODES: [BackendErrorCode; 11] = [
     BackendErrorCode::InDoubt,
     BackendErrorCode::Busy,
@@ -58,7 +58,7 @@
     })
 }
 
-/// A forwarded statement as a message; none for a kind that is never forwarded.
+/// Converts a forwarded statement to a message; none for a kind that is never forwarded.
 pub(crate) fn statement_message(
     session: u64,
     request: u64,
@@ -101,7 +101,7 @@
     Some(message.with_values(values.collect()))
 }
 
-/// A message as a forwarded statement; none when it is not understood.
+/// Converts a message to a forwarded statement; none if it is malformed.
 pub(crate) fn forwarded_of(message: &ForwardedStatement) -> Option<Forwarded> {
     let mut values = BTreeMap::new();
     for value in &message.values {
@@ -147,7 +147,7 @@
     })
 }
 
-/// An answer as a message.
+/// Converts a response to a message.
 pub(crate) fn answer_message(session: u64, request: u64, response: Response) -> ForwardedAnswer {
     let (end, code, retry_after, body) = match response.result {
         ResponseResult::Completed { signature: None } => (COMPLETED, 0, 0, String::new()),
@@ -191,7 +191,7 @@
         .unwrap_or(0)
 }
 
-/// A message as an answer. What is not understood proves nothing.
+/// Converts a message to a response. Unknown codes become failures whose outcome is unknown.
 pub(crate) fn response_of(message: ForwardedAnswer) -> Response {
     let body = text(&message.text).unwrap_or_default();
     let result = match message.end {
--- a/crates/stairward-runtime/src/traffic.rs
+++ b/crates/stairward-runtime/src/traffic.rs
@@ -1,39 +1,39 @@
-//! What the node's links to other nodes carry, by kind, and how many connections were opened, by kind: the figures
-//! that say which part of the control traffic grows with the fleet.
+//! Counters of peer messages and opened connections by kind, which show the part of the control traffic that grows
+//! with the fleet.
 
 use std::cell::{Cell, RefCell};
 
 use stairward_protocol::neighbour::NeighbourMessage;
 use stairward_types::{Duration, Time};
 
-/// Pause between two log lines of a node's traffic: six lines a minute, whatever the load.
+/// Interval between traffic log lines, independent of load.
 const LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// What a message between nodes is for.
+/// Purpose of a message between nodes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum TrafficKind {
-    /// Statements forwarded to holders of connections, and their answers.
+    /// Statements forwarded to connection holders, and their responses.
     Forward,
-    /// Whether a holder is alive.
+    /// Liveness checks of connection holders.
     Liveness,
     /// Feeds of the store's objects.
     Feed,
-    /// Documents for a node that starts.
+    /// Documents fetched by starting nodes.
     Document,
-    /// Who leads a service.
+    /// Leadership of a service.
     Lead,
-    /// How far a leader's log had come.
+    /// Log positions of leaders.
     Position,
-    /// Loans and grants of tenants' limits.
+    /// Requests for and grants of tenant limits.
     Limit,
-    /// Questions and notices of the failover duty.
+    /// Requests and notices of the failover protocol.
     Failover,
-    /// Packets of the membership protocol, by UDP.
+    /// Membership protocol datagrams.
     Membership,
 }
 
 impl TrafficKind {
-    /// All kinds, in the order of their numbers.
+    /// All kinds, in the order of their discriminants.
     const ALL: [Self; 9] = [
         Self::Forward,
         Self::Liveness,
@@ -46,7 +46,7 @@
         Self::Membership,
     ];
 
-    /// The kind of a message.
+    /// Classifies a message.
     pub fn of(message: &NeighbourMessage) -> Self {
         match message {
             NeighbourMessage::Forward(_)
@@ -92,23 +92,23 @@
     }
 }
 
-/// What a connection was opened for.
+/// Purpose of an opened connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum OpeningKind {
     /// By a client.
     Client,
     /// To a back end.
     Backend,
-    /// To another node, to stay.
+    /// Long-lived link to another node.
     PeerLink,
-    /// To another node, for one message or question.
+    /// To another node, for a single message or request.
     OneShot,
-    /// By another node, of either kind.
+    /// By another node, long-lived or not.
     Accepted,
 }
 
 impl OpeningKind {
-    /// All kinds, in the order of their numbers.
+    /// All kinds, in the order of their discriminants.
     const ALL: [Self; 5] = [
         Self::Client,
         Self::Backend,
@@ -128,7 +128,7 @@
     }
 }
 
-/// Messages of one kind in one direction.
+/// Counter of messages of one kind in one direction.
 #[derive(Debug, Clone, Copy, Default)]
 struct Count {
     messages: u64,
@@ -142,29 +142,29 @@
     }
 }
 
-/// Counts since the process began. Counting costs an addition; they are shown now and then.
+/// Counters since the start of the process, exported periodically.
 #[derive(Debug, Default)]
 pub(crate) struct Traffic {
     sent: RefCell<[Count; TrafficKind::ALL.len()]>,
     received: RefCell<[Count; TrafficKind::ALL.len()]>,
     openings: RefCell<[u64; OpeningKind::ALL.len()]>,
-    /// Connections made by other nodes that are open.
+    /// Open connections that were accepted from other nodes.
     accepted_open: Cell<usize>,
     logged_at: Cell<Time>,
 }
 
 impl Traffic {
-    /// A message was sent, or handed to the socket.
+    /// Counts a message passed to the socket.
     pub fn sent(&self, kind: TrafficKind, bytes: usize) {
         self.sent.borrow_mut()[kind as usize].add(bytes);
     }
 
-    /// A message has come.
+    /// Counts a received message.
     pub fn received(&self, kind: TrafficKind, bytes: usize) {
         self.received.borrow_mut()[kind as usize].add(bytes);
     }
 
-    /// A connection was opened.
+    /// Counts an opened connection.
     pub fn opened(&self, kind: OpeningKind) {
         self.openings.borrow_mut()[kind as usize] += 1;
         if kind == OpeningKind::Accepted {
@@ -172,18 +172,18 @@
         }
     }
 
-    /// A connection that another node had made has ended.
+    /// Counts the end of a connection accepted from another node.
     pub fn accepted_ended(&self) {
         self.accepted_open
             .set(self.accepted_open.get().saturating_sub(1));
     }
 
-    /// Connections made by other nodes that are open.
+    /// Open connections that were accepted from other nodes.
     pub fn accepted_open(&self) -> usize {
         self.accepted_open.get()
     }
 
-    /// Gives every figure to whoever shows them: kind, direction, messages, bytes.
+    /// Calls `show` with kind, direction, messages and bytes of every counter.
     pub fn for_each_message_count(
         &self,
         mut show: impl FnMut(&'static str, &'static str, u64, u64),
@@ -197,7 +197,7 @@
         }
     }
 
-    /// Gives the number of openings of each kind to whoever shows them.
+    /// Calls `show` with each kind and its number of opened connections.
     pub fn for_each_opening_count(&self, mut show: impl FnMut(&'static str, u64)) {
         let openings = self.openings.borrow();
         for kind in OpeningKind::ALL {
@@ -205,7 +205,7 @@
         }
     }
 
-    /// Whether a log line is due.
+    /// Whether a log line is due; if so, starts the next interval.
     pub fn is_line_due(&self, now: Time) -> bool {
         let is_due = now.since(self.logged_at.get()) >= LOG_INTERVAL;
         if is_due {
@@ -214,7 +214,7 @@
         is_due
     }
 
-    /// All counts in one text: `kind=messages sent/bytes sent/messages received/bytes received`.
+    /// All message counters as text: `kind=messages sent/bytes sent/messages received/bytes received`.
     pub fn message_line(&self) -> String {
         let (sent, received) = (self.sent.borrow(), self.received.borrow());
         let of_kind = |kind: TrafficKind| {
@@ -231,7 +231,7 @@
         TrafficKind::ALL.map(of_kind).join(" ")
     }
 
-    /// All openings in one text.
+    /// All connection counters as text: `kind=count`.
     pub fn opening_line(&self) -> String {
         let openings = self.openings.borrow();
         let of_kind = |kind: OpeningKind| format!("{}={}", kind.name(), openings[kind as usize]);
--- a/crates/stairward-runtime/src/wire.rs
+++ b/crates/stairward-runtime/src/wire.rs
@@ -1,4 +1,4 @@
-//! The statement protocol, towards callers and back ends, as the node needs it.
+//! The statement protocol towards callers and back ends, as an interface for the embedding program.
 
 use std::fmt;
 
@@ -8,104 +8,104 @@
 };
 use stairward_types::{ApiKey, Freshness, ResultCode, Term};
 
-/// A message of a caller.
+/// A message from a caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CallerMessage {
-    /// The session's start, with the database asked for.
+    /// Opens the session on a database.
     Connect {
         /// The database's name.
         database: String,
-        /// The key that the client carries; none where it carries nothing.
+        /// The API key of the client, if it sent one.
         key: Option<ApiKey>,
     },
     /// A statement.
     Statement(Statement),
-    /// A statement that is not understood.
+    /// A malformed statement. The session continues.
     BadStatement,
-    /// The caller is done.
+    /// Closes the session.
     Terminate,
 }
 
-/// Bytes that are not the protocol. The connection is closed.
+/// A protocol violation, after which the connection is closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WireError {
     /// A message is larger than allowed.
     TooLarge,
-    /// A message is not understood.
+    /// A message is malformed.
     Malformed,
 }
 
 impl fmt::Display for WireError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
-            Self::TooLarge => "the message is too large",
-            Self::Malformed => "the message is not understood",
+            Self::TooLarge => "the message exceeds the maximum size",
+            Self::Malformed => "the message is malformed",
         })
     }
 }
 
 impl std::error::Error for WireError {}
 
-/// A question to a member of a group, outside any session.
+/// A request to a member of a group, outside any session. The member replies with its status.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MemberRequest {
-    /// What it says of itself.
+    /// Report the status.
     Status,
-    /// What it says of itself once it has received this.
+    /// Report the status once the log up to this point has been received.
     Received(Freshness),
-    /// Give way to this term, if it leads a lower one, and say what it has received.
+    /// Step down if primary in a term below this one, and report how much of the log has been received.
     StepDown(Term),
-    /// Stop receiving in terms below this one, and say what it has received.
+    /// Stop receiving log entries of terms below this one, and report how much has been received.
     Hold(Term),
-    /// Receive again.
+    /// End a hold and receive again.
     Resume,
 }
 
-/// A statement protocol. Decoders take whole messages off the buffer's front and give none while the
-/// first message is not complete.
+/// A statement protocol. Decoders remove complete messages from the front of the buffer and return none while the
+/// first one is incomplete.
 pub trait Wire: 'static {
-    /// Collects the parts of a back end's answer.
+    /// State of a partly received reply of a back end.
     type ReplyDecoder: Default;
 
-    /// Takes a caller's next message.
+    /// Decodes the next message from a caller.
     ///
     /// # Errors
-    /// When the bytes are not the protocol.
+    /// [`WireError`] on a protocol violation.
     fn decode_caller(buffer: &mut BytesMut) -> Result<Option<CallerMessage>, WireError>;
 
-    /// Tells a caller that its session has begun.
+    /// Encodes the acceptance of a session.
     fn encode_accept(out: &mut BytesMut);
 
-    /// Tells a caller that its session ends before it began.
+    /// Encodes the refusal of a session.
     fn encode_refusal(code: ResultCode, out: &mut BytesMut);
 
-    /// Answers a statement.
+    /// Encodes the response to a statement.
     fn encode_response(response: &Response, out: &mut BytesMut);
 
-    /// Opens a connection to a back end.
+    /// Encodes the start-up message for a back end.
     fn encode_open(target: &OpenTarget, out: &mut BytesMut);
 
-    /// Takes the answer to [`Wire::encode_open`].
+    /// Decodes the reply to [`Wire::encode_open`].
     ///
     /// # Errors
-    /// When the bytes are not the protocol.
+    /// [`WireError`] on a protocol violation.
     fn decode_opened(
         buffer: &mut BytesMut,
     ) -> Result<Option<Result<Option<Freshness>, OpenFailure>>, WireError>;
 
-    /// Sends a command to a back end.
+    /// Encodes a command for a back end.
     fn encode_command(command: &BackendCommand, out: &mut BytesMut);
 
-    /// Takes the answer to the oldest command or question without one. An answer to a question carries
+    /// Decodes the reply to the oldest command or member request that has none yet. A reply to a member request sets
     /// [`BackendReply::member`].
     ///
     /// # Errors
-    /// When the bytes are not the protocol.
+    /// [`WireError`] on a protocol violation.
     fn decode_reply(
         decoder: &mut Self::ReplyDecoder,
         buffer: &mut BytesMut,
     ) -> Result<Option<BackendReply>, WireError>;
 
-    /// Asks a member.
+    /// Encodes a request to a member.
     fn encode_member_request(question: MemberRequest, out: &mut BytesMut);
 }
