--- a/crates/stairward-runtime/src/backends.rs
+++ b/crates/stairward-runtime/src/backends.rs
@@ -1,4 +1,4 @@
-//! Connections to back ends: opening, reading and decoding.
+//! Connections to back ends: opening, reading and decoding replies.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,13 +15,13 @@
 use crate::traffic::OpeningKind;
 use crate::wire::Wire;
 
-/// How long a back end may take to accept a connection and to say that it is ready.
-const OPEN_PATIENCE: Duration = Duration::from_millis(1_000);
-/// Room made for reading at once.
+/// Timeout for a back end to accept a connection and report that it is ready.
+const OPEN_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Buffer space reserved before each read.
 const READ_SIZE: usize = 4 * 1024;
 
-/// An opened connection.
-pub(crate) struct Opened {
+/// A connection that is ready for commands.
+pub(crate) struct OpenedConnection {
     pub reading: OwnedReadHalf,
     pub outgoing: Rc<Outgoing>,
     pub buffer: BytesMut,
@@ -29,15 +29,15 @@
 }
 
 /// Opens a connection to a back end and waits until it is ready.
-pub(crate) async fn open_connection<W: Wire>(target: &OpenTarget) -> Result<Opened, OpenFailure> {
+pub(crate) async fn open_connection<W: Wire>(target: &OpenTarget,) -> Result<OpenedConnection, OpenFailure> {
     let opening = open_without_limit::<W>(target);
-    match tokio::time::timeout(OPEN_PATIENCE, opening).await {
+    match tokio::time::timeout(OPEN_TIMEOUT, opening).await {
         Ok(opened) => opened,
         Err(_) => Err(OpenFailure::TimedOut),
     }
 }
 
-async fn open_without_limit<W: Wire>(target: &OpenTarget) -> Result<Opened, OpenFailure> {
+async fn open_without_limit<W: Wire>(target: &OpenTarget) -> Result<OpenedConnection, OpenFailure> {
     let stream = TcpStream::connect(target.address)
         .await
         .map_err(|error| match error.kind() {
@@ -53,7 +53,7 @@
     loop {
         match W::decode_opened(&mut buffer) {
             Ok(Some(Ok(position))) => {
-                return Ok(Opened {
+                return Ok(OpenedConnection {
                     reading,
                     outgoing,
                     buffer,
--- a/crates/stairward-runtime/src/duty.rs
+++ b/crates/stairward-runtime/src/failover.rs
@@ -1,5 +1,5 @@
-//! Driving the failover duty: its events come from the engine's use of back ends, from discovery and from
-//! the store; its effects are questions, writes and promotions.
+//! Drives the failover state machine: its events come from the engine, from discovery and from the store; its effects
+//! are requests to group members, record writes and promotions.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -17,87 +17,88 @@
 use crate::prometheus;
 use crate::wire::{MemberRequest, Wire};
 
-/// How often the duty is looked at while nothing is due.
-const IDLE_PAUSE: Duration = Duration::from_millis(500);
+/// Interval between ticks while no deadline is due.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 impl<W: Wire> Node<W> {
-    /// The services' records, as a copy of the store shows them.
+    /// Passes on the failover records of all services, as read from the store in an era.
     pub fn apply_failover_records(
         self: &Rc<Self>,
         era: u64,
         records: BTreeMap<ServiceName, (RecordVersion, FailoverRecord)>,
     ) {
-        self.tell_duty(Event::Records { era, records });
+        self.handle_failover_event(Event::Records { era, records });
     }
 
-    /// Gives the duty an event and carries out what it decides.
-    pub(crate) fn tell_duty(self: &Rc<Self>, event: Event) {
+    /// Passes an event to the failover state machine and executes the resulting effects.
+    pub(crate) fn handle_failover_event(self: &Rc<Self>, event: Event) {
         let now = self.now();
-        let effects = self.duty.borrow_mut().handle(now, event);
+        let effects = self.failover.borrow_mut().handle(now, event);
         for effect in effects {
-            self.carry_out_duty(effect);
+            self.apply_failover_effect(effect);
         }
     }
 
-    /// Wakes the duty when something is due. Runs for ever.
+    /// Sends the failover state machine a tick whenever a deadline is due, and updates metrics. Never returns.
     pub async fn run_failover(self: Rc<Self>) {
         loop {
             let now = self.now();
-            let wake_at = self.duty.borrow().next_wake(now);
-            let pause = wake_at.map_or(IDLE_PAUSE, |at| at.since(now));
-            Self::pause(pause.min(IDLE_PAUSE)).await;
-            self.tell_duty(Event::Tick);
+            let wake_at = self.failover.borrow().next_wake(now);
+            let pause = wake_at.map_or(IDLE_CHECK_INTERVAL, |at| at.since(now));
+            Self::pause(pause.min(IDLE_CHECK_INTERVAL)).await;
+            self.handle_failover_event(Event::Tick);
             prometheus::set_engine_statistics(self.statistics());
-            self.show_traffic();
+            self.update_traffic_metrics();
             for (zone, work) in self.engine.borrow().evacuated_zone_activity() {
                 prometheus::set_evacuated_zone_work(&zone, work);
             }
         }
     }
 
-    /// Shows what the links carry; now and then also as a log line.
-    fn show_traffic(&self) {
+    /// Updates the traffic metrics, and logs them at a fixed interval.
+    fn update_traffic_metrics(&self) {
         let links = self.links.borrow().len();
         prometheus::set_peer_traffic(&self.traffic, links);
         let now = self.now();
         if self.traffic.is_line_due(now) {
-            let figures = self.statistics();
-            self.log.traffic(now, &self.traffic, links, figures);
+            let statistics = self.statistics();
+            self.log.traffic(now, &self.traffic, links, statistics);
         }
     }
 
-    fn carry_out_duty(self: &Rc<Self>, effect: Effect) {
+    fn apply_failover_effect(self: &Rc<Self>, effect: Effect) {
         let node = Rc::clone(self);
         match effect {
             Effect::WriteRecord(service, version, record) => {
                 self.write_record(service, version, record);
             }
-            Effect::ReportSilent(silent) => self.report_silent(&silent),
-            Effect::Verify { backend, asker } => self.verify(backend, asker),
-            Effect::QueryStatus(backend) => self.question(backend, MemberRequest::Status),
-            Effect::Hold(backend, term) => self.question(backend, MemberRequest::Hold(term)),
-            Effect::Resume(backend) => self.question(backend, MemberRequest::Resume),
+            Effect::ReportSilent(silent) => self.report_silent_backends(&silent),
+            Effect::Verify { backend, asker } => self.verify_silence(backend, asker),
+            Effect::QueryStatus(backend) => self.send_member_request(backend, MemberRequest::Status),
+            Effect::Hold(backend, term) => { self.send_member_request(backend, MemberRequest::Hold(term))
+            }
+            Effect::Resume(backend) => self.send_member_request(backend, MemberRequest::Resume),
             Effect::QueryUntilReceived(backend, all) => {
-                self.question(backend, MemberRequest::Received(all));
+                self.send_member_request(backend, MemberRequest::Received(all));
             }
             Effect::StepDown(backend, term, ways) => {
-                self.reach_for(&backend, MemberRequest::StepDown(term), ways);
+                self.request_by_ways(&backend, MemberRequest::StepDown(term), ways);
             }
             Effect::Revoke(service, term, users) => self.revoke(&service, term, users),
-            Effect::AnnounceAttemptEnded(service, users) => self.settle(&service, users),
+            Effect::AnnounceAttemptEnded(service, users) => self.send_lead_settled(&service, users),
             Effect::HoldVia(backend, term, ways) => {
-                self.reach_for(&backend, MemberRequest::Hold(term), ways);
+                self.request_by_ways(&backend, MemberRequest::Hold(term), ways);
             }
             Effect::Promote(service, backend, token) => {
                 let promoting = self.coordination.promote(service.clone(), backend, token);
                 tokio::task::spawn_local(async move {
                     let outcome = promoting.await;
-                    node.tell_duty(Event::Promotion(service, token, outcome));
+                    node.handle_failover_event(Event::Promotion(service, token, outcome));
                 });
             }
             Effect::Log(service, action) => {
                 prometheus::count_failover_step(&action);
-                self.log.duty(self.now(), &service, &action);
+                self.log.failover_action(self.now(), &service, &action);
             }
         }
     }
@@ -115,18 +116,18 @@
         tokio::task::spawn_local(async move {
             match writing.await {
                 RecordWrite::Written(version) => {
-                    node.tell_duty(Event::RecordWritten(service, version, record));
+                    node.handle_failover_event(Event::RecordWritten(service, version, record));
                 }
                 RecordWrite::Conflict(version, present) => {
-                    node.tell_duty(Event::Record(service.clone(), version, present));
-                    node.tell_duty(Event::RecordFailed(service));
+                    node.handle_failover_event(Event::Record(service.clone(), version, present));
+                    node.handle_failover_event(Event::RecordFailed(service));
                 }
-                RecordWrite::Failed => node.tell_duty(Event::RecordFailed(service)),
+                RecordWrite::Failed => node.handle_failover_event(Event::RecordFailed(service)),
             }
         });
     }
 
-    pub(crate) fn target(&self, backend: &BackendId) -> Option<OpenTarget> {
+    pub(crate) fn open_target(&self, backend: &BackendId) -> Option<OpenTarget> {
         let discovered = self.discovered.borrow();
         let description = discovered.get_including_removed(backend)?;
         Some(OpenTarget {
@@ -137,43 +138,44 @@
         })
     }
 
-    fn question(self: &Rc<Self>, backend: BackendId, question: MemberRequest) {
-        let target = self.target(&backend);
+    fn send_member_request(self: &Rc<Self>, backend: BackendId, request: MemberRequest) {
+        let target = self.open_target(&backend);
         let node = Rc::clone(self);
         tokio::task::spawn_local(async move {
             let status = match target {
-                Some(target) => node.ask_member(target, question).await.answer(),
+                Some(target) => node.query_member(target, request).await.answer(),
                 None => None,
             };
             if status.is_some() {
                 let answered = Event::Evidence(backend.clone(), LeaderEvidence::Answered);
-                node.tell_duty(answered);
+                node.handle_failover_event(answered);
             }
-            node.tell_duty(Event::StatusReply(backend, status));
+            node.handle_failover_event(Event::StatusReply(backend, status));
         });
     }
 
-    /// Asks a member by each of these ways.
-    fn reach_for(self: &Rc<Self>, backend: &BackendId, question: MemberRequest, ways: Vec<Via>) {
-        let target = self.target(backend);
+    /// Sends a member request directly or through a peer, by each of the given ways.
+    fn request_by_ways(self: &Rc<Self>, backend: &BackendId,
+        request: MemberRequest, ways: Vec<Via>,) {
+        let target = self.open_target(backend);
         for via in ways {
             let node = Rc::clone(self);
             let (backend, target) = (backend.clone(), target.clone());
             tokio::task::spawn_local(async move {
                 let reach = match (target, &via) {
                     (None, _) => MemberCallResult::Silent,
-                    (Some(target), Via::Direct) => node.ask_member(target, question).await,
+                    (Some(target), Via::Direct) => node.query_member(target, request).await,
                     (Some(target), Via::Peer(peer)) => {
-                        node.ask_through_peer(*peer, &target, question).await
+                        node.request_through_peer(*peer, &target, request).await
                     }
                 };
-                node.log.reach(node.now(), &backend, &via, reach);
-                node.tell_duty(Event::MemberCallEnded(backend, via, reach));
+                node.log.member_request(node.now(), &backend, &via, reach);
+                node.handle_failover_event(Event::MemberCallEnded(backend, via, reach));
             });
         }
     }
 
-    /// Where a member stands, for the choice of a leader.
+    /// Properties of a member that decide its rank when a leader is chosen.
     fn placement(&self, description: &BackendDescription) -> Placement {
         let region = self.zone_regions.get(&description.zone);
         let allowed = self.allowed_work.borrow();
@@ -188,23 +190,23 @@
         }
     }
 
-    /// Tells the duty of all services, their members and their state.
-    pub(crate) fn tell_duty_of_groups(self: &Rc<Self>) {
+    /// Passes the members of all services to the failover state machine.
+    pub(crate) fn update_all_failover_groups(self: &Rc<Self>) {
         let Some(table) = self.routing_table() else {
             return;
         };
         let groups = self.group_states(&table, table.services.keys());
-        self.tell_duty(Event::Groups(groups));
+        self.handle_failover_event(Event::Groups(groups));
     }
 
-    /// Tells the duty of these services, as far as they are configured.
-    pub(crate) fn tell_duty_of(self: &Rc<Self>, services: &BTreeSet<ServiceName>) {
+    /// Passes the members of the given services, if configured, to the failover state machine.
+    pub(crate) fn update_failover_groups(self: &Rc<Self>, services: &BTreeSet<ServiceName>) {
         let Some(table) = self.routing_table() else {
             return;
         };
         let groups = self.group_states(&table, services);
         if !groups.is_empty() {
-            self.tell_duty(Event::GroupsChanged(groups));
+            self.handle_failover_event(Event::GroupsChanged(groups));
         }
     }
 
--- a/crates/stairward-runtime/src/relayed_questions.rs
+++ b/crates/stairward-runtime/src/failover_peers.rs
@@ -1,5 +1,5 @@
-//! What a holder of the failover duty needs other nodes for: questions to members that they pass on, and their
-//! word that they believe an old leader no more.
+//! Cooperation of nodes during a failover: relaying member requests, confirming that a back end is silent, and
+//! revoking an old leader on every node that may still use it.
 
 use std::collections::BTreeSet;
 use std::net::{IpAddr, SocketAddr};
@@ -14,65 +14,65 @@
 use stairward_types::{BackendId, BackendRole, Freshness, NodeId, ServiceName, Term, Time};
 
 use crate::backends::open_connection;
-use crate::neighbour_link::{connect, frame};
 use crate::node::Node;
+use crate::peer_link::{connect, frame};
 use crate::traffic::OpeningKind;
 use crate::wire::{MemberRequest, Wire};
 
-/// How long a peer may take to pass a question on and to answer.
-const RELAY_PATIENCE: Duration = Duration::from_millis(1_000);
-/// Peers that are asked to pass a question on: enough that a cut of some of the nodes leaves one that reaches
+/// Timeout for a request to a peer, including one that it relays to a member.
+const RELAY_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Number of peers chosen to relay requests: enough that a partition of some of the nodes leaves one that can reach
 /// the member.
-const PEERS_ASKED: usize = 8;
+const RELAY_PEERS: usize = 8;
 
-/// How long a node that is no longer seen counts as one that may use a leader.
-const USERS_REMEMBERED_FOR: Duration = Duration::from_secs(30);
+/// How long a node counts as a possible user of a leader after it was last seen.
+const LEADER_USER_RETENTION: Duration = Duration::from_secs(30);
 
-/// Another node that may use a leader.
+/// Another node that may send statements to a leader.
 #[derive(Debug)]
-pub(crate) struct User {
+pub(crate) struct LeaderUser {
     address: SocketAddr,
     seen_at: Time,
 }
 
 impl<W: Wire> Node<W> {
-    /// Chooses anew the peers that may pass questions on, and tells the duty.
-    pub(crate) fn choose_question_peers(self: &Rc<Self>) {
+    /// Chooses random peers as relays and passes them to the failover state machine.
+    pub(crate) fn choose_relay_peers(self: &Rc<Self>) {
         let peers: Vec<NodeId> = {
             let members = self.members.borrow();
             let others = members
                 .iter()
                 .map(|member| member.node)
                 .filter(|node| *node != self.peer.node);
-            others.sample(&mut rand::rng(), PEERS_ASKED)
+            others.sample(&mut rand::rng(), RELAY_PEERS)
         };
-        self.question_peers.borrow_mut().clone_from(&peers);
-        self.tell_duty(stairward_failover::Event::RelayPeers(peers));
+        self.relay_peers.borrow_mut().clone_from(&peers);
+        self.handle_failover_event(stairward_failover::Event::RelayPeers(peers));
     }
 
-    /// Notes which nodes live: whoever lived a while ago may still use a leader.
-    pub(crate) fn note_users(self: &Rc<Self>) {
+    /// Updates the nodes that may use a leader: current members and those seen recently.
+    pub(crate) fn update_leader_users(self: &Rc<Self>) {
         let now = self.now();
         let users: BTreeSet<NodeId> = {
-            let mut users = self.users.borrow_mut();
+            let mut users = self.leader_users.borrow_mut();
             let members = self.members.borrow();
             for member in members
                 .iter()
                 .filter(|member| member.node != self.peer.node)
             {
-                let user = User {
+                let user = LeaderUser {
                     address: member.address,
                     seen_at: now,
                 };
                 users.insert(member.node, user);
             }
-            users.retain(|_, user| now.since(user.seen_at) < USERS_REMEMBERED_FOR);
+            users.retain(|_, user| now.since(user.seen_at) < LEADER_USER_RETENTION);
             users.keys().copied().collect()
         };
-        self.tell_duty(stairward_failover::Event::LeaderUsers(users));
+        self.handle_failover_event(stairward_failover::Event::LeaderUsers(users));
     }
 
-    /// Has these nodes, and this one, believe no leader of a lower term any more.
+    /// Makes the given nodes, and this one, reject leaders of lower terms.
     pub(crate) fn revoke(
         self: &Rc<Self>,
         service: &ServiceName,
@@ -84,12 +84,12 @@
             let (node, service) = (Rc::clone(self), service.clone());
             tokio::task::spawn_local(async move {
                 let newest = if user == own {
-                    Some(node.believe_from(&service, term))
+                    Some(node.revoke_older_terms(&service, term))
                 } else {
-                    node.tell_revoked(user, &service, term).await
+                    node.send_revocation(user, &service, term).await
                 };
                 if let Some(newest) = newest {
-                    node.tell_duty(stairward_failover::Event::Revoked {
+                    node.handle_failover_event(stairward_failover::Event::Revoked {
                         service,
                         term,
                         user,
@@ -100,11 +100,11 @@
         }
     }
 
-    /// Tells these nodes, and this one, that no promotion that they were told of is under way any more.
-    pub(crate) fn settle(self: &Rc<Self>, service: &ServiceName, users: BTreeSet<NodeId>) {
+    /// Tells the given nodes, and this one, that the promotion announced to them is no longer in progress.
+    pub(crate) fn send_lead_settled(self: &Rc<Self>, service: &ServiceName, users: BTreeSet<NodeId>,) {
         self.handle(Event::PromotionEnded(service.clone()));
-        // A node that misses it believes the new leader a little later.
-        self.tell_once(
+        // A node that misses the message accepts the new leader a little later.
+        self.send_once(
             users,
             &NeighbourMessage::SettleLead {
                 service: Text::new(service.as_str()),
@@ -112,22 +112,22 @@
         );
     }
 
-    /// Tells some other nodes which back ends this one finds silent.
-    pub(crate) fn report_silent(self: &Rc<Self>, silent: &BTreeSet<BackendId>) {
+    /// Reports the back ends that are silent to this node to the relay peers.
+    pub(crate) fn report_silent_backends(self: &Rc<Self>, silent: &BTreeSet<BackendId>) {
         let backends: Vec<_> = silent.iter().map(|id| Text::new(id.as_str())).collect();
         let message = NeighbourMessage::Silent {
             node: self.peer.node.0,
             count: u16::try_from(backends.len()).unwrap_or(u16::MAX),
             backends,
         };
-        // One that misses it hears of it again while it holds.
-        self.tell_once(self.question_peers.borrow().iter().copied(), &message);
+        // A lost report is repeated while the back ends stay silent.
+        self.send_once(self.relay_peers.borrow().iter().copied(), &message);
     }
 
-    /// Looks whether a back end that another node finds silent accepts connections, and tells that node if it does
-    /// not. One that is full or busy gives a sign of life.
-    pub(crate) fn verify(self: &Rc<Self>, backend: BackendId, asker: NodeId) {
-        let Some(target) = self.target(&backend) else {
+    /// Tries to connect to a back end that another node reports as silent, and confirms the silence to that node. A
+    /// back end that refuses because it is full or busy is alive.
+    pub(crate) fn verify_silence(self: &Rc<Self>, backend: BackendId, asker: NodeId) {
+        let Some(target) = self.open_target(&backend) else {
             return;
         };
         self.traffic.opened(OpeningKind::Backend);
@@ -135,52 +135,52 @@
         tokio::task::spawn_local(async move {
             let opened = open_connection::<W>(&target).await;
             let is_silent = matches!(opened, Err(OpenFailure::TimedOut));
-            node.log.verified(node.now(), &backend, asker, is_silent);
+            node.log.silence_check(node.now(), &backend, asker, is_silent);
             if let Ok(opened) = opened {
                 opened.outgoing.close();
             }
             if is_silent {
                 let found = stairward_failover::Event::FoundSilent(backend.clone());
-                node.tell_duty(found);
+                node.handle_failover_event(found);
                 let message = NeighbourMessage::ConfirmSilent {
                     node: node.peer.node.0,
                     backend: Text::new(backend.as_str()),
                 };
-                node.tell_once([asker], &message);
+                node.send_once([asker], &message);
             }
         });
     }
 
-    /// Tells nodes something that needs no answer, each on a connection of its own.
-    fn tell_once(&self, nodes: impl IntoIterator<Item = NodeId>, message: &NeighbourMessage) {
+    /// Sends nodes a message that needs no reply, each over a new connection.
+    fn send_once(&self, nodes: impl IntoIterator<Item = NodeId>, message: &NeighbourMessage) {
         let message = frame(message);
         for node in nodes {
-            let address = self.users.borrow().get(&node).map(|user| user.address);
+            let address = self.leader_users.borrow().get(&node).map(|user| user.address);
             let Some(address) = address else {
                 continue;
             };
             let message = message.clone();
-            self.traffic.opened(OpeningKind::OneShotMade);
+            self.traffic.opened(OpeningKind::OneShot);
             tokio::task::spawn_local(async move {
                 if let Some((_, outgoing)) = connect(address).await {
                     let _ = outgoing.send(&message);
-                    Self::pause(RELAY_PATIENCE).await;
+                    Self::pause(RELAY_TIMEOUT).await;
                 }
             });
         }
     }
 
-    /// Believes no leader of a lower term any more; returns the newest term known to have begun.
-    pub(crate) fn believe_from(self: &Rc<Self>, service: &ServiceName, term: Term) -> Term {
+    /// Rejects leaders of lower terms from now on. Returns the newest term known to have begun.
+    pub(crate) fn revoke_older_terms(self: &Rc<Self>, service: &ServiceName, term: Term) -> Term {
         self.handle(Event::LeadershipRevoked(service.clone(), term));
         self.newest_term(service)
     }
 
-    /// Tells a node that a term may begin; returns the newest term that it knows to have begun, if it answers.
-    async fn tell_revoked(&self, user: NodeId, service: &ServiceName, term: Term) -> Option<Term> {
-        let address = self.users.borrow().get(&user).map(|user| user.address)?;
-        self.traffic.opened(OpeningKind::OneShotMade);
-        let telling = async {
+    /// Tells a node to reject leaders of lower terms. Returns the newest term that it knows to have begun, if it replies.
+    async fn send_revocation(&self, user: NodeId, service: &ServiceName, term: Term,) -> Option<Term> {
+        let address = self.leader_users.borrow().get(&user).map(|user| user.address)?;
+        self.traffic.opened(OpeningKind::OneShot);
+        let sending = async {
             let (mut reader, outgoing) = connect(address).await?;
             let message = NeighbourMessage::RevokeLead {
                 service: Text::new(service.as_str()),
@@ -189,58 +189,58 @@
             outgoing.send(&frame(&message)).ok()?;
             reader.next().await
         };
-        match tokio::time::timeout(RELAY_PATIENCE, telling).await {
+        match tokio::time::timeout(RELAY_TIMEOUT, sending).await {
             Ok(Some(NeighbourMessage::LeadRevoked { newest })) => Some(Term(newest)),
             _ => None,
         }
     }
 
-    /// Has a peer ask a member.
-    pub(crate) async fn ask_through_peer(
+    /// Sends a member request through a peer.
+    pub(crate) async fn request_through_peer(
         self: &Rc<Self>,
         peer: NodeId,
         target: &OpenTarget,
-        question: MemberRequest,
+        request: MemberRequest,
     ) -> MemberCallResult {
         let address = {
             let members = self.members.borrow();
             let member = members.iter().find(|member| member.node == peer);
             member.map(|member| member.address)
         };
-        let (Some(address), Some(message)) = (address, question_message(target, question)) else {
+        let (Some(address), Some(message)) = (address, encode_request(target, request)) else {
             return MemberCallResult::Silent;
         };
-        self.traffic.opened(OpeningKind::OneShotMade);
-        let asking = async {
+        self.traffic.opened(OpeningKind::OneShot);
+        let requesting = async {
             let (mut reader, outgoing) = connect(address).await?;
             let question = NeighbourMessage::AskMember(message);
             outgoing.send(&frame(&question)).ok()?;
             match reader.next().await? {
-                NeighbourMessage::MemberReach(reach) => Some(reach_of(&reach)),
+                NeighbourMessage::MemberReach(reach) => Some(decode_reach(&reach)),
                 _ => None,
             }
         };
-        tokio::time::timeout(RELAY_PATIENCE, asking)
+        tokio::time::timeout(RELAY_TIMEOUT, requesting)
             .await
             .ok()
             .flatten()
             .unwrap_or(MemberCallResult::Silent)
     }
 
-    /// Asks a member for a peer; none when the question is not understood.
-    pub(crate) async fn ask_for_peer(
+    /// Sends a member request on behalf of a peer; none if the message is malformed.
+    pub(crate) async fn answer_relayed_request(
         self: &Rc<Self>,
         message: &MemberQuestionMessage,
     ) -> Option<NeighbourMessage> {
-        let (target, question) = question_of(message)?;
-        let reach = self.ask_member(target, question).await;
-        Some(NeighbourMessage::MemberReach(reach_message(reach)))
+        let (target, question) = decode_request(message)?;
+        let reach = self.query_member(target, question).await;
+        Some(NeighbourMessage::MemberReach(encode_reach(reach)))
     }
 }
 
-/// A question as a message; none for one that is not passed on.
-fn question_message(target: &OpenTarget, question: MemberRequest) -> Option<MemberQuestionMessage> {
-    let (question, term) = match question {
+/// Converts a member request to a message; none for a kind that is not relayed.
+fn encode_request(target: &OpenTarget, request: MemberRequest) -> Option<MemberQuestionMessage> {
+    let (question, term) = match request {
         MemberRequest::StepDown(term) => (MemberQuestionMessage::STEP_DOWN, term),
         MemberRequest::Hold(term) => (MemberQuestionMessage::HOLD, term),
         MemberRequest::Status | MemberRequest::Received(_) | MemberRequest::Resume => {
@@ -260,7 +260,7 @@
     })
 }
 
-fn question_of(message: &MemberQuestionMessage) -> Option<(OpenTarget, MemberRequest)> {
+fn decode_request(message: &MemberQuestionMessage) -> Option<(OpenTarget, MemberRequest)> {
     let term = Term(message.term);
     let question = match message.question {
         MemberQuestionMessage::STEP_DOWN => MemberRequest::StepDown(term),
@@ -276,7 +276,7 @@
     Some((target, question))
 }
 
-fn reach_message(reach: MemberCallResult) -> MemberReachMessage {
+fn encode_reach(reach: MemberCallResult) -> MemberReachMessage {
     let (kind, status) = match reach {
         MemberCallResult::Silent => (MemberReachMessage::SILENT, None),
         MemberCallResult::Refused => (MemberReachMessage::REFUSED, None),
@@ -294,8 +294,8 @@
     }
 }
 
-/// A message as what came of a question. What is not understood counts as no answer.
-fn reach_of(message: &MemberReachMessage) -> MemberCallResult {
+/// Converts a message to the result of a member request. A malformed message counts as no reply.
+fn decode_reach(message: &MemberReachMessage) -> MemberCallResult {
     let role = match message.kind {
         MemberReachMessage::REFUSED => return MemberCallResult::Refused,
         MemberReachMessage::PRIMARY => BackendRole::Primary,
--- a/crates/stairward-runtime/src/feeds.rs
+++ b/crates/stairward-runtime/src/feeds.rs
@@ -1,4 +1,4 @@
-//! Driving the feeds: the store's objects by kind, read here or heard from watchers among the nodes.
+//! Drives the feeds: one stream of store objects per kind, read from the store or received from nodes that watch it.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -16,107 +16,111 @@
 use tokio::sync::{Notify, watch};
 
 use crate::compression::{compress, decompress};
-use crate::neighbour_link::frame;
 use crate::node::Node;
+use crate::peer_link::frame;
 use crate::prometheus;
 use crate::socket::Outgoing;
 use crate::traffic::TrafficKind;
 use crate::wire::Wire;
 
-/// Shortest pause between two showings of a feed's objects: in a fleet that starts, hundreds change one by one.
-/// A change after a quiet time is shown at once.
+/// Minimum interval between publications of a feed's objects, since hundreds of them change one by one while a fleet
+/// starts. The first change after a quiet time is published at once.
 pub const PUBLISH_INTERVAL: Duration = Duration::from_millis(100);
-/// How long a node that starts waits for the store's stale listing before it asks others for all objects. Two pages
-/// over 20 ms between regions and an eighth of a core take up to 300 ms (`fleetbench run`, 300 nodes, 900 objects).
-const LISTING_PATIENCE: Duration = Duration::from_millis(600);
-/// How often deadlines are looked at when none is known.
-const IDLE_PAUSE: Duration = Duration::from_secs(1);
-
-/// When a node reads the store for a feed, and when it believes it.
+/// How long a starting node waits for a stale listing from the store before it requests all objects from peers. Two
+/// pages, with 20 ms between regions and an eighth of a core, take up to 300 ms (`fleetbench run`, 300 nodes, 900
+/// objects).
+const LISTING_TIMEOUT: Duration = Duration::from_millis(600);
+/// Interval between checks while no deadline is set.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
+
+/// Timeouts that decide when a node reads the store for a feed itself.
 #[derive(Debug, Clone, Copy)]
 pub struct FeedTimeouts {
-    /// How long after the last word of its watchers a follower reads the store itself.
+    /// A follower reads the store after its watchers have been silent for this long.
     pub reads_after: Duration,
-    /// How long after the store's last answer a watcher follows others.
+    /// A watcher follows other watchers after the store has not answered for this long.
     pub follows_after: Duration,
-    /// How long whoever wrote what the store lost, when it came back from an older copy, is given to write it again.
+    /// Grace period after the store was restored from an older copy, in which the writers of lost objects can write
+    /// them again.
     pub settles_after: Duration,
 }
 
-/// The objects of one feed, in the form that the embedder gives them.
+/// Storage for the objects of one feed, implemented by the embedding program.
 pub trait FeedObjects {
-    /// Replaces all objects, or changes some, so that they are those of a revision; none for a peer's document. Returns
-    /// whether the objects are now those that the content is about.
+    /// Replaces or changes objects to bring them to a revision; none for a document of a peer. Returns false if the
+    /// content does not lead to the objects it describes, for example because the digests differ.
     fn apply(&self, at: Option<StoreRevision>, content: &FeedContent) -> bool;
-    /// The store came back from an older copy, and whoever wrote what it lost has had the time to write it again.
+    /// Ends the grace period after the store was restored from an older copy: objects that were not written again are
+    /// lost.
     fn end_restore_grace(&self);
-    /// Acts on the objects as they are. Called after `take`, once for all that came within [`PUBLISH_INTERVAL`]. What differs
-    /// from the last showing came about after `since`, or at any time where that is not known.
+    /// Makes the current objects take effect. Called after `apply`, once for all changes within [`PUBLISH_INTERVAL`].
+    /// Changes since the last call happened after `since`, or at an unknown time if that is none.
     fn publish(&self, since: Option<Time>);
-    /// All objects; empty while there are none.
+    /// All objects, serialized; empty before the first listing.
     fn snapshot(&self) -> Vec<u8>;
-    /// What has changed after a revision, in the form of changes.
+    /// Changes after a revision, serialized.
     fn changes_since(&self, revision: StoreRevision) -> Vec<u8>;
-    /// A digest of all objects: where two are equal, the objects are.
+    /// A digest of all objects, to compare them between nodes.
     fn digest(&self) -> u64;
 }
 
-/// A feed and what belongs to it.
+/// An open feed with its objects and caches.
 struct OpenFeed {
     feed: RefCell<Feed>,
     objects: Rc<dyn FeedObjects>,
-    /// What has changed after a revision, compressed, until the objects change.
-    packed_since: RefCell<Option<(StoreRevision, Vec<u8>)>>,
-    /// All objects, compressed, until they change: hundreds of nodes that start ask for them within a second, and
-    /// making them anew each time took a watcher on 0.12 of a core 80 ms a follower (300 nodes, 900 objects).
-    packed: RefCell<Option<Vec<u8>>>,
+    /// Cache of the compressed changes after a revision; cleared when the objects change.
+    changes_cache: RefCell<Option<(StoreRevision, Vec<u8>)>>,
+    /// Cache of all objects, compressed; cleared when they change. Hundreds of starting nodes request them within a
+    /// second, and without the cache each request cost a watcher on 0.12 of a core 80 ms (300 nodes, 900 objects).
+    snapshot_cache: RefCell<Option<Vec<u8>>>,
     reading: watch::Sender<bool>,
-    /// When the objects were last shown, or will be.
-    shown_at: Cell<Option<Time>>,
-    /// After which moment what has not been shown yet came about; the outer none where all has been shown.
-    unshown_since: Cell<Option<Option<Time>>>,
+    /// When the objects were last published, or are scheduled to be.
+    published_at: Cell<Option<Time>>,
+    /// Lower bound on the time of the unpublished changes: the outer none when all are published, the inner none when
+    /// the time is unknown.
+    unpublished_since: Cell<Option<Option<Time>>>,
 }
 
 impl OpenFeed {
-    /// Replaces all objects, or changes some. The change came about after `since`.
-    fn take(&self, at: Option<StoreRevision>, content: &FeedContent, since: Option<Time>) -> bool {
-        self.note_unshown(since);
-        *self.packed.borrow_mut() = None;
-        *self.packed_since.borrow_mut() = None;
+    /// Replaces or changes objects. The change happened after `since`.
+    fn apply(&self, at: Option<StoreRevision>, content: &FeedContent, since: Option<Time>) -> bool {
+        self.mark_unpublished(since);
+        *self.snapshot_cache.borrow_mut() = None;
+        *self.changes_cache.borrow_mut() = None;
         self.objects.apply(at, content)
     }
 
-    /// Something has changed after a moment, or at any time, and has not been shown yet.
-    fn note_unshown(&self, since: Option<Time>) {
-        // Not known is before all that is.
+    /// Records that there are unpublished changes, which happened after `since` or at an unknown time.
+    fn mark_unpublished(&self, since: Option<Time>) {
+        // `None`, an unknown time, sorts before every known time.
         let earliest = self
-            .unshown_since
+            .unpublished_since
             .get()
-            .map_or(since, |unshown| unshown.min(since));
-        self.unshown_since.set(Some(earliest));
+            .map_or(since, |unpublished| unpublished.min(since));
+        self.unpublished_since.set(Some(earliest));
     }
 
-    fn show(&self) {
-        self.objects.publish(self.unshown_since.take().flatten());
+    fn publish(&self) {
+        self.objects.publish(self.unpublished_since.take().flatten());
     }
 
-    /// What has changed after a revision, compressed.
-    fn packed_since(&self, revision: StoreRevision) -> Vec<u8> {
-        let mut packed = self.packed_since.borrow_mut();
-        match packed.as_ref() {
+    /// Changes after a revision, compressed.
+    fn compressed_changes(&self, revision: StoreRevision) -> Vec<u8> {
+        let mut cache = self.changes_cache.borrow_mut();
+        match cache.as_ref() {
             Some((since, bytes)) if *since == revision => bytes.clone(),
             _ => {
                 let bytes = compress(&self.objects.changes_since(revision));
-                *packed = Some((revision, bytes.clone()));
+                *cache = Some((revision, bytes.clone()));
                 bytes
             }
         }
     }
 
-    /// All objects, compressed; empty while there are none.
-    fn packed(&self) -> Vec<u8> {
-        let mut packed = self.packed.borrow_mut();
-        let known = packed.get_or_insert_with(|| {
+    /// All objects, compressed; empty before the first listing.
+    fn compressed_snapshot(&self) -> Vec<u8> {
+        let mut cache = self.snapshot_cache.borrow_mut();
+        let known = cache.get_or_insert_with(|| {
             let whole = self.objects.snapshot();
             if whole.is_empty() {
                 whole
@@ -128,20 +132,20 @@
     }
 }
 
-/// The state of a feed that followers are told.
+/// The state of a feed as sent to followers.
 #[derive(Clone, Copy)]
-struct ToldState {
+struct FeedState {
     at: StoreRevision,
     age: Duration,
     current_at: Option<Time>,
 }
 
-/// The feeds of a node, and the links over which other nodes follow them.
+/// The feeds of a node and the links of their followers.
 #[derive(Default)]
 pub(crate) struct Feeds {
     by_name: RefCell<BTreeMap<&'static str, Rc<OpenFeed>>>,
     follower_links: RefCell<BTreeMap<FollowerId, Rc<Outgoing>>>,
-    /// Clocks of the watchers that are followed.
+    /// Clock offsets of the followed watchers.
     source_clocks: RefCell<BTreeMap<NodeId, PeerClock>>,
     rescheduled: Notify,
 }
@@ -159,20 +163,20 @@
             .collect()
     }
 
-    /// All objects of a feed, compressed; none where it isn't followed here.
-    pub(crate) fn packed(&self, name: &str) -> Option<Vec<u8>> {
-        self.get(name).map(|feed| feed.packed())
+    /// All objects of a feed, compressed; none if the feed is not open on this node.
+    pub(crate) fn compressed_snapshot(&self, name: &str) -> Option<Vec<u8>> {
+        self.get(name).map(|feed| feed.compressed_snapshot())
     }
 
-    /// A watcher told what its clock says.
-    pub(crate) fn clock_told(&self, source: NodeId, clock: PeerClock) {
+    /// Stores a clock reading of a watcher.
+    pub(crate) fn set_source_clock(&self, source: NodeId, clock: PeerClock) {
         self.source_clocks.borrow_mut().insert(source, clock);
     }
 
-    /// A moment of this node's clock that is no later than one of a watcher's; none where its clock is not known yet.
-    fn on_own_clock(&self, source: NodeId, theirs: Time) -> Option<Time> {
+    /// Converts a watcher's time to a lower bound on this node's clock; none while the watcher's clock is unknown.
+    fn to_local_time(&self, source: NodeId, remote_time: Time) -> Option<Time> {
         let clocks = self.source_clocks.borrow();
-        clocks.get(&source)?.local_lower_bound(theirs)
+        clocks.get(&source)?.local_lower_bound(remote_time)
     }
 
     fn next_wake(&self, now: Time) -> Option<Time> {
@@ -185,7 +189,7 @@
 }
 
 impl<W: Wire> Node<W> {
-    /// Opens a feed. What is returned says whether this node is to read the store for it.
+    /// Opens a feed. The returned channel tells whether this node has to read the store for it.
     pub fn open_feed(
         self: &Rc<Self>,
         name: &'static str,
@@ -197,26 +201,26 @@
             node: self.peer.node,
             region: self.peer.region.clone(),
             direct_read_timeout: times.reads_after,
-            listing_timeout: LISTING_PATIENCE,
+            listing_timeout: LISTING_TIMEOUT,
             store_timeout: times.follows_after,
             restore_settle_time: times.settles_after,
         };
         let feed = Rc::new(OpenFeed {
             feed: RefCell::new(Feed::new(parameters, self.now())),
             objects,
-            packed_since: RefCell::new(None),
-            packed: RefCell::new(None),
+            changes_cache: RefCell::new(None),
+            snapshot_cache: RefCell::new(None),
             reading,
-            shown_at: Cell::new(None),
-            unshown_since: Cell::new(None),
+            published_at: Cell::new(None),
+            unpublished_since: Cell::new(None),
         });
         self.feeds.by_name.borrow_mut().insert(name, feed);
-        self.feed_event(name, Event::Tick);
+        self.handle_feed_event(name, Event::Tick);
         is_reading
     }
 
-    /// The store answered for a feed: its state at a revision, a moment at which that was certainly the newest, and what
-    /// came with it.
+    /// Applies an answer of the store for a feed: the revision, a time at which that was certainly the newest one, and
+    /// the content.
     pub fn apply_store_answer(
         self: &Rc<Self>,
         name: &'static str,
@@ -229,62 +233,62 @@
             current_at,
             content,
         };
-        self.feed_event(name, answered);
+        self.handle_feed_event(name, answered);
     }
 
-    /// The store listed a feed's objects as they were a while ago.
+    /// Applies a listing of the store that may be stale.
     pub fn apply_stale_listing(
         self: &Rc<Self>,
         name: &'static str,
         at: StoreRevision,
         objects: Vec<u8>,
     ) {
-        self.feed_event(name, Event::StaleListing { at, objects });
+        self.handle_feed_event(name, Event::StaleListing { at, objects });
     }
 
-    /// Takes over what a peer last read, until the store or a watcher answers.
+    /// Applies a document that a peer last read, used until the store or a watcher answers.
     pub fn apply_peer_document(self: &Rc<Self>, name: &'static str, content: Vec<u8>) {
-        self.feed_event(name, Event::PeerSnapshot(content));
+        self.handle_feed_event(name, Event::PeerSnapshot(content));
     }
 
-    /// Whether other nodes hear of a feed's changes from this one.
+    /// Whether other nodes follow a feed through this node.
     #[must_use]
     pub fn has_feed_followers(&self, name: &str) -> bool {
         let feed = self.feeds.get(name);
         feed.is_some_and(|feed| feed.feed.borrow().has_followers())
     }
 
-    /// The revision of a feed's objects that this node holds; none before the first.
+    /// The revision of a feed's objects on this node; none before the first content.
     #[must_use]
     pub fn held_feed_revision(&self, name: &str) -> Option<StoreRevision> {
         self.feeds.get(name)?.feed.borrow().held_revision()
     }
 
-    /// Whether this node ranks as a watcher of a feed, from which others hear of changes.
+    /// Whether this node is ranked as a watcher of a feed, which reads the store and serves followers.
     #[must_use]
     pub fn is_feed_watcher(&self, name: &str) -> bool {
         let feed = self.feeds.get(name);
         feed.is_some_and(|feed| feed.feed.borrow().is_watcher())
     }
 
-    /// Wakes the feeds when something is due. Runs for ever.
+    /// Sends the feeds a tick whenever a deadline is due. Never returns.
     pub async fn run_feeds(self: Rc<Self>) {
         loop {
             let now = self.now();
             let wake_at = self.feeds.next_wake(now);
-            let pause = wake_at.map_or(IDLE_PAUSE, |at| at.since(now));
+            let pause = wake_at.map_or(IDLE_CHECK_INTERVAL, |at| at.since(now));
             tokio::select! {
                 () = tokio::time::sleep(pause) => {}
                 () = self.feeds.rescheduled.notified() => continue,
             }
             for (name, _) in self.feeds.all() {
-                self.feed_event(name, Event::Tick);
+                self.handle_feed_event(name, Event::Tick);
             }
         }
     }
 
-    /// Tells the feeds of the membership view.
-    pub(crate) fn tell_feeds_of_members(self: &Rc<Self>) {
+    /// Passes the membership view to the feeds.
+    pub(crate) fn update_feed_members(self: &Rc<Self>) {
         let places: Vec<_> = {
             let members = self.members.borrow();
             let places = members.iter().map(|member| PeerLocation {
@@ -295,21 +299,21 @@
             places.collect()
         };
         for (name, _) in self.feeds.all() {
-            self.feed_event(name, Event::MembersChanged(places.clone()));
+            self.handle_feed_event(name, Event::MembersChanged(places.clone()));
         }
     }
 
-    /// A link over which watchers may have been followed has ended.
-    pub(crate) fn source_lost(self: &Rc<Self>, source: NodeId) {
+    /// Handles the loss of a link to a node that may be a followed watcher.
+    pub(crate) fn handle_source_lost(self: &Rc<Self>, source: NodeId) {
         self.feeds.source_clocks.borrow_mut().remove(&source);
         for (name, _) in self.feeds.all() {
-            self.feed_event(name, Event::SourceLost(source));
+            self.handle_feed_event(name, Event::SourceLost(source));
         }
         self.feeds.rescheduled.notify_one();
     }
 
-    /// Another node wants to follow a feed over its link.
-    pub(crate) fn follower_asked(
+    /// Adds a follower of a feed.
+    pub(crate) fn add_follower(
         self: &Rc<Self>,
         link: u64,
         outgoing: &Rc<Outgoing>,
@@ -321,26 +325,26 @@
         links.insert(follower, Rc::clone(outgoing));
         drop(links);
         let known = (known > 0).then_some(StoreRevision::from_number(known));
-        self.feed_event(name.as_str(), Event::FollowRequested { follower, known });
+        self.handle_feed_event(name.as_str(), Event::FollowRequested { follower, known });
     }
 
-    /// Another node no longer follows a feed.
-    pub(crate) fn follower_left(self: &Rc<Self>, link: u64, name: &Text) {
-        self.feed_event(name.as_str(), Event::FollowerLeft(FollowerId(link)));
+    /// Removes a follower of a feed.
+    pub(crate) fn remove_follower(self: &Rc<Self>, link: u64, name: &Text) {
+        self.handle_feed_event(name.as_str(), Event::FollowerLeft(FollowerId(link)));
     }
 
-    /// Another node has taken over what it lacked of a feed.
-    pub(crate) fn follower_took(self: &Rc<Self>, link: u64, name: &Text, held: u64) {
+    /// Records that a follower has applied content up to a revision.
+    pub(crate) fn follower_applied(self: &Rc<Self>, link: u64, name: &Text, held: u64) {
         let took = Event::FollowerAcknowledged {
             follower: FollowerId(link),
             held: StoreRevision::from_number(held),
         };
-        self.feed_event(name.as_str(), took);
+        self.handle_feed_event(name.as_str(), took);
     }
 
-    /// Tells the watchers of a feed which revision is held here now: who sent something long can go on with the next
-    /// node, and the other need not send the same.
-    fn tell_sources_what_is_held(self: &Rc<Self>, name: &Text) {
+    /// Reports the held revision to the watchers of a feed: the sender of a large content can serve its next follower,
+    /// and the other watchers need not send the same content.
+    fn report_held_revision(self: &Rc<Self>, name: &Text) {
         let Some(open) = self.feeds.get(name.as_str()) else {
             return;
         };
@@ -353,38 +357,38 @@
             held: held.map_or(0, StoreRevision::number),
         };
         for source in sources {
-            self.tell_neighbour(source, &message);
+            self.send_to_peer(source, &message);
         }
     }
 
-    /// The link of another node has ended.
-    pub(crate) fn follower_link_lost(self: &Rc<Self>, link: u64) {
+    /// Removes a follower whose link has ended.
+    pub(crate) fn remove_followers_of_link(self: &Rc<Self>, link: u64) {
         let follower = FollowerId(link);
         let removed = self.feeds.follower_links.borrow_mut().remove(&follower);
         if removed.is_some() {
             for (name, _) in self.feeds.all() {
-                self.feed_event(name, Event::FollowerLeft(follower));
+                self.handle_feed_event(name, Event::FollowerLeft(follower));
             }
         }
     }
 
-    /// A watcher told of its state.
-    pub(crate) fn source_answered(self: &Rc<Self>, source: NodeId, message: FeedStateMessage) {
-        let Some(content) = content_of(&message) else {
+    /// Applies a state message of a watcher.
+    pub(crate) fn handle_source_answer(self: &Rc<Self>, source: NodeId, message: FeedStateMessage) {
+        let Some(content) = decode_content(&message) else {
             tracing::warn!(
                 event = LogEvent::ConfigurationRefused.number(),
                 source = source.0
             );
             return;
         };
-        let came_in_turn = match &content {
+        let is_large = match &content {
             FeedContent::Snapshot(_) | FeedContent::ChangesSince { .. } => true,
             FeedContent::Changes(bytes) => bytes.len() > MAXIMUM_IMMEDIATE_PUSH_BYTES,
             FeedContent::Unchanged => false,
         };
         let current_at = Some(message.current_at_microseconds)
             .filter(|told| *told > 0)
-            .and_then(|told| self.feeds.on_own_clock(source, Time(told)));
+            .and_then(|told| self.feeds.to_local_time(source, Time(told)));
         let answered = Event::SourceAnswered {
             source,
             at: StoreRevision::from_number(message.at),
@@ -392,30 +396,30 @@
             current_at,
             content,
         };
-        self.feed_event(message.name.as_str(), answered);
-        self.keep_clock_known(source);
-        if came_in_turn {
-            self.tell_sources_what_is_held(&message.name);
+        self.handle_feed_event(message.name.as_str(), answered);
+        self.refresh_clock(source);
+        if is_large {
+            self.report_held_revision(&message.name);
         }
     }
 
-    fn ask_clock(self: &Rc<Self>, source: NodeId) {
+    fn query_clock(self: &Rc<Self>, source: NodeId) {
         let question = NeighbourMessage::AskClock {
             asked_at_microseconds: self.now().0,
         };
-        self.tell_neighbour(source, &question);
+        self.send_to_peer(source, &question);
     }
 
-    /// Asks a watcher for its clock again where that is due.
-    fn keep_clock_known(self: &Rc<Self>, source: NodeId) {
+    /// Requests a watcher's clock again when the last reading is too old.
+    fn refresh_clock(self: &Rc<Self>, source: NodeId) {
         let now = self.now();
         let clock = self.feeds.source_clocks.borrow().get(&source).copied();
         if clock.is_some_and(|clock| clock.is_stale(now)) {
-            self.ask_clock(source);
+            self.query_clock(source);
         }
     }
 
-    fn feed_event(self: &Rc<Self>, name: &str, event: Event) {
+    fn handle_feed_event(self: &Rc<Self>, name: &str, event: Event) {
         let Some(open) = self.feeds.get(name) else {
             return;
         };
@@ -427,33 +431,33 @@
             prometheus::set_feed_revision(name, held);
         }
         for effect in effects {
-            self.carry_out_feed(name, &open, effect);
+            self.apply_feed_effect(name, &open, effect);
         }
     }
 
-    /// Shows a feed's objects at once, or with what else comes until the pause is over.
-    fn show(&self, open: &Rc<OpenFeed>) {
+    /// Publishes a feed's objects at once, or at the end of the publish interval.
+    fn publish_feed(&self, open: &Rc<OpenFeed>) {
         let now = self.now();
-        match open.shown_at.get() {
-            // It waits already.
+        match open.published_at.get() {
+            // A publication is already scheduled.
             Some(at) if at > now => {}
             Some(at) if now.since(at) < PUBLISH_INTERVAL => {
                 let due = at + PUBLISH_INTERVAL;
-                open.shown_at.set(Some(due));
+                open.published_at.set(Some(due));
                 let open = Rc::clone(open);
                 tokio::task::spawn_local(async move {
                     tokio::time::sleep(due.since(now)).await;
-                    open.show();
+                    open.publish();
                 });
             }
             _ => {
-                open.shown_at.set(Some(now));
-                open.show();
+                open.published_at.set(Some(now));
+                open.publish();
             }
         }
     }
 
-    fn carry_out_feed(self: &Rc<Self>, name: &str, open: &Rc<OpenFeed>, effect: Effect) {
+    fn apply_feed_effect(self: &Rc<Self>, name: &str, open: &Rc<OpenFeed>, effect: Effect) {
         match effect {
             Effect::ReadStore(is_reading) => {
                 let event = if is_reading {
@@ -465,34 +469,34 @@
                 open.reading.send_replace(is_reading);
             }
             Effect::Follow { source, known } => {
-                // Its answer comes before the watcher's first word.
-                self.ask_clock(source);
+                // Sent first, so that the clock is known when the first state message arrives.
+                self.query_clock(source);
                 let message = NeighbourMessage::FollowFeed {
                     name: Text::new(name),
                     known: known.map_or(0, StoreRevision::number),
                 };
-                self.tell_neighbour(source, &message);
+                self.send_to_peer(source, &message);
             }
             Effect::Unfollow(source) => {
                 if self.links.borrow().contains_key(&source) {
                     let name = Text::new(name);
-                    self.tell_neighbour(source, &NeighbourMessage::UnfollowFeed { name });
+                    self.send_to_peer(source, &NeighbourMessage::UnfollowFeed { name });
                 }
             }
             Effect::Apply { at, content, since } => {
-                let is_consistent = open.take(at, &content, since);
-                self.show(open);
+                let is_consistent = open.apply(at, &content, since);
+                self.publish_feed(open);
                 if !is_consistent {
                     let event = LogEvent::FeedInconsistent;
                     tracing::warn!(event = event.number(), name = event.name(), feed = name);
-                    self.feed_event(name, Event::ContentMismatch);
+                    self.handle_feed_event(name, Event::ContentMismatch);
                 }
             }
             Effect::RestoreSettled => {
                 open.objects.end_restore_grace();
-                // What is shown from now on was known to the store when it came back, or has gone since.
-                open.note_unshown(None);
-                self.show(open);
+                // Lost objects disappear now; the time of that change is unknown.
+                open.mark_unpublished(None);
+                self.publish_feed(open);
             }
             Effect::OlderContentIgnored { at, held } => {
                 let event = LogEvent::StoreContentLeftOut;
@@ -511,22 +515,22 @@
                 current_at,
                 content,
             } => {
-                let state = ToldState {
+                let state = FeedState {
                     at,
                     age,
                     current_at,
                 };
-                self.tell_followers(name, open, &followers, state, &content);
+                self.send_to_followers(name, open, &followers, state, &content);
             }
         }
     }
 
-    fn tell_followers(
+    fn send_to_followers(
         self: &Rc<Self>,
         name: &str,
         open: &OpenFeed,
         followers: &[FollowerId],
-        state: ToldState,
+        state: FeedState,
         content: &FeedContent,
     ) {
         let mut message = FeedStateMessage {
@@ -547,26 +551,26 @@
             }
             FeedContent::Snapshot(_) => {
                 message.kind = FeedStateMessage::WHOLE;
-                message.content = open.packed().into();
+                message.content = open.compressed_snapshot().into();
             }
             FeedContent::ChangesSince { since, .. } => {
                 message.kind = FeedStateMessage::SINCE;
                 message.since = since.number();
                 message.digest = open.objects.digest();
-                message.content = open.packed_since(*since).into();
+                message.content = open.compressed_changes(*since).into();
             }
         }
         let bytes = frame(&NeighbourMessage::FeedState(message));
         let links = self.feeds.follower_links.borrow();
         for outgoing in followers.iter().filter_map(|follower| links.get(follower)) {
             self.traffic.sent(TrafficKind::Feed, bytes.len());
-            // A link that has failed ends in its watcher.
+            // A failed link is cleaned up by the task that reads it.
             let _ = outgoing.send(&bytes);
         }
     }
 }
 
-fn content_of(message: &FeedStateMessage) -> Option<FeedContent> {
+fn decode_content(message: &FeedStateMessage) -> Option<FeedContent> {
     let unpacked = || decompress(&message.content.bytes);
     Some(match message.kind {
         FeedStateMessage::UNCHANGED => FeedContent::Unchanged,
--- a/crates/stairward-runtime/src/health.rs
+++ b/crates/stairward-runtime/src/health.rs
@@ -1,4 +1,4 @@
-//! The readiness answer, for whoever sends callers to the node, and the node's figures.
+//! HTTP endpoint for readiness checks of load balancers and for metrics.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -17,7 +17,7 @@
 }
 
 impl Readiness {
-    /// Says whether the node is ready.
+    /// Sets whether the node is ready.
     pub fn set(&self, is_ready: bool) {
         self.is_ready.store(is_ready, Ordering::Relaxed);
     }
@@ -29,22 +29,22 @@
     }
 }
 
-/// The path of the figures; every other one is a question for readiness.
-const FIGURES_PATH: &str = "/metrics";
+/// Path of the metrics; every other path is a readiness check.
+const METRICS_PATH: &str = "/metrics";
 
-/// Answers over HTTP: the figures on their path; on any other 200 when the node is ready, 503 when not.
+/// HTTP service: serves the metrics on their path, and on any other path 200 if the node is ready and 503 if not.
 pub struct HealthService;
 
 #[derive(Clone)]
 struct HealthHandler {
     readiness: Arc<Readiness>,
-    figures: Option<PrometheusHandle>,
+    metrics: Option<PrometheusHandle>,
 }
 
 impl HealthHandler {
     fn answer(&self, path: &str) -> (StatusCode, String) {
-        match &self.figures {
-            Some(figures) if path == FIGURES_PATH => (StatusCode::OK, figures.render()),
+        match &self.metrics {
+            Some(metrics) if path == METRICS_PATH => (StatusCode::OK, metrics.render()),
             _ if self.readiness.get() => (StatusCode::OK, String::new()),
             _ => (StatusCode::SERVICE_UNAVAILABLE, String::new()),
         }
@@ -68,13 +68,13 @@
 }
 
 impl HealthService {
-    /// Serves on a listener. Runs for ever.
+    /// Serves on a listener. Never returns.
     pub async fn serve(
         listener: TcpListener,
         readiness: Arc<Readiness>,
-        figures: Option<PrometheusHandle>,
+        metrics: Option<PrometheusHandle>,
     ) {
-        let handler = HealthHandler { readiness, figures };
+        let handler = HealthHandler { readiness, metrics };
         gotham::bind_server(listener, handler, |socket| {
             Box::pin(async move { Ok::<_, ()>(socket) })
         })
--- a/crates/stairward-runtime/src/lib.rs
+++ b/crates/stairward-runtime/src/lib.rs
@@ -1,7 +1,7 @@
-//! Drives the statement engine and the failover duty of one node over real sockets.
+//! Runs the statement engine and the failover state machine of one node over real sockets.
 //!
-//! The statement protocol is a [`Wire`], the metadata store and the promotion call are a
-//! [`Coordination`]; both are given by whoever embeds the node. Everything runs on one thread, in a
+//! The embedding program supplies the statement protocol as a [`Wire`] and the metadata store and
+//! promotion call as a [`Coordination`]. Everything runs on one thread, in a
 //! `tokio::task::LocalSet`.
 
 #![forbid(unsafe_code)]
@@ -12,21 +12,21 @@
 mod compression;
 pub mod content_delta;
 mod coordination;
-mod duty;
+mod failover;
+mod failover_peers;
 mod feeds;
 mod health;
 pub mod holders;
 mod limit_messages;
 mod log;
-mod members;
+mod member_requests;
 mod membership;
-mod neighbour_link;
-mod neighbour_messages;
-mod neighbours;
 mod node;
+mod peer_link;
+mod peers;
 pub mod prometheus;
-mod relayed_questions;
 mod socket;
+mod statement_messages;
 mod traffic;
 mod wire;
 
@@ -34,7 +34,7 @@
 pub use feeds::{FeedObjects, FeedTimeouts, PUBLISH_INTERVAL};
 pub use health::{HealthService, Readiness};
 pub use membership::PeerIdentity;
-pub use neighbour_link::fetch_document;
 pub use node::{Node, NodeOptions};
+pub use peer_link::fetch_document;
 pub use stairward_membership::feed::{FeedContent, RestoredView, StoreObject, StoreRetry};
 pub use wire::{CallerMessage, MemberRequest, Wire, WireError};
--- a/crates/stairward-runtime/src/limit_messages.rs
+++ b/crates/stairward-runtime/src/limit_messages.rs
@@ -1,4 +1,4 @@
-//! Questions about tenants' limits as messages between nodes, and back.
+//! Conversion of tenant limit requests and grants between limiter types and peer messages.
 
 use std::time::Duration;
 
@@ -9,8 +9,8 @@
 use stairward_protocol::neighbour::{LimitAsk, LimitGrant, LimitGranted, LimitWant};
 use stairward_types::{NodeId, TenantName, Time};
 
-/// Tenants in one message at most; what is left out is asked for with the next.
-const MOST_TENANTS: usize = 1_000;
+/// Maximum tenants in one message; the others are requested with the next one.
+const MAXIMUM_TENANTS: usize = 1_000;
 
 fn milliseconds(duration: Duration) -> u32 {
     u32::try_from(duration.as_millis()).unwrap_or(u32::MAX)
@@ -20,17 +20,17 @@
     u32::try_from(duration.as_micros()).unwrap_or(u32::MAX)
 }
 
-/// The number of entries in a message, which [`MOST_TENANTS`] keeps in range.
+/// The number of entries in a message, which [`MAXIMUM_TENANTS`] keeps in range.
 fn count(entries: usize) -> u16 {
     u16::try_from(entries).unwrap_or(u16::MAX)
 }
 
-/// A question as a message.
-pub(crate) fn ask_message(node: NodeId, ask: GrantRequest) -> LimitAsk {
+/// Converts a limit request to a message.
+pub(crate) fn encode_ask(node: NodeId, ask: GrantRequest) -> LimitAsk {
     let wants: Vec<LimitWant> = ask
         .demands
         .into_iter()
-        .take(MOST_TENANTS)
+        .take(MAXIMUM_TENANTS)
         .map(|want| LimitWant {
             tenant: Text::new(want.tenant.as_str()),
             waiting: want.waiting,
@@ -53,8 +53,8 @@
     }
 }
 
-/// A message as a question; none when it is not understood.
-pub(crate) fn ask_of(message: &LimitAsk) -> Option<(NodeId, GrantRequest)> {
+/// Converts a message to a limit request; none if it is malformed.
+pub(crate) fn decode_ask(message: &LimitAsk) -> Option<(NodeId, GrantRequest)> {
     let loan = (message.lends != 0).then_some(CoordinatorTime {
         incarnation: message.life,
         at: Time(message.lent_at_microseconds),
@@ -77,8 +77,8 @@
     Some((NodeId(message.node), ask))
 }
 
-/// An answer as a message.
-pub(crate) fn grant_message(grant: GrantResponse) -> LimitGrant {
+/// Converts a grant to a message.
+pub(crate) fn encode_grant(grant: GrantResponse) -> LimitGrant {
     let granted: Vec<LimitGranted> = grant
         .granted
         .into_iter()
@@ -101,8 +101,8 @@
     }
 }
 
-/// A message as an answer; none when it is not understood.
-pub(crate) fn grant_of(message: &LimitGrant) -> Option<GrantResponse> {
+/// Converts a message to a grant; none if it is malformed.
+pub(crate) fn decode_grant(message: &LimitGrant) -> Option<GrantResponse> {
     let mut granted = Vec::new();
     for tenant in &message.granted {
         granted.push(TenantGrant {
--- a/crates/stairward-runtime/src/membership.rs
+++ b/crates/stairward-runtime/src/membership.rs
@@ -1,5 +1,5 @@
-//! Driving the membership state machine over UDP, and what follows from the view: how many nodes share the
-//! back ends, and which of them hold a service's connections.
+//! Runs the membership protocol over UDP and derives from its view how many nodes share the back ends and which of
+//! them hold each service's connections.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -21,34 +21,34 @@
 use crate::traffic::TrafficKind;
 use crate::wire::Wire;
 
-/// Time between the starts of two probes. Losses of nodes only change shares here, so it need not be short.
+/// Interval between probes. A node failure only changes connection shares, so detection need not be fast.
 const PROBE_INTERVAL: Duration = Duration::from_millis(500);
-/// Shortest time between two lookings at the view, so that many changes at once cost little.
+/// Minimum interval between updates from the view, so that a burst of changes is applied at once.
 const VIEW_INTERVAL: Duration = Duration::from_millis(500);
-/// The first view is looked at once it has not changed for this long: a fleet that starts fills it within 0.3 s
-/// (`fleetbench run`, 295 nodes), and until then a node does not know what is for others to do.
-const FIRST_VIEW_REST: Duration = Duration::from_millis(100);
-/// Pause between two tellings of the number of nodes, so that a larger one is forgotten in time.
+/// The first view is applied once it has not changed for this long. A starting fleet fills it within 0.3 s
+/// (`fleetbench run`, 295 nodes); with an incomplete view a node would take on work that belongs to others.
+const FIRST_VIEW_SETTLE_TIME: Duration = Duration::from_millis(100);
+/// Interval at which the number of nodes is reported even if unchanged, so that a larger earlier number expires.
 const COUNT_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Who a node is among its peers.
+/// Identity and address of a node among its peers.
 #[derive(Debug, Clone)]
 pub struct PeerIdentity {
-    /// Its number, the same in each life of its process.
+    /// Node id, stable across restarts of the process.
     pub node: NodeId,
-    /// Where it listens for peers, by TCP and UDP.
+    /// Listen address for peers, for both TCP and UDP.
     pub address: SocketAddr,
     /// Its region.
     pub region: RegionName,
     /// Its zone.
     pub zone: ZoneName,
-    /// Addresses of peers, which may be stale.
+    /// Addresses of peers to join through; some may be stale.
     pub seeds: Vec<SocketAddr>,
-    /// Shared by all nodes; packets and links without it are refused.
+    /// Secret shared by all nodes; packets and links without it are refused.
     pub key: ClusterKey,
 }
 
-/// The number of the process's present life: later lives have higher ones, as far as the clock allows.
+/// Incarnation of this process, from the wall clock: it rises with every restart unless the clock is set back.
 fn incarnation() -> Incarnation {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
     let milliseconds = since_epoch.map_or(0, |elapsed| elapsed.as_millis());
@@ -56,7 +56,7 @@
 }
 
 impl<W: Wire> Node<W> {
-    /// Takes part in membership. Runs for ever.
+    /// Runs the membership protocol on a socket. Never returns.
     pub async fn run_membership(self: Rc<Self>, socket: UdpSocket) {
         let mut random: StdRng = rand::make_rng();
         let identity = &self.peer;
@@ -76,15 +76,15 @@
         let now = self.now();
         let mut swim = SwimMember::new(profile, &identity.seeds, config, now, &mut random);
         let mut buffer = [0; MAXIMUM_DATAGRAM_BYTES + 1];
-        let mut told_count = now;
+        let mut applied_at = now;
         let mut has_announced = false;
         let mut has_changed = false;
         let mut changed_at = now;
-        let mut has_shown = false;
+        let mut has_view = false;
         loop {
             let mut pause = swim.next_deadline().since(self.now());
-            if !has_shown {
-                pause = pause.min(FIRST_VIEW_REST);
+            if !has_view {
+                pause = pause.min(FIRST_VIEW_SETTLE_TIME);
             }
             let event = tokio::select! {
                 received = socket.recv_from(&mut buffer) => match received {
@@ -109,7 +109,7 @@
                     Effect::Send { to, packet } => {
                         if let Ok(bytes) = encode(&packet, &identity.key) {
                             self.traffic.sent(TrafficKind::Membership, bytes.len());
-                            // A datagram that can't be sent counts as lost on the way.
+                            // A send error is treated like a lost datagram.
                             let _ = socket.try_send_to(&bytes, to);
                         }
                     }
@@ -121,23 +121,23 @@
                     Effect::PeerDigest { .. } | Effect::TermReceived(_) => {}
                 }
             }
-            let since_told = now.since(told_count);
-            let has_rested = has_changed && now.since(changed_at) >= FIRST_VIEW_REST;
-            let is_due = if has_shown {
-                has_changed && since_told >= VIEW_INTERVAL
+            let since_applied = now.since(applied_at);
+            let has_settled = has_changed && now.since(changed_at) >= FIRST_VIEW_SETTLE_TIME;
+            let is_due = if has_view {
+                has_changed && since_applied >= VIEW_INTERVAL
             } else {
-                has_rested || since_told >= VIEW_INTERVAL
+                has_settled || since_applied >= VIEW_INTERVAL
             };
-            if is_due || since_told >= COUNT_INTERVAL {
-                has_shown = true;
+            if is_due || since_applied >= COUNT_INTERVAL {
+                has_view = true;
                 has_changed = false;
-                told_count = now;
+                applied_at = now;
                 self.set_members(swim.view().cloned().collect());
             }
         }
     }
 
-    /// Whether a node is believed to live.
+    /// Whether a node is in the membership view.
     #[must_use]
     pub fn is_member(&self, node: NodeId) -> bool {
         self.members
@@ -146,7 +146,7 @@
             .any(|member| member.node == node)
     }
 
-    /// Takes the membership view in.
+    /// Applies a new membership view.
     fn set_members(self: &Rc<Self>, members: Vec<Profile>) {
         let count = members.iter().filter(|member| !member.leaving).count();
         let (leaving, live): (Vec<_>, Vec<_>) = members.iter().partition(|member| member.leaving);
@@ -158,16 +158,16 @@
         let has_changed = *self.members.borrow() != members;
         *self.members.borrow_mut() = members;
         if has_changed {
-            self.choose_question_peers();
+            self.choose_relay_peers();
             self.update_holders();
-            self.tell_feeds_of_members();
+            self.update_feed_members();
         }
         self.handle(known);
         self.set_nodes(u32::try_from(count).unwrap_or(1));
-        self.note_users();
+        self.update_leader_users();
     }
 
-    /// Takes a configuration's services in: how many nodes hold connections to each.
+    /// Updates the maximum number of holders of every configured service.
     pub(crate) fn set_services(self: &Rc<Self>, table: &RoutingTable) {
         let counts = table.services.iter().map(|(service, limits)| {
             let count = self.holder_demand(service, limits).holder_count();
@@ -182,10 +182,10 @@
             let mut holders = self.holders.borrow_mut();
             holders.set_services(&self.local_node(), &members, counts)
         };
-        self.show_holders(changes);
+        self.apply_holder_changes(changes);
     }
 
-    /// Takes in what has been learnt of the back ends of these services: how many nodes hold connections to each.
+    /// Updates the maximum number of holders of services whose back ends changed.
     pub(crate) fn update_services(self: &Rc<Self>, services: &BTreeSet<ServiceName>) {
         let Some(table) = self.routing_table() else {
             return;
@@ -207,7 +207,7 @@
             let mut holders = self.holders.borrow_mut();
             holders.update_holder_counts(&self.local_node(), &members, counts)
         };
-        self.show_holders(changes);
+        self.apply_holder_changes(changes);
     }
 
     fn holder_demand(&self, service: &ServiceName, limits: &ServiceLimits) -> HolderSizing {
@@ -218,7 +218,7 @@
         }
     }
 
-    /// Takes the membership view in: who of them holds connections to which services.
+    /// Recomputes the holders of each service from the membership view.
     fn update_holders(self: &Rc<Self>) {
         let (regions, changes) = {
             let members = self.members.borrow();
@@ -228,7 +228,7 @@
             (regions, holders.set_members(&self.local_node(), &members))
         };
         self.handle(stairward_engine::Event::NodeRegions(regions));
-        self.show_holders(changes);
+        self.apply_holder_changes(changes);
     }
 
     fn local_node(&self) -> LocalNode {
@@ -239,8 +239,8 @@
         }
     }
 
-    /// Shows the engine whose holders have changed.
-    fn show_holders(self: &Rc<Self>, changes: BTreeMap<ServiceName, ServiceHolders>) {
+    /// Passes changed holders to the engine.
+    fn apply_holder_changes(self: &Rc<Self>, changes: BTreeMap<ServiceName, ServiceHolders>) {
         if !changes.is_empty() {
             self.handle(stairward_engine::Event::HoldersChanged(changes));
         }
--- a/crates/stairward-runtime/src/node.rs
+++ b/crates/stairward-runtime/src/node.rs
@@ -1,4 +1,4 @@
-//! The node: engine and duty, and the carrying out of what they decide.
+//! The node: owns the engine and the failover state machine and executes their effects.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -25,41 +25,41 @@
 
 use crate::backend_registry::BackendRegistry;
 use crate::coordination::{Coordination, FleetSizeWrite};
+use crate::failover_peers::LeaderUser;
 use crate::feeds::Feeds;
 use crate::health::Readiness;
 use crate::holders::HolderAssignments;
-use crate::limit_messages::ask_message;
+use crate::limit_messages::encode_ask;
 use crate::log::{DecisionLog, EvacuationLine, LeadLine};
-use crate::members::KeptConnections;
+use crate::member_requests::MemberConnections;
 use crate::membership::PeerIdentity;
-use crate::neighbours::{Guests, Link};
+use crate::peers::{Link, RemoteSessions};
 use crate::prometheus;
-use crate::relayed_questions::User;
 use crate::socket::Outgoing;
 use crate::traffic::Traffic;
 use crate::wire::Wire;
 
-/// How a node is set up.
+/// Configuration and dependencies of a [`Node`].
 pub struct NodeOptions {
-    /// For the engine.
+    /// Options of the statement engine.
     pub engine: EngineOptions,
-    /// For the failover duty.
+    /// Options of the failover state machine.
     pub failover: FailoverOptions,
-    /// How long a leader counts as confirmed after a replica was asked, and how long whoever replaces it waits
-    /// therefore. None where a leader that was replaced accepts nothing any more.
+    /// How long a leader stays confirmed after a replica was queried, and therefore how long a failover waits before
+    /// it promotes another. None when a replaced leader accepts no more statements.
     pub leadership_lease: Option<Duration>,
-    /// The store and the promotion call.
+    /// The metadata store and the promotion call.
     pub coordination: Rc<dyn Coordination>,
-    /// Who the node is among its peers.
+    /// The node's identity and address among its peers.
     pub peer: PeerIdentity,
-    /// Told whether the node is ready.
+    /// Updated whenever the node becomes ready or unready.
     pub readiness: Arc<Readiness>,
 }
 
-/// One node. Use it within a `LocalSet`.
+/// One node. Must be used within a `LocalSet`.
 pub struct Node<W: Wire> {
     pub(crate) engine: RefCell<Engine>,
-    pub(crate) duty: RefCell<FailoverController>,
+    pub(crate) failover: RefCell<FailoverController>,
     pub(crate) coordination: Rc<dyn Coordination>,
     readiness: Arc<Readiness>,
     started: Instant,
@@ -68,28 +68,28 @@
     pub(crate) discovered: RefCell<BackendRegistry>,
     pub(crate) leader_memory: RefCell<LastKnownPrimaries>,
     pub(crate) peer: PeerIdentity,
-    /// The membership view.
+    /// The members of the current membership view.
     pub(crate) members: RefCell<Vec<Profile>>,
-    /// Which nodes hold connections to which services.
+    /// Which nodes hold connections to the back ends of each service.
     pub(crate) holders: RefCell<HolderAssignments>,
     pub(crate) links: RefCell<BTreeMap<NodeId, Link>>,
-    pub(crate) guests: RefCell<Guests>,
-    pub(crate) kept: RefCell<KeptConnections>,
-    /// The peers that pass questions on, and hear of silent back ends.
-    pub(crate) question_peers: RefCell<Vec<NodeId>>,
-    /// Other nodes that live or lived a while ago.
-    pub(crate) users: RefCell<BTreeMap<NodeId, User>>,
-    /// The version of the record of the number of nodes.
+    pub(crate) remote_sessions: RefCell<RemoteSessions>,
+    pub(crate) member_connections: RefCell<MemberConnections>,
+    /// Peers that relay member requests and receive reports of silent back ends.
+    pub(crate) relay_peers: RefCell<Vec<NodeId>>,
+    /// Other nodes that are members or were recently, and so may still use a leader.
+    pub(crate) leader_users: RefCell<BTreeMap<NodeId, LeaderUser>>,
+    /// Version of the fleet size record.
     fleet_version: Cell<RecordVersion>,
-    /// The zones to whose back ends nothing is to be sent.
+    /// Evacuated zones: their back ends receive no statements.
     pub(crate) evacuated: RefCell<BTreeSet<ZoneName>>,
     /// The region of each zone.
     pub(crate) zone_regions: BTreeMap<ZoneName, RegionName>,
-    /// The weight of each service's work that is allowed in each region; empty where none is bound to regions.
+    /// For each service, the weight of the work allowed in each region; empty for services without region limits.
     pub(crate) allowed_work: RefCell<BTreeMap<ServiceName, BTreeMap<RegionName, u64>>>,
     pub(crate) feeds: Feeds,
     pub(crate) log: DecisionLog,
-    /// What the links carry, by kind.
+    /// Traffic counters of the peer links, by message kind.
     pub(crate) traffic: Traffic,
     last_session: Cell<u64>,
     rescheduled: Notify,
@@ -100,15 +100,15 @@
     wire: std::marker::PhantomData<W>,
 }
 
-/// Bytes on their way out, by where they go, so that each connection is written to once a turn.
+/// Encoded output per connection, so that each connection is written to once per engine event.
 #[derive(Default)]
-struct Turn {
+struct PendingWrites {
     to_sessions: BTreeMap<SessionId, BytesMut>,
     to_connections: BTreeMap<ConnectionId, BytesMut>,
 }
 
 impl<W: Wire> Node<W> {
-    /// A node that knows nothing yet.
+    /// Creates a node without configuration, back ends or peers.
     #[must_use]
     pub fn new(options: NodeOptions) -> Rc<Self> {
         let zone_regions = options.engine.regions.clone();
@@ -120,13 +120,13 @@
             },
             ..options.engine
         };
-        let failover = FailoverOptions {
+        let failover_options = FailoverOptions {
             leadership_lease: options.leadership_lease,
             ..options.failover
         };
         Rc::new(Self {
             engine: RefCell::new(Engine::new(engine)),
-            duty: RefCell::new(FailoverController::new(failover)),
+            failover: RefCell::new(FailoverController::new(failover_options)),
             coordination: options.coordination,
             readiness: options.readiness,
             started: Instant::now(),
@@ -138,10 +138,10 @@
             members: RefCell::default(),
             holders: RefCell::default(),
             links: RefCell::default(),
-            guests: RefCell::default(),
-            kept: RefCell::default(),
-            question_peers: RefCell::default(),
-            users: RefCell::default(),
+            remote_sessions: RefCell::default(),
+            member_connections: RefCell::default(),
+            relay_peers: RefCell::default(),
+            leader_users: RefCell::default(),
             fleet_version: Cell::default(),
             evacuated: RefCell::default(),
             zone_regions,
@@ -159,52 +159,52 @@
         })
     }
 
-    /// The present moment on the node's own steady clock.
+    /// The current time of the node's monotonic clock.
     #[must_use]
     pub fn now(&self) -> Time {
         Time::ZERO + self.started.elapsed()
     }
 
-    /// Puts a configuration in force, unless a newer one is.
+    /// Applies a configuration, unless the current one is as new or newer.
     pub fn apply_configuration(self: &Rc<Self>, table: RoutingTable) {
         let revision = table.revision;
         let known = self.routing_table().map(|known| known.revision);
         if known.is_some_and(|known| revision <= known) {
             return;
         }
-        // Before the engine opens connections: other nodes may hold them.
+        // Must precede the engine event, which opens connections that other nodes may be assigned to hold.
         self.set_services(&table);
         *self.allowed_work.borrow_mut() = table.allowed_work(self.zone_regions.values());
         self.handle(Event::ConfigurationChanged(Arc::new(table)));
         tracing::info!(
             event = LogEvent::ConfigurationApplied.number(),
             revision = revision.0,
-            "a configuration is known"
+            "configuration applied"
         );
-        self.tell_duty_of_groups();
+        self.update_all_failover_groups();
     }
 
-    /// Takes in the zones to whose back ends nothing is to be sent, whole. What is new in them came about after
-    /// `since`, or at any time where that is not known.
+    /// Replaces the set of evacuated zones. The change happened after `since`, or at an unknown time if that is none.
     pub fn set_evacuated_zones(self: &Rc<Self>, zones: BTreeSet<ZoneName>, since: Option<Time>) {
         if *self.evacuated.borrow() == zones {
             return;
         }
         self.evacuated.borrow_mut().clone_from(&zones);
         self.handle(Event::EvacuatedZonesChanged { zones, since });
-        self.tell_duty_of_groups();
+        self.update_all_failover_groups();
     }
 
-    /// Takes in what differs in discovery's list. It came about after `since`, or at any time where that is not known.
+    /// Applies a change of the discovered back ends. The change happened after `since`, or at an unknown time if that
+    /// is none.
     pub fn apply_discovery(self: &Rc<Self>, change: DiscoveryChange, since: Option<Time>) {
         let touched = self.discovered.borrow_mut().apply(self.now(), &change);
-        // Before the engine opens connections: how many nodes hold them follows from what the back ends can use.
+        // Must precede the engine event, which opens connections: the number of holders depends on the back ends' slots.
         self.update_services(&touched);
         self.handle(Event::BackendsChanged { change, since });
-        self.tell_duty_of(&touched);
+        self.update_failover_groups(&touched);
     }
 
-    /// The number of nodes on record, as the store shows it; 0 where it shows no record.
+    /// Sets the fleet size recorded in the store; 0 if there is no record.
     pub fn apply_fleet_size(self: &Rc<Self>, version: RecordVersion, nodes: u32) {
         self.fleet_version.set(version);
         self.handle(Event::FleetSizeRecorded(nodes));
@@ -222,34 +222,34 @@
                 FleetSizeWrite::Failed => tracing::warn!(
                     event = LogEvent::StoreUnreachable.number(),
                     nodes,
-                    "the number of nodes could not be recorded; it is tried again"
+                    "could not write the number of nodes to the store; the write is retried"
                 ),
             }
         });
     }
 
-    /// How many nodes share the back ends.
+    /// Sets how many nodes share the back ends.
     pub(crate) fn set_nodes(self: &Rc<Self>, nodes: u32) {
         self.handle(Event::NodeCountChanged(nodes));
-        self.tell_duty(stairward_failover::Event::NodeCount(nodes));
+        self.handle_failover_event(stairward_failover::Event::NodeCount(nodes));
     }
 
-    /// Begins a planned stop.
+    /// Begins a graceful shutdown.
     pub fn stop(self: &Rc<Self>) {
         tracing::info!(
             event = LogEvent::DrainStarted.number(),
-            "a planned stop begins"
+            "graceful shutdown started"
         );
         self.is_stop_requested.set(true);
         self.handle(Event::StopRequested);
     }
 
-    /// Whether a planned stop is under way.
+    /// Whether a graceful shutdown has begun.
     pub(crate) fn is_stopping(&self) -> bool {
         self.is_stop_requested.get()
     }
 
-    /// Waits until a planned stop is complete.
+    /// Waits until the graceful shutdown is complete.
     pub async fn stopped(&self) {
         while !self.is_stopped.get() {
             self.stopped.notified().await;
@@ -262,30 +262,30 @@
         self.engine.borrow().routing_table().cloned()
     }
 
-    /// The newest proved position of a service's leader, and its age.
+    /// The newest proved log position of a service's leader, and the age of the proof.
     pub(crate) fn proved_position(&self, service: &ServiceName) -> Option<(Freshness, Duration)> {
         let now = self.now();
         self.engine.borrow().proved_position(now, service)
     }
 
-    /// What is known of a service's lead: the newest term that may have begun, and the age of that.
+    /// The newest term of a service that may have begun, and the age of that information.
     pub(crate) fn known_lead(&self, service: &ServiceName) -> Option<(Term, Duration)> {
         let now = self.now();
         self.engine.borrow().known_leadership(now, service)
     }
 
-    /// The newest term of a service that was seen in any answer.
+    /// The newest term of a service seen in any reply.
     pub(crate) fn newest_term(&self, service: &ServiceName) -> Term {
         self.engine.borrow().newest_term(service)
     }
 
-    /// Answers another node's question about tenants' limits.
+    /// Grants tenant limits to another node, as their coordinator.
     pub(crate) fn grant_limit(&self, node: NodeId, ask: &GrantRequest) -> GrantResponse {
         let now = self.now();
         self.engine.borrow_mut().answer_limit(now, node, ask)
     }
 
-    /// Figures for metrics.
+    /// Counters of the engine, for metrics.
     #[must_use]
     pub fn statistics(&self) -> EngineStatistics {
         self.engine.borrow().statistics()
@@ -296,7 +296,7 @@
         SessionId(self.last_session.get())
     }
 
-    /// Gives the engine an event and carries out what it decides.
+    /// Passes an event to the engine and executes the resulting effects.
     pub(crate) fn handle(self: &Rc<Self>, event: Event) {
         let now = self.now();
         let (effects, wake_at, is_ready) = {
@@ -306,7 +306,7 @@
         };
         self.readiness
             .set(is_ready && !self.discovered.borrow().is_empty());
-        self.carry_out(now, effects);
+        self.apply_effects(now, effects);
         self.reschedule(wake_at);
     }
 
@@ -322,7 +322,7 @@
         }
     }
 
-    /// Wakes the engine when something is due. Runs for ever.
+    /// Sends the engine a tick whenever one of its deadlines is due. Never returns.
     pub async fn run_timers(self: Rc<Self>) {
         loop {
             let wake_at = self.engine.borrow().next_wake();
@@ -340,18 +340,18 @@
         }
     }
 
-    fn carry_out(self: &Rc<Self>, now: Time, effects: Vec<Effect>) {
-        let mut turn = Turn::default();
+    fn apply_effects(self: &Rc<Self>, now: Time, effects: Vec<Effect>) {
+        let mut writes = PendingWrites::default();
         for effect in effects {
-            self.carry_out_one(now, effect, &mut turn);
+            self.apply_effect(now, effect, &mut writes);
         }
-        self.flush(turn);
+        self.flush(writes);
     }
 
-    fn carry_out_one(self: &Rc<Self>, now: Time, effect: Effect, turn: &mut Turn) {
+    fn apply_effect(self: &Rc<Self>, now: Time, effect: Effect, writes: &mut PendingWrites) {
         match effect {
             Effect::AcceptSession { session } => {
-                W::encode_accept(turn.to_sessions.entry(session).or_default());
+                W::encode_accept(writes.to_sessions.entry(session).or_default());
             }
             Effect::Forward {
                 holder,
@@ -360,7 +360,7 @@
                 forwarded,
             } => self.forward(holder, session, request, forwarded),
             Effect::PingHolder { holder } => {
-                self.tell_neighbour(holder, &NeighbourMessage::AskAlive);
+                self.send_to_peer(holder, &NeighbourMessage::AskAlive);
             }
             Effect::HolderLivenessChanged { holder, is_silent } => {
                 self.log.holder(now, holder, is_silent)
@@ -383,14 +383,14 @@
                 };
                 self.log.lead(now, &lead);
                 let is_revoked = change == LeadershipChange::Revoked;
-                self.tell_duty(stairward_failover::Event::LeadershipRevoked(
+                self.handle_failover_event(stairward_failover::Event::LeadershipRevoked(
                     service, is_revoked,
                 ));
             }
-            Effect::QueryLeadership { holder, service } => self.ask_lead(holder, &service),
+            Effect::QueryLeadership { holder, service } => self.query_lead(holder, &service),
             Effect::RequestLimitGrant(node, ask) => {
-                let message = ask_message(self.peer.node, ask);
-                self.tell_neighbour(node, &NeighbourMessage::AskLimit(message));
+                let message = encode_ask(self.peer.node, ask);
+                self.send_to_peer(node, &NeighbourMessage::AskLimit(message));
             }
             Effect::RecordFleetSize(nodes) => self.record_fleet(nodes),
             Effect::CoordinatorChanged {
@@ -400,38 +400,39 @@
             } => {
                 self.log.coordinator(now, shard, silent, coordinator);
             }
-            Effect::QueryPosition { service } => self.ask_peers_for_position(&service),
+            Effect::QueryPosition { service } => self.query_positions(&service),
             Effect::CloseForwardedSession { holder, session } => {
                 self.close_forwarded(holder, session)
             }
             Effect::RefuseSession { session, code } => {
                 self.log.session_refused(now, session, code);
-                W::encode_refusal(code, turn.to_sessions.entry(session).or_default());
-                self.flush(std::mem::take(turn));
+                W::encode_refusal(code, writes.to_sessions.entry(session).or_default());
+                self.flush(std::mem::take(writes));
                 self.close_session(session);
             }
             Effect::Respond { session, response } => {
-                if let Some(response) = self.answer_guest(session, response) {
-                    W::encode_response(&response, turn.to_sessions.entry(session).or_default());
+                if let Some(response) = self.answer_remote_session(session, response) {
+                    W::encode_response(&response, writes.to_sessions.entry(session).or_default());
                 }
             }
             Effect::CloseSession { session } => {
-                self.flush(std::mem::take(turn));
+                self.flush(std::mem::take(writes));
                 self.close_session(session);
-                self.forget_guest(session);
+                self.forget_remote_session(session);
             }
             Effect::Open { connection, target } => self.open(connection, target),
             Effect::Send {
                 connection,
                 command,
-            } => W::encode_command(&command, turn.to_connections.entry(connection).or_default()),
+            } => W::encode_command(&command,
+                writes.to_connections.entry(connection).or_default(),),
             Effect::CloseConnection { connection } => {
-                turn.to_connections.remove(&connection);
+                writes.to_connections.remove(&connection);
                 if let Some(outgoing) = self.connections.borrow_mut().remove(&connection) {
                     outgoing.close();
                 }
             }
-            Effect::BackendObserved { backend, evidence } => self.observed(now, backend, evidence),
+            Effect::BackendObserved { backend, evidence } => self.handle_evidence(now, backend, evidence),
             Effect::EvacuationObserved { zone, is_evacuated } => {
                 self.evacuation_observed(now, &zone, is_evacuated);
             }
@@ -455,7 +456,7 @@
                     .borrow()
                     .get(&backend)
                     .map(|b| b.service.clone());
-                self.tell_duty_of(&service.into_iter().collect());
+                self.update_failover_groups(&service.into_iter().collect());
             }
             Effect::Record(record) => self.log.request(now, &record),
             Effect::Measured(measure) => prometheus::count_request(&measure),
@@ -466,32 +467,32 @@
         }
     }
 
-    fn flush(self: &Rc<Self>, turn: Turn) {
-        for (session, bytes) in turn.to_sessions {
+    fn flush(self: &Rc<Self>, writes: PendingWrites) {
+        for (session, bytes) in writes.to_sessions {
             let outgoing = self.sessions.borrow().get(&session).cloned();
             if let Some(outgoing) = outgoing
                 && outgoing.send(&bytes).is_err()
             {
-                self.lose_session(session);
+                self.defer_session_end(session);
             }
         }
-        for (connection, bytes) in turn.to_connections {
+        for (connection, bytes) in writes.to_connections {
             let outgoing = self.connections.borrow().get(&connection).cloned();
             if let Some(outgoing) = outgoing
                 && outgoing.send(&bytes).is_err()
             {
-                self.lose_connection(connection);
+                self.defer_connection_end(connection);
             }
         }
     }
 
-    /// A session's socket failed while it was written to: the engine hears of it in a turn of its own.
-    fn lose_session(self: &Rc<Self>, session: SessionId) {
+    /// Ends a session whose socket failed on write. Deferred to a new task, since effects are still being executed.
+    fn defer_session_end(self: &Rc<Self>, session: SessionId) {
         let node = Rc::clone(self);
         tokio::task::spawn_local(async move { node.session_ended(session) });
     }
 
-    fn lose_connection(self: &Rc<Self>, connection: ConnectionId) {
+    fn defer_connection_end(self: &Rc<Self>, connection: ConnectionId) {
         let node = Rc::clone(self);
         tokio::task::spawn_local(async move { node.connection_ended(connection) });
     }
@@ -522,7 +523,7 @@
         let line = EvacuationLine {
             zone,
             is_evacuated,
-            backends: self.discovered.borrow().count_in(zone),
+            backends: self.discovered.borrow().count_in_zone(zone),
             is_known: self.zone_regions.contains_key(zone),
         };
         self.log.evacuation(now, &line);
@@ -531,7 +532,7 @@
         }
     }
 
-    fn observed(self: &Rc<Self>, now: Time, backend: BackendId, evidence: BackendEvidence) {
+    fn handle_evidence(self: &Rc<Self>, now: Time, backend: BackendId, evidence: BackendEvidence) {
         let (event, evidence) = match evidence {
             BackendEvidence::Answered => {
                 (LogEvent::BackendReachable, Some(LeaderEvidence::Answered))
@@ -548,11 +549,9 @@
         };
         self.log.backend(now, event, backend.as_str());
         if let Some(evidence) = evidence {
-            self.tell_duty(stairward_failover::Event::Evidence(backend, evidence));
+            self.handle_failover_event(stairward_failover::Event::Evidence(backend, evidence));
         }
     }
-
-    /// A pause for tasks that wait for something to change.
     pub(crate) async fn pause(duration: Duration) {
         tokio::time::sleep(duration).await;
     }
--- a/crates/stairward-runtime/src/neighbours.rs
+++ b/crates/stairward-runtime/src/peers.rs
@@ -1,5 +1,5 @@
-//! Links between nodes: statements forwarded to holders of connections, and documents for a node that
-//! can't read the store or leaves that to others.
+//! Links between nodes: they carry statements forwarded to connection holders, feeds, documents for nodes that do not
+//! read the store, and requests of the failover and limit protocols.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -14,63 +14,63 @@
 use stairward_types::{BackendId, Freshness, LogEvent, NodeId, ServiceName, Term, Time};
 use tokio::net::{TcpListener, TcpStream};
 
-use crate::limit_messages::{ask_of, grant_message, grant_of};
-use crate::neighbour_link::{MessageReader, connect, frame};
-use crate::neighbour_messages::{answer_message, forwarded_of, response_of, statement_message};
+use crate::limit_messages::{decode_ask, decode_grant, encode_grant};
 use crate::node::Node;
+use crate::peer_link::{MessageReader, connect, frame};
 use crate::socket::Outgoing;
+use crate::statement_messages::{decode_answer, decode_statement, encode_answer, encode_statement};
 use crate::traffic::{OpeningKind, TrafficKind};
 use crate::wire::Wire;
 
-/// Peers asked at once for a position.
-const PEERS_ASKED: usize = 2;
-/// Pause after a link could not be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Number of peers queried at once for a leader's log position.
+const POSITION_PEERS: usize = 2;
+/// Delay after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// A link to a holder.
+/// An outgoing link to another node.
 pub(crate) enum Link {
-    /// It is being made; these bytes wait.
+    /// Being connected; holds the bytes to send once it is open.
     Opening(BytesMut),
-    /// It can be written to.
+    /// Connected.
     Open(Rc<Outgoing>),
 }
 
-/// A session of another node whose statements run here.
-pub(crate) struct Guest {
+/// A session of another node that forwards statements to this one, with its latest request.
+pub(crate) struct RemoteSession {
     outgoing: Rc<Outgoing>,
     session: u64,
     request: u64,
 }
 
-/// Sessions of other nodes, by both numbers.
+/// Sessions of other nodes, by local session id and by link and remote session id.
 #[derive(Default)]
-pub(crate) struct Guests {
-    by_own: BTreeMap<SessionId, Guest>,
-    by_theirs: BTreeMap<(u64, u64), SessionId>,
+pub(crate) struct RemoteSessions {
+    by_local_id: BTreeMap<SessionId, RemoteSession>,
+    by_remote_id: BTreeMap<(u64, u64), SessionId>,
     last_link: u64,
 }
 
 impl<W: Wire> Node<W> {
-    /// Accepts links of other nodes. Runs for ever.
+    /// Accepts links from other nodes. Never returns.
     pub async fn accept_peers(self: Rc<Self>, listener: TcpListener) {
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    tokio::task::spawn_local(Rc::clone(&self).serve_neighbour(stream));
+                    tokio::task::spawn_local(Rc::clone(&self).serve_peer(stream));
                 }
                 Err(error) => {
                     tracing::warn!(event = LogEvent::ListenerFailed.number(), %error);
-                    Self::pause(ACCEPT_PAUSE).await;
+                    Self::pause(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
     }
 
-    async fn serve_neighbour(self: Rc<Self>, stream: TcpStream) {
+    async fn serve_peer(self: Rc<Self>, stream: TcpStream) {
         let link = {
-            let mut guests = self.guests.borrow_mut();
-            guests.last_link += 1;
-            guests.last_link
+            let mut remote_sessions = self.remote_sessions.borrow_mut();
+            remote_sessions.last_link += 1;
+            remote_sessions.last_link
         };
         self.traffic.opened(OpeningKind::Accepted);
         let (reading, outgoing) = Outgoing::split(stream);
@@ -78,45 +78,45 @@
         while let Some(message) = reader.next().await {
             let kind = TrafficKind::of(&message);
             self.traffic.received(kind, reader.last_length());
-            if !self.take_message(link, &outgoing, message).await {
+            if !self.handle_peer_message(link, &outgoing, message).await {
                 break;
             }
         }
         self.traffic.accepted_ended();
-        self.close_guests_of(link);
-        self.follower_link_lost(link);
+        self.close_remote_sessions_of(link);
+        self.remove_followers_of_link(link);
     }
 
-    /// Takes a message of another node in, and answers it where it is a question. False when the link is to end.
-    async fn take_message(
+    /// Handles a message of another node and sends the reply, if any. Returns false if the link must be closed.
+    async fn handle_peer_message(
         self: &Rc<Self>,
         link: u64,
         outgoing: &Rc<Outgoing>,
         message: NeighbourMessage,
     ) -> bool {
         let answer = match message {
-            NeighbourMessage::AskDocument { name } => Some(self.document_answer(name)),
+            NeighbourMessage::AskDocument { name } => Some(self.document_reply(name)),
             NeighbourMessage::Forward(message) => {
-                return self.take_forwarded(link, outgoing, &message);
+                return self.handle_forwarded(link, outgoing, &message);
             }
             NeighbourMessage::CloseSession { session } => {
-                self.close_guest(link, session);
+                self.close_remote_session(link, session);
                 None
             }
             NeighbourMessage::AskPosition {
                 service,
                 asked_at_microseconds,
-            } => Some(self.position_answer(service, asked_at_microseconds)),
+            } => Some(self.position_reply(service, asked_at_microseconds)),
             NeighbourMessage::FollowFeed { name, known } => {
-                self.follower_asked(link, outgoing, &name, known);
+                self.add_follower(link, outgoing, &name, known);
                 None
             }
             NeighbourMessage::UnfollowFeed { name } => {
-                self.follower_left(link, &name);
+                self.remove_follower(link, &name);
                 None
             }
             NeighbourMessage::FeedTaken { name, held } => {
-                self.follower_took(link, &name, held);
+                self.follower_applied(link, &name, held);
                 None
             }
             NeighbourMessage::AskAlive => Some(NeighbourMessage::Alive),
@@ -129,8 +129,8 @@
             NeighbourMessage::AskLead {
                 service,
                 asked_at_microseconds,
-            } => self.lead_answer(service, asked_at_microseconds),
-            NeighbourMessage::AskLimit(message) => match self.limit_answer(&message) {
+            } => self.lead_reply(service, asked_at_microseconds),
+            NeighbourMessage::AskLimit(message) => match self.limit_reply(&message) {
                 Some(answer) => Some(answer),
                 None => return false,
             },
@@ -138,7 +138,7 @@
                 let Ok(service) = ServiceName::new(service.as_str()) else {
                     return false;
                 };
-                let newest = self.believe_from(&service, Term(term));
+                let newest = self.revoke_older_terms(&service, Term(term));
                 Some(NeighbourMessage::LeadRevoked { newest: newest.0 })
             }
             NeighbourMessage::Silent { node, backends, .. } => {
@@ -147,13 +147,13 @@
                     .filter_map(|id| BackendId::new(id.as_str()).ok());
                 let silent = ids.collect();
                 let suspicion = stairward_failover::Event::Suspicion(NodeId(node), silent);
-                self.tell_duty(suspicion);
+                self.handle_failover_event(suspicion);
                 None
             }
             NeighbourMessage::ConfirmSilent { node, backend } => {
                 if let Ok(backend) = BackendId::new(backend.as_str()) {
                     let verified = stairward_failover::Event::Verified(NodeId(node), backend);
-                    self.tell_duty(verified);
+                    self.handle_failover_event(verified);
                 }
                 None
             }
@@ -163,10 +163,11 @@
                 }
                 None
             }
-            NeighbourMessage::AskMember(question) => match self.ask_for_peer(&question).await {
+            NeighbourMessage::AskMember(question) => { match self.answer_relayed_request(&question).await {
                 Some(answer) => Some(answer),
                 None => return false,
-            },
+            }
+            }
             NeighbourMessage::Document { .. }
             | NeighbourMessage::Lead { .. }
             | NeighbourMessage::LeadRevoked { .. }
@@ -181,32 +182,32 @@
         answer.is_none_or(|answer| self.send_message(outgoing, &answer))
     }
 
-    /// Sends a message over a link; false when the link has failed.
+    /// Sends a message over a link. Returns false if the link has failed.
     pub(crate) fn send_message(&self, outgoing: &Rc<Outgoing>, message: &NeighbourMessage) -> bool {
         let bytes = frame(message);
         self.traffic.sent(TrafficKind::of(message), bytes.len());
         outgoing.send(&bytes).is_ok()
     }
 
-    fn document_answer(&self, name: Text) -> NeighbourMessage {
-        let content = self.feeds.packed(name.as_str()).unwrap_or_default();
+    fn document_reply(&self, name: Text) -> NeighbourMessage {
+        let content = self.feeds.compressed_snapshot(name.as_str()).unwrap_or_default();
         NeighbourMessage::Document {
             name,
             content: content.into(),
         }
     }
 
-    /// Runs a statement for a session of another node. False when it is not understood.
-    fn take_forwarded(
+    /// Runs a statement for a session of another node. Returns false if the message is malformed.
+    fn handle_forwarded(
         self: &Rc<Self>,
         link: u64,
         outgoing: &Rc<Outgoing>,
         message: &ForwardedStatement,
     ) -> bool {
-        let Some(forwarded) = forwarded_of(message) else {
+        let Some(forwarded) = decode_statement(message) else {
             return false;
         };
-        let session = self.guest(link, outgoing, message.session, message.request);
+        let session = self.remote_session(link, outgoing, message.session, message.request);
         self.handle(Event::ForwardedRequest {
             session,
             forwarded: Box::new(forwarded),
@@ -214,27 +215,28 @@
         true
     }
 
-    /// The own number of another node's session, with its request under way.
-    fn guest(&self, link: u64, outgoing: &Rc<Outgoing>, theirs: u64, request: u64) -> SessionId {
-        let mut guests = self.guests.borrow_mut();
-        let known = guests.by_theirs.get(&(link, theirs)).copied();
+    /// Returns the local id of another node's session and records its current request.
+    fn remote_session(&self, link: u64, outgoing: &Rc<Outgoing>,
+        remote_id: u64, request: u64,) -> SessionId {
+        let mut remote_sessions = self.remote_sessions.borrow_mut();
+        let known = remote_sessions.by_remote_id.get(&(link, remote_id)).copied();
         let own = known.unwrap_or_else(|| self.next_session());
-        guests.by_theirs.insert((link, theirs), own);
-        let guest = Guest {
+        remote_sessions.by_remote_id.insert((link, remote_id), own);
+        let remote_session = RemoteSession {
             outgoing: Rc::clone(outgoing),
-            session: theirs,
+            session: remote_id,
             request,
         };
-        guests.by_own.insert(own, guest);
+        remote_sessions.by_local_id.insert(own, remote_session);
         own
     }
 
-    fn close_guest(self: &Rc<Self>, link: u64, theirs: u64) {
+    fn close_remote_session(self: &Rc<Self>, link: u64, remote_id: u64) {
         let own = {
-            let mut guests = self.guests.borrow_mut();
-            let own = guests.by_theirs.remove(&(link, theirs));
+            let mut remote_sessions = self.remote_sessions.borrow_mut();
+            let own = remote_sessions.by_remote_id.remove(&(link, remote_id));
             if let Some(own) = &own {
-                guests.by_own.remove(own);
+                remote_sessions.by_local_id.remove(own);
             }
             own
         };
@@ -243,38 +245,38 @@
         }
     }
 
-    fn close_guests_of(self: &Rc<Self>, link: u64) {
-        let theirs: Vec<u64> = {
-            let guests = self.guests.borrow();
-            let of_link = guests.by_theirs.range((link, 0)..=(link, u64::MAX));
-            of_link.map(|((_, theirs), _)| *theirs).collect()
+    fn close_remote_sessions_of(self: &Rc<Self>, link: u64) {
+        let remote_id: Vec<u64> = {
+            let remote_sessions = self.remote_sessions.borrow();
+            let of_link = remote_sessions.by_remote_id.range((link, 0)..=(link, u64::MAX));
+            of_link.map(|((_, remote_id), _)| *remote_id).collect()
         };
-        for session in theirs {
-            self.close_guest(link, session);
+        for session in remote_id {
+            self.close_remote_session(link, session);
         }
     }
 
-    /// Sends an answer to the node whose session it is for; gives it back when the session is this node's.
-    pub(crate) fn answer_guest(&self, session: SessionId, response: Response) -> Option<Response> {
-        let guests = self.guests.borrow();
-        let Some(guest) = guests.by_own.get(&session) else {
+    /// Sends a response to the node that forwarded the statement. Returns it unsent if the session is local.
+    pub(crate) fn answer_remote_session(&self, session: SessionId, response: Response,) -> Option<Response> {
+        let remote_sessions = self.remote_sessions.borrow();
+        let Some(remote_session) = remote_sessions.by_local_id.get(&session) else {
             return Some(response);
         };
-        let answer = answer_message(guest.session, guest.request, response);
-        // A link that has failed ends in its reader.
-        let _ = self.send_message(&guest.outgoing, &NeighbourMessage::Answer(answer));
+        let answer = encode_answer(remote_session.session, remote_session.request, response);
+        // A failed link is cleaned up by the task that reads it.
+        let _ = self.send_message(&remote_session.outgoing, &NeighbourMessage::Answer(answer));
         None
     }
 
-    /// The engine has ended another node's session, which was at rest.
-    pub(crate) fn forget_guest(&self, session: SessionId) {
-        let mut guests = self.guests.borrow_mut();
-        if guests.by_own.remove(&session).is_some() {
-            guests.by_theirs.retain(|_, own| *own != session);
+    /// Removes another node's idle session after the engine has closed it.
+    pub(crate) fn forget_remote_session(&self, session: SessionId) {
+        let mut remote_sessions = self.remote_sessions.borrow_mut();
+        if remote_sessions.by_local_id.remove(&session).is_some() {
+            remote_sessions.by_remote_id.retain(|_, own| *own != session);
         }
     }
 
-    /// Forwards a statement to a holder.
+    /// Forwards a statement to a connection holder.
     pub(crate) fn forward(
         self: &Rc<Self>,
         holder: NodeId,
@@ -282,20 +284,20 @@
         request: u64,
         forwarded: ForwardedRequest,
     ) {
-        if let Some(message) = statement_message(session.0, request, forwarded) {
-            self.tell_neighbour(holder, &NeighbourMessage::Forward(message));
+        if let Some(message) = encode_statement(session.0, request, forwarded) {
+            self.send_to_peer(holder, &NeighbourMessage::Forward(message));
         }
     }
 
-    /// Tells a holder that a session has ended.
+    /// Tells a connection holder that a session has ended.
     pub(crate) fn close_forwarded(self: &Rc<Self>, holder: NodeId, session: SessionId) {
         if self.links.borrow().contains_key(&holder) {
             let message = NeighbourMessage::CloseSession { session: session.0 };
-            self.tell_neighbour(holder, &message);
+            self.send_to_peer(holder, &message);
         }
     }
 
-    pub(crate) fn tell_neighbour(self: &Rc<Self>, holder: NodeId, message: &NeighbourMessage) {
+    pub(crate) fn send_to_peer(self: &Rc<Self>, holder: NodeId, message: &NeighbourMessage) {
         let bytes = frame(message);
         self.traffic.sent(TrafficKind::of(message), bytes.len());
         let node = Rc::clone(self);
@@ -304,7 +306,7 @@
             Some(Link::Opening(waiting)) => waiting.extend_from_slice(&bytes),
             Some(Link::Open(outgoing)) => {
                 if outgoing.send(&bytes).is_err() {
-                    tokio::task::spawn_local(async move { node.link_lost(holder) });
+                    tokio::task::spawn_local(async move { node.handle_link_lost(holder) });
                 }
             }
             None => {
@@ -321,20 +323,20 @@
             .iter()
             .find(|member| member.node == holder)
             .map(|member| member.address);
-        self.traffic.opened(OpeningKind::LinkMade);
+        self.traffic.opened(OpeningKind::PeerLink);
         let connected = match address {
             Some(address) => connect(address).await,
             None => None,
         };
         let Some((mut reader, outgoing)) = connected else {
-            return self.link_lost(holder);
+            return self.handle_link_lost(holder);
         };
         let opened = Link::Open(Rc::clone(&outgoing));
         let waiting = self.links.borrow_mut().insert(holder, opened);
         if let Some(Link::Opening(waiting)) = waiting
             && outgoing.send(&waiting).is_err()
         {
-            return self.link_lost(holder);
+            return self.handle_link_lost(holder);
         }
         tracing::info!(event = LogEvent::PeerConnected.number(), holder = holder.0);
         while let Some(message) = reader.next().await {
@@ -347,7 +349,7 @@
                         holder,
                         session,
                         request,
-                        response: response_of(answer),
+                        response: decode_answer(answer),
                     });
                 }
                 NeighbourMessage::Position {
@@ -358,7 +360,7 @@
                 } => {
                     let age = Duration::from_micros(age_microseconds);
                     let asked_at = Time(asked_at_microseconds);
-                    self.take_position(&service, position.into(), asked_at, age);
+                    self.handle_position(&service, position.into(), asked_at, age);
                 }
                 NeighbourMessage::Lead {
                     service,
@@ -376,7 +378,7 @@
                     }
                 }
                 NeighbourMessage::GrantLimit(message) => {
-                    let Some(grant) = grant_of(&message) else {
+                    let Some(grant) = decode_grant(&message) else {
                         break;
                     };
                     self.handle(Event::LimitGranted(holder, grant));
@@ -387,17 +389,17 @@
                     told_at_microseconds,
                 } => {
                     let (asked, told) = (Time(asked_at_microseconds), Time(told_at_microseconds));
-                    self.feeds.clock_told(holder, PeerClock::new(asked, told));
+                    self.feeds.set_source_clock(holder, PeerClock::new(asked, told));
                 }
-                NeighbourMessage::FeedState(message) => self.source_answered(holder, message),
+                NeighbourMessage::FeedState(message) => self.handle_source_answer(holder, message),
                 _ => break,
             }
         }
-        self.link_lost(holder);
+        self.handle_link_lost(holder);
     }
 
-    /// Asks two peers, chosen anew each time, how far a leader's log had come.
-    pub(crate) fn ask_peers_for_position(self: &Rc<Self>, service: &ServiceName) {
+    /// Queries randomly chosen peers for the proved log position of a service's leader.
+    pub(crate) fn query_positions(self: &Rc<Self>, service: &ServiceName) {
         let others: Vec<NodeId> = {
             let members = self.members.borrow();
             let nodes = members.iter().map(|member| member.node);
@@ -407,12 +409,12 @@
             service: Text::new(service.as_str()),
             asked_at_microseconds: self.now().0,
         };
-        for peer in others.sample(&mut rand::rng(), PEERS_ASKED) {
-            self.tell_neighbour(*peer, &message);
+        for peer in others.sample(&mut rand::rng(), POSITION_PEERS) {
+            self.send_to_peer(*peer, &message);
         }
     }
 
-    fn position_answer(&self, service: Text, asked_at_microseconds: u64) -> NeighbourMessage {
+    fn position_reply(&self, service: Text, asked_at_microseconds: u64) -> NeighbourMessage {
         let name = ServiceName::new(service.as_str()).ok();
         let proved = name.and_then(|name| self.proved_position(&name));
         let (position, age) = proved.unzip();
@@ -425,24 +427,24 @@
         }
     }
 
-    /// Asks another node what it knows of a service's lead.
-    pub(crate) fn ask_lead(self: &Rc<Self>, holder: NodeId, service: &ServiceName) {
+    /// Queries another node for the newest term of a service that it knows may have begun.
+    pub(crate) fn query_lead(self: &Rc<Self>, holder: NodeId, service: &ServiceName) {
         let message = NeighbourMessage::AskLead {
             service: Text::new(service.as_str()),
             asked_at_microseconds: self.now().0,
         };
-        self.tell_neighbour(holder, &message);
+        self.send_to_peer(holder, &message);
     }
 
-    /// Answers a question about tenants' limits, as coordinator; none when it is not understood.
-    fn limit_answer(&self, message: &LimitAsk) -> Option<NeighbourMessage> {
-        let (node, ask) = ask_of(message)?;
+    /// Answers a request for tenant limits, as coordinator; none if the message is malformed.
+    fn limit_reply(&self, message: &LimitAsk) -> Option<NeighbourMessage> {
+        let (node, ask) = decode_ask(message)?;
         let grant = self.grant_limit(node, &ask);
-        Some(NeighbourMessage::GrantLimit(grant_message(grant)))
+        Some(NeighbourMessage::GrantLimit(encode_grant(grant)))
     }
 
-    /// What is known of a lead; none where nothing is. It is kept known from now on.
-    fn lead_answer(
+    /// The newest term of a service that may have begun; none if unknown. The engine keeps it up to date from now on.
+    fn lead_reply(
         self: &Rc<Self>,
         service: Text,
         asked_at_microseconds: u64,
@@ -458,7 +460,7 @@
         })
     }
 
-    fn take_position(
+    fn handle_position(
         self: &Rc<Self>,
         service: &Text,
         position: Option<Freshness>,
@@ -476,7 +478,7 @@
         }
     }
 
-    fn link_lost(self: &Rc<Self>, holder: NodeId) {
+    fn handle_link_lost(self: &Rc<Self>, holder: NodeId) {
         let link = self.links.borrow_mut().remove(&holder);
         if let Some(link) = link {
             tracing::warn!(event = LogEvent::PeerLost.number(), holder = holder.0);
@@ -487,7 +489,7 @@
                 }
                 Link::Opening(_) => self.handle(Event::HolderUnreachable(holder)),
             }
-            self.source_lost(holder);
+            self.handle_source_lost(holder);
         }
     }
 }
